--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -195,7 +195,7 @@
                 let seed = parts.number("seed")?;
                 let info = parts.text("info")?;
                 let decoded = pairs(info)
-                    .and_then(topazsail_orders::decode)
+                    .and_then(topazsail_settings::decode)
                     .map_err(|fault| parts.fault("info", fault))?;
                 let (orders, operations) = (decoded.standing, decoded.operations);
                 return Ok(Some(Message::Create { inst, seed, orders, operations }));
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -6,9 +6,9 @@
 use std::process::ExitCode;
 
 use crate::config;
-use crate::life::migrate::{self, Place};
-use crate::life::shown::shown;
-use crate::life::start::{self, DiskAt};
+use crate::lifecycle::migrate::{self, Place};
+use crate::lifecycle::start::{self, DiskAt};
+use crate::lifecycle::store_report::shown;
 use crate::net::log::log;
 use topazsail_store::Folder;
 
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -11,11 +11,11 @@
 use std::path::PathBuf;
 
 use serde_json::Value;
-use topazsail_orders::Decoded;
 use topazsail_peers::Member;
+use topazsail_settings::Decoded;
 
-use crate::back::roster::Listed;
 use crate::net::errno;
+use crate::upstream::roster::Listed;
 
 /// Other dispatchers that there may be.
 const PEERS_MOST: usize = 4_096;
@@ -160,8 +160,9 @@
     numbers(field("settings")?)?;
     let mut pairs = Vec::new();
     flatten("", field("settings")?, &mut pairs);
-    let decoded = topazsail_orders::decode(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())))
-        .map_err(|fault| format!("settings: {fault}"))?;
+    let decoded =
+        topazsail_settings::decode(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())))
+            .map_err(|fault| format!("settings: {fault}"))?;
     Ok(Dispatcher {
         name: string("name")?,
         listen: address("listen")?,
--- a/node/src/front/clients.rs
+++ b/node/src/ingress/clients.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use topazsail::{Id, Micros, hash};
 
-use crate::front::operations::Operations;
-use crate::net::conn::{Callbacks, End, Link, Timer, Wires};
+use crate::ingress::operations::Operations;
+use crate::net::connection::{Callbacks, End, Link, Timer, Wires};
 use crate::net::http::{self, Fault, MESSAGE_MOST, Request, encode_answer};
 use crate::net::log::log;
 
--- a/node/src/front/mod.rs
+++ b/node/src/ingress/mod.rs
@@ -2,4 +2,4 @@
 
 pub mod clients;
 pub mod operations;
-pub mod operator;
+pub mod operators;
--- a/node/src/front/operator.rs
+++ b/node/src/ingress/operators.rs
@@ -7,7 +7,7 @@
 
 use topazsail::Micros;
 
-use crate::net::conn::{Callbacks, End, Link, Timer, Wires};
+use crate::net::connection::{Callbacks, End, Link, Timer, Wires};
 use crate::net::log::log;
 
 /// A call must be whole by then; some callers send half of one and stay.
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! It owns the list of its modules. Only what the command line and the lab need is public.
 
-mod back;
 pub mod cli;
 pub mod config;
-mod desk;
-mod figures;
-mod front;
-mod life;
+mod ingress;
+mod lifecycle;
+mod metrics;
 mod net;
+mod request_table;
+mod upstream;
 
 #[cfg(test)]
 #[path = "../tests/traces.rs"]
--- a/node/src/life/handover.rs
+++ b/node/src/lifecycle/handover.rs
@@ -22,8 +22,8 @@
 use serde_json::Value;
 use topazsail::Micros;
 
-use crate::front::clients::CallBack;
-use crate::net::conn::{Callbacks, End, Link, Wires};
+use crate::ingress::clients::CallBack;
+use crate::net::connection::{Callbacks, End, Link, Wires};
 use crate::net::log::log;
 
 /// How long a starting process waits for the one that serves.
--- a/node/src/life/signals.rs
+++ b/node/src/lifecycle/signals.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use crate::life::patience::patiently;
+use crate::lifecycle::transient_retry::patiently;
 use crate::net::errno;
 
 /// One signal. Where the write to its pipe fails, the loop finds the flag at its next turn.
--- a/node/src/life/start.rs
+++ b/node/src/lifecycle/start.rs
@@ -11,16 +11,16 @@
 use topazsail_store::Disk;
 
 use crate::config::{self, LoadError};
-use crate::desk::Desk;
-use crate::life::handover;
-use crate::life::keeper::Keeper;
-use crate::life::patience::patiently;
-use crate::life::signals::Signal;
-use crate::net::conn::{Side, Wires};
+use crate::lifecycle::handover;
+use crate::lifecycle::signals::Signal;
+use crate::lifecycle::store_thread::Keeper;
+use crate::lifecycle::transient_retry::patiently;
+use crate::net::connection::{Side, Wires};
 use crate::net::errno;
 use crate::net::log::log;
 use crate::net::reactor::{LISTENERS, Listener, PEERS, RELOAD, Reactor, SIGNAL, SUCCESSOR};
 use crate::net::sockets::{listen, talk};
+use crate::request_table::Desk;
 
 /// How long a process that ends waits for its disk.
 const CLOSED_WITHIN: Duration = Duration::from_millis(500);
--- a/node/src/life/shown.rs
+++ b/node/src/lifecycle/store_report.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use serde_json::{Value, json};
-use topazsail_store::kept::{self, Hand, List, Settings, Spent};
+use topazsail_store::stored_types::{self, Hand, List, Settings, Spent};
 use topazsail_store::{Doubt, Folder, Record, Stale, look};
 
 /// What is said, and whether all is well.
@@ -16,22 +16,22 @@
 }
 
 fn value(record: &Record) -> Value {
-    if let Some(list) = kept::value::<List>(record) {
+    if let Some(list) = stored_types::value::<List>(record) {
         let list_json: Value = serde_json::from_str(&list.json).unwrap_or_default();
         let runners = list_json.get("instances").and_then(Value::as_array).map_or(0, Vec::len);
         return json!({
             "discovery": list.discovery, "generation": list.generation, "runners": runners, "list": list_json,
         });
     }
-    if let Some(hand) = kept::value::<Hand>(record) {
+    if let Some(hand) = stored_types::value::<Hand>(record) {
         return json!({
             "out_since": hand.out_since, "was_out": hand.was_out, "count": hand.count, "author": hand.author,
         });
     }
-    if let Some(spent) = kept::value::<Spent>(record) {
+    if let Some(spent) = stored_types::value::<Spent>(record) {
         return json!({"runners": spent.runners});
     }
-    if let Some(settings) = kept::value::<Settings>(record) {
+    if let Some(settings) = stored_types::value::<Settings>(record) {
         let version = format!("{:016x}", settings.version);
         return json!({"version": version, "configuration": serde_json::from_str::<Value>(&settings.json).ok()});
     }
@@ -82,7 +82,7 @@
     if as_json {
         let records = look.records.values().filter(|_| all).map(|record| {
             json!({
-                "table": kept::name(record.table), "key": record.key, "form": record.form, "boot": record.boot,
+                "table": stored_types::name(record.table), "key": record.key, "form": record.form, "boot": record.boot,
                 "written": record.written, "value": value(record),
             })
         });
@@ -116,7 +116,7 @@
         let head = ("table", "key", "boot", "written", "value");
         let _ = writeln!(text, "{:<9} {:<20} {:>5} {:>17} {}", head.0, head.1, head.2, head.3, head.4);
         for record in look.records.values() {
-            let (table, at) = (kept::name(record.table), seconds(record.written));
+            let (table, at) = (stored_types::name(record.table), seconds(record.written));
             let key = record.key.escape_debug().to_string();
             let short = short(record);
             let _ = writeln!(text, "{table:<9} {key:<20} {:>5} {at:>17} {short}", record.boot);
--- a/node/src/life/keeper.rs
+++ b/node/src/lifecycle/store_thread.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use topazsail::Micros;
-use topazsail_store::kept::{Hand, Kept, List, Settings, Spent, all, bytes};
+use topazsail_store::stored_types::{Hand, Kept, List, Settings, Spent, all, bytes};
 use topazsail_store::{Disk, Found, Store, Table};
 
 /// Items that may wait for the disk; beyond them nothing more is taken.
--- a/node/src/net/conn.rs
+++ b/node/src/net/connection.rs
@@ -10,9 +10,9 @@
 use socket2::Socket;
 use topazsail::{Id, Micros};
 
-use crate::net::arrivals::Arrivals;
 use crate::net::errno;
 use crate::net::http::MESSAGE_MOST;
+use crate::net::receive_times::Arrivals;
 
 /// A connection's number; none is used twice.
 pub type Link = u64;
--- a/node/src/net/dials.rs
+++ b/node/src/net/dials.rs
@@ -10,7 +10,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use topazsail::Micros;
 
-use crate::net::conn::{Link, Side};
+use crate::net::connection::{Link, Side};
 use crate::net::errno::{self, Scope};
 
 /// How long until a dial is made again.
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -15,13 +15,13 @@
 use topazsail_peers::PACKET_MOST;
 
 use crate::config;
-use crate::desk::Desk;
-use crate::life::handover;
-use crate::life::signals::Signal;
-use crate::net::conn::{Conn, End, HostFailures, Link, Side, Timer, Wires, never_up};
+use crate::lifecycle::handover;
+use crate::lifecycle::signals::Signal;
+use crate::net::connection::{Conn, End, HostFailures, Link, Side, Timer, Wires, never_up};
 use crate::net::dials::{self, DIAL_AGAIN, Dial, Dialled, Dials};
 use crate::net::errno::{self, Scope};
 use crate::net::log::log;
+use crate::request_table::Desk;
 
 pub const SIGNAL: usize = 0;
 pub const RELOAD: usize = 1;
--- a/node/src/desk.rs
+++ b/node/src/request_table.rs
@@ -5,8 +5,8 @@
 //! outcome for each forward. It must never choose a runner, a retry or an answer of its own, but for the
 //! error that an invocation gets when its client's time is over, and must never send a forward twice.
 
-mod keeping;
-mod meeting;
+mod peer_exchange;
+mod persistence;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -14,22 +14,22 @@
 use topazsail::{
     Action, Arrival, Brain, Ending, Event, Id, Listing, Micros, Outcome, Readiness, Roster as List, Spent,
 };
-use topazsail_orders::Decoded;
 use topazsail_recovery::Stage;
 use topazsail_recovery::limits::Worth;
+use topazsail_settings::Decoded;
 
-use crate::back::members::{Members, TOLD_WITHIN};
-use crate::back::roster::{self, Listed, Roster};
-use crate::back::runners::{self, Runners};
 use crate::config::{self, Dispatcher};
-use crate::figures::{self, Figures, Now, Verdict};
-use crate::front::clients::{self, CallBack, Clients, Invocation, State};
-use crate::front::operator::{Call, Operators};
-use crate::life::handover::{Peer, State as Handed, Word};
-use crate::life::keeper::Keeper;
-use crate::net::conn::{Callbacks, Link, Side, Timer, Wires};
+use crate::ingress::clients::{self, CallBack, Clients, Invocation, State};
+use crate::ingress::operators::{Call, Operators};
+use crate::lifecycle::handover::{Peer, State as Handed, Word};
+use crate::lifecycle::store_thread::Keeper;
+use crate::metrics::{self, Figures, Now, Verdict};
+use crate::net::connection::{Callbacks, Link, Side, Timer, Wires};
 use crate::net::http::Fault;
 use crate::net::log::log;
+use crate::upstream::membership::{Members, TOLD_WITHIN};
+use crate::upstream::roster::{self, Listed, Roster};
+use crate::upstream::runners::{self, Runners};
 
 const SUCCEEDED: u16 = 200;
 const THROTTLED: u16 = 429;
@@ -135,8 +135,8 @@
     decoded.standing.come_back_max.map(|most| most.min(ROOM_AGAIN))
 }
 
-pub use keeping::Keeping;
-pub use meeting::Meeting;
+pub use peer_exchange::Meeting;
+pub use persistence::Keeping;
 
 pub struct Desk {
     brain: Brain,
@@ -840,8 +840,8 @@
                 format!(
                     "{}{}{}END\n",
                     self.figures.text(&now),
-                    figures::more(host.iter()),
-                    figures::more(kept)
+                    metrics::more(host.iter()),
+                    metrics::more(kept)
                 )
             }
             Call::Maintain { id, out } => match self.maintain(&id, out, wires) {
--- a/node/src/desk/meeting.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -9,12 +9,12 @@
 use topazsail::{Event, Listing, Micros};
 use topazsail_peers::{Action, Life, Peers, Told, Version};
 use topazsail_recovery as recovery;
-use topazsail_store::kept as store;
+use topazsail_store::stored_types as store;
 
 use super::Desk;
 use crate::config::PeersAt;
-use crate::life::keeper::Left;
-use crate::net::conn::{Timer, Wires};
+use crate::lifecycle::store_thread::Left;
+use crate::net::connection::{Timer, Wires};
 use crate::net::log::log;
 
 /// The other dispatchers: from the start as configured, and once this life has a number, or none is to be had, as met.
--- a/node/src/desk/keeping.rs
+++ b/node/src/request_table/persistence.rs
@@ -8,14 +8,14 @@
 use topazsail::{Event, Listing, Micros};
 use topazsail_recovery::limits::Limits;
 use topazsail_recovery::{self as recovery, Action, Belief, Known, Recovery, Source, Stage};
-use topazsail_store::kept::{Hand, List, Settings, Spent};
+use topazsail_store::stored_types::{Hand, List, Settings, Spent};
 
 use super::Desk;
-use crate::back::roster::{self, Listed};
-use crate::front::operator::Call;
-use crate::life::keeper::{Keeper, Left, Told};
-use crate::net::conn::{Link, Timer, Wires};
+use crate::ingress::operators::Call;
+use crate::lifecycle::store_thread::{Keeper, Left, Told};
+use crate::net::connection::{Link, Timer, Wires};
 use crate::net::log::log;
+use crate::upstream::roster::{self, Listed};
 
 /// An operator's answer waits for the disk no longer than this.
 const KEPT_WITHIN: Micros = 2_000_000;
--- a/node/src/back/mod.rs
+++ b/node/src/upstream/mod.rs
@@ -1,5 +1,5 @@
 //! Those whom this dispatcher goes to: runners, and discovery for the list of them.
 
-pub mod members;
+pub mod membership;
 pub mod roster;
 pub mod runners;
--- a/node/src/back/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -9,10 +9,10 @@
 use serde_json::{Value, json};
 use topazsail::{Listing, Micros, Readiness, RosterEntry};
 
-use crate::back::members::TOLD_WITHIN;
-use crate::net::conn::{Callbacks, End, Link, Side, Timer, Wires};
+use crate::net::connection::{Callbacks, End, Link, Side, Timer, Wires};
 use crate::net::http::{self, Chunks, Framing, encode_bare};
 use crate::net::log::log;
+use crate::upstream::membership::TOLD_WITHIN;
 
 // What discovery has, and could tell, counts as told 6 s later at the latest. These spans and the brain's waits between
 // calls are its parts; docs/design.md has the sums for each order in which they can fail.
--- a/node/src/back/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -8,9 +8,9 @@
 
 use serde_json::Value;
 use topazsail::{Ending, Id, Micros};
-use topazsail_orders::Decoded;
+use topazsail_settings::Decoded;
 
-use crate::net::conn::{Callbacks, End, Link, Side, Timer, Wires};
+use crate::net::connection::{Callbacks, End, Link, Side, Timer, Wires};
 use crate::net::http::{self, Answer, MESSAGE_MOST, encode_bare};
 use crate::net::log::log;
 
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -7,16 +7,16 @@
 use expect_test::{Expect, expect};
 use topazsail::{Id, Listing, Micros, Readiness, RosterEntry};
 
-use crate::back::members::Members;
-use crate::back::roster::Roster;
-use crate::back::runners::Runners;
 use crate::config;
-use crate::desk::Desk;
-use crate::front::clients::{Clients, Heard, State};
-use crate::front::operations::Operations;
-use crate::life::handover;
-use crate::net::conn::{Callbacks, End, Link, Side, Timer, Wires};
+use crate::ingress::clients::{Clients, Heard, State};
+use crate::ingress::operations::Operations;
+use crate::lifecycle::handover;
+use crate::net::connection::{Callbacks, End, Link, Side, Timer, Wires};
 use crate::net::http::{self, Fault};
+use crate::request_table::Desk;
+use crate::upstream::membership::Members;
+use crate::upstream::roster::Roster;
+use crate::upstream::runners::Runners;
 
 const START: Micros = 1_700_000_000_000_000;
 
--- a/peers/src/packet.rs
+++ b/peers/src/packet.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
-use crate::hands::{BUCKETS, Version};
+use crate::admin_overrides::{BUCKETS, Version};
 
 /// No datagram is larger: it passes every link whole.
 pub const PACKET_MOST: usize = 1_200;
--- a/peers/src/peers.rs
+++ b/peers/src/peers.rs
@@ -17,9 +17,9 @@
 use rand_pcg::Pcg32;
 
 use crate::Micros;
-use crate::account::{Account, Portion};
-use crate::hands::{Hands, Version};
+use crate::admin_overrides::{Hands, Version};
 use crate::packet::{Bad, Digest, Hand, PACKET_MOST, Packet, What, open, seal};
+use crate::slow_start::{Account, Portion};
 
 /// From one round of probes to the next, and how many are probed at once in a large fleet.
 const ROUND: Micros = 200_000;
--- a/src/brain.rs
+++ b/src/routing_policy.rs
@@ -2,25 +2,25 @@
 //!
 //! An adapter makes a [`Brain`] from the standing orders and a seed, then calls [`Brain::decide`] with the
 //! clock and whatever happened since, in order; it gets back what is to be done, in order. The types on both
-//! sides are in `events.rs`, `actions.rs` and `standing.rs`; what is kept on runners and invocations is in
-//! `books.rs`. The brain knows no clock and no chance but these.
+//! sides are in `events.rs`, `actions.rs` and `settings.rs`; what is kept on runners and invocations is in
+//! `state_tables.rs`. The brain knows no clock and no chance but these.
 //!
 //! The way of an invocation: `arrive` lets it into the queue, `place` goes through the queue by what is at
 //! stake and has `seek` find a runner, `outcome` ends a forward, and `again` or `give_up` says what follows.
 //! `least` is the design (Pod-SSP); docs/design.md lists each departure from it.
 
-mod handing;
+mod slow_start;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use crate::books::{Bond, Due, Forward, Inv, Keys, Place, Pool, Rations, Recent, Runner};
-use crate::chance::{Chance, first, hash};
+use crate::random::{Chance, first, hash};
+use crate::state_tables::{Bond, Due, Forward, Inv, Keys, Place, Pool, Rations, Recent, Runner};
 use crate::{
     Action, Arrival, Effect, Ending, Event, Group, Id, Listing, Micros, Operation, Outcome, Readiness,
     ReportField, Roster, RosterEntry, Sizes, StandingOrders,
 };
 
-pub use handing::{Portion, Spent};
+pub use slow_start::{Portion, Spent};
 
 /// Draws for a low and for a high invocation.
 const D1: usize = 3;
--- a/store/examples/stores.rs
+++ b/store/examples/stores.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use topazsail_store::kept::Hand;
+use topazsail_store::stored_types::Hand;
 use topazsail_store::{Folder, Store, Table};
 
 const RUNNERS: usize = 10_000;
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -7,9 +7,9 @@
 
 pub mod disk;
 pub mod faulty;
-pub mod kept;
 mod log;
 mod store;
+pub mod stored_types;
 
 pub use disk::{Disk, Folder, Machine, Memory};
 pub use faulty::{Faults, Faulty};
--- a/store/tests/crashes.rs
+++ b/store/tests/crashes.rs
@@ -6,7 +6,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use topazsail_store::kept::{Hand, List, all};
+use topazsail_store::stored_types::{Hand, List, all};
 use topazsail_store::{Disk, Doubt, Fault, Faults, Faulty, Machine, Memory, Store, look};
 
 const NOW: i64 = 1_700_000_000_000_000;
