--- a/lab/src/bin/lab-dispatcher.rs
+++ b/lab/src/bin/lab-dispatcher.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use topazsail_lab::disks::{Ailment, control};
-use topazsail_store::{Disk, Faults, Faulty, Folder, Machine};
+use topazsail_store::{DirectoryDisk, Disk, DiskFaults, FaultyDisk, Machine};
 
 const TWIN: &str = "LAB_TWIN";
 const LOOK_EVERY: Duration = Duration::from_millis(10);
@@ -58,9 +58,9 @@
     Ok(())
 }
 
-fn faults(ailment: &Ailment) -> Faults {
+fn faults(ailment: &Ailment) -> DiskFaults {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
-    Faults {
+    DiskFaults {
         full: ailment.full,
         read_only: ailment.read_only,
         sync_fails: ailment.sync_fails,
@@ -85,7 +85,7 @@
             thread::sleep(LOOK_EVERY);
         }
     });
-    Ok(Box::new(Faulty::new(Folder::new(folder), shared, seed)?))
+    Ok(Box::new(FaultyDisk::new(DirectoryDisk::new(folder), shared, seed)?))
 }
 
 /// A twin's own settings, in place of what the lab has written for it.
--- a/lab/src/start.rs
+++ b/lab/src/start.rs
@@ -9,16 +9,16 @@
 use rand::RngExt;
 use rand_pcg::Pcg32;
 use topazsail::{Micros, StandingOrders};
-use topazsail_recovery::limits::{self, Limits, Worth};
+use topazsail_recovery::limits::{self, AdmissionLimits, OperationValue};
 use topazsail_recovery::{Event, Recovery, Stage};
-use topazsail_store::Found;
+use topazsail_store::LoadSummary;
 
 /// Advice to those who come before there is service, or for whom there is no room: spread over this.
 const SPREAD: Micros = 1_000_000;
 
 pub struct Start {
     recovery: Recovery,
-    limits: Limits,
+    limits: AdmissionLimits,
     /// Listed runners and when each started, as this dispatcher has been told.
     listed: BTreeMap<u32, Option<Micros>>,
     /// Runners that the remembered list had.
@@ -31,15 +31,15 @@
 
 impl Start {
     pub fn new(orders: &StandingOrders, peers: bool, began_with: usize, drawn: Pcg32, now: Micros) -> Start {
-        let worth = |op: &topazsail::Operation| Worth {
+        let worth = |op: &topazsail::Operation| OperationValue {
             value: op.billed_value,
             latency_objective: op.latency_objective,
         };
         let mut recovery = Recovery::new(peers, now);
-        recovery.handle(now, Event::Opened { found: &Found::default(), boot: Some(1) });
+        recovery.handle(now, Event::Opened { found: &LoadSummary::default(), boot: Some(1) });
         Start {
             recovery,
-            limits: Limits::new(orders.operations.iter().map(worth), now),
+            limits: AdmissionLimits::new(orders.operations.iter().map(worth), now),
             listed: BTreeMap::new(),
             began_with,
             cold_from: orders.cold_from,
--- a/lab/src/talk.rs
+++ b/lab/src/talk.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg32;
 use topazsail::{Micros, StandingOrders};
-use topazsail_peers::{Action, Member, Peers, Told};
+use topazsail_peers::{Action, Member, PeerEvent, Peers};
 
 pub struct Talk {
     pub core: Peers,
@@ -58,8 +58,8 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => sent.push((number(to), bytes)),
-                Action::Told(Told::Numbered(heard)) => self.core.numbered(heard + 1),
-                Action::Told(Told::Peer { .. } | Told::Hand(_)) => {}
+                Action::PeerEvent(PeerEvent::Numbered(heard)) => self.core.numbered(heard + 1),
+                Action::PeerEvent(PeerEvent::Peer { .. } | PeerEvent::AdminOverride(_)) => {}
             }
         }
         sent
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -10,7 +10,7 @@
 use crate::lifecycle::start::{self, DiskAt};
 use crate::lifecycle::store_report::shown;
 use crate::net::log::log;
-use topazsail_store::Folder;
+use topazsail_store::DirectoryDisk;
 
 const HELP: &str = "\
 topazsail, a dispatcher that pushes jobs to runners
@@ -128,7 +128,7 @@
 
 /// Runs the command that the process was started with; its exit code.
 pub fn main() -> ExitCode {
-    main_on(|folder| Ok(Box::new(Folder::new(folder))))
+    main_on(|folder| Ok(Box::new(DirectoryDisk::new(folder))))
 }
 
 /// The same over another disk, for trials.
--- a/node/src/lifecycle/store_report.rs
+++ b/node/src/lifecycle/store_report.rs
@@ -6,8 +6,10 @@
 use std::path::Path;
 
 use serde_json::{Value, json};
-use topazsail_store::stored_types::{self, Hand, List, Settings, Spent};
-use topazsail_store::{Doubt, Folder, Record, Stale, look};
+use topazsail_store::stored_types::{
+    self, StoredOverride, StoredRoster, StoredSettings, StoredSlowStartUsage,
+};
+use topazsail_store::{DirectoryDisk, IntegrityWarning, Record, WriteError, inspect};
 
 /// What is said, and whether all is well.
 pub struct Shown {
@@ -16,22 +18,22 @@
 }
 
 fn value(record: &Record) -> Value {
-    if let Some(list) = stored_types::value::<List>(record) {
+    if let Some(list) = stored_types::value::<StoredRoster>(record) {
         let list_json: Value = serde_json::from_str(&list.json).unwrap_or_default();
         let runners = list_json.get("instances").and_then(Value::as_array).map_or(0, Vec::len);
         return json!({
             "discovery": list.discovery, "generation": list.generation, "runners": runners, "list": list_json,
         });
     }
-    if let Some(hand) = stored_types::value::<Hand>(record) {
+    if let Some(hand) = stored_types::value::<StoredOverride>(record) {
         return json!({
             "out_since": hand.out_since, "was_out": hand.was_out, "count": hand.count, "author": hand.author,
         });
     }
-    if let Some(spent) = stored_types::value::<Spent>(record) {
+    if let Some(spent) = stored_types::value::<StoredSlowStartUsage>(record) {
         return json!({"runners": spent.runners});
     }
-    if let Some(settings) = stored_types::value::<Settings>(record) {
+    if let Some(settings) = stored_types::value::<StoredSettings>(record) {
         let version = format!("{:016x}", settings.version);
         return json!({"version": version, "configuration": serde_json::from_str::<Value>(&settings.json).ok()});
     }
@@ -75,22 +77,22 @@
     if !folder.is_dir() {
         return Err(fault("no such folder".to_owned()));
     }
-    let look = look(&mut Folder::new(folder)).map_err(|error| fault(error.to_string()))?;
-    let found = &look.found;
-    let doubts: Vec<String> = found.doubts.iter().map(Doubt::to_string).collect();
+    let inspection = inspect(&mut DirectoryDisk::new(folder)).map_err(|error| fault(error.to_string()))?;
+    let found = &inspection.found;
+    let doubts: Vec<String> = found.doubts.iter().map(IntegrityWarning::to_string).collect();
     let well = doubts.is_empty();
     if as_json {
-        let records = look.records.values().filter(|_| all).map(|record| {
+        let records = inspection.records.values().filter(|_| all).map(|record| {
             json!({
                 "table": stored_types::name(record.table), "key": record.key, "form": record.form, "boot": record.boot,
                 "written": record.written, "value": value(record),
             })
         });
         let whole = json!({
-            "owner": look.owner, "store": format!("{:016x}", look.store), "boot": found.boot, "clean": found.clean,
+            "owner": inspection.owner, "store": format!("{:016x}", inspection.store), "boot": found.boot, "clean": found.clean,
             "torn": found.torn, "written": found.written, "doubts": doubts, "empty": found.fresh,
-            "unwritten": found.unwritten.as_ref().map(Stale::to_string),
-            "files": look.files.iter().map(|(name, bytes)| json!({"name": name, "bytes": bytes})).collect::<Vec<_>>(),
+            "unwritten": found.unwritten.as_ref().map(WriteError::to_string),
+            "files": inspection.files.iter().map(|(name, bytes)| json!({"name": name, "bytes": bytes})).collect::<Vec<_>>(),
             "records": records.collect::<Vec<_>>(),
         });
         return Ok(Shown { text: format!("{whole:#}\n"), well });
@@ -101,21 +103,21 @@
         line("state", &"empty: no dispatcher has kept anything here");
         return Ok(Shown { text, well });
     }
-    line("owner", &look.owner.as_deref().unwrap_or("not known"));
+    line("owner", &inspection.owner.as_deref().unwrap_or("not known"));
     line("boot", &found.boot);
     let ended = if found.clean { "the last life ended as it should" } else { "cut short, or still going on" };
     line("state", &ended);
     line("written", &seconds(found.written));
-    look.files.iter().for_each(|(name, bytes)| line("file", &format!("{name}, {bytes} bytes")));
+    inspection.files.iter().for_each(|(name, bytes)| line("file", &format!("{name}, {bytes} bytes")));
     if found.torn > 0 {
         line("torn", &format!("{} bytes at the end are no record", found.torn));
     }
     doubts.iter().for_each(|doubt| line("doubt", doubt));
-    line("records", &look.records.len());
+    line("records", &inspection.records.len());
     if all {
         let head = ("table", "key", "boot", "written", "value");
         let _ = writeln!(text, "{:<9} {:<20} {:>5} {:>17} {}", head.0, head.1, head.2, head.3, head.4);
-        for record in look.records.values() {
+        for record in inspection.records.values() {
             let (table, at) = (stored_types::name(record.table), seconds(record.written));
             let key = record.key.escape_debug().to_string();
             let short = short(record);
--- a/node/src/lifecycle/store_report/tests.rs
+++ b/node/src/lifecycle/store_report/tests.rs
@@ -5,13 +5,17 @@
 
 fn folder() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
-    let open = || Store::open(Box::new(Folder::new(folder.path())), "d0", 7, 1_700_000_000_000_000).unwrap();
+    let open =
+        || Store::open(Box::new(DirectoryDisk::new(folder.path())), "d0", 7, 1_700_000_000_000_000).unwrap();
     let (mut store, _) = open();
-    let list =
-        List { discovery: "127.0.0.1:8500".into(), generation: 4, json: r#"{"instances":[{}]}"#.into() };
-    store.keep("", Some(&list), 1_700_000_000_000_000);
-    let hand = Hand { out_since: Some(1_700_000_000_500_000), ..Hand::default() };
-    store.keep("s-a", Some(&hand), 1_700_000_001_000_000);
+    let list = StoredRoster {
+        discovery: "127.0.0.1:8500".into(),
+        generation: 4,
+        json: r#"{"instances":[{}]}"#.into(),
+    };
+    store.put_typed("", Some(&list), 1_700_000_000_000_000);
+    let hand = StoredOverride { out_since: Some(1_700_000_000_500_000), ..StoredOverride::default() };
+    store.put_typed("s-a", Some(&hand), 1_700_000_001_000_000);
     store.put(topazsail_store::Table(40), "x", 1, Some(vec![1, 2]), 1_700_000_001_000_000);
     store.close(1_700_000_002_000_000).unwrap();
     folder
--- a/node/src/lifecycle/store_thread.rs
+++ b/node/src/lifecycle/store_thread.rs
@@ -9,8 +9,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use topazsail::Micros;
-use topazsail_store::stored_types::{Hand, Kept, List, Settings, Spent, all, bytes};
-use topazsail_store::{Disk, Found, Store, Table};
+use topazsail_store::stored_types::{
+    Storable, StoredOverride, StoredRoster, StoredSettings, StoredSlowStartUsage, all, bytes,
+};
+use topazsail_store::{Disk, LoadSummary, Store, Table};
 
 /// Items that may wait for the disk; beyond them nothing more is taken.
 const QUEUE: usize = 1024;
@@ -47,12 +49,12 @@
 /// What the last life has left.
 #[derive(Debug, Default)]
 pub struct Left {
-    pub found: Found,
+    pub found: LoadSummary,
     pub boot: Option<u64>,
-    pub list: Option<List>,
-    pub hands: Vec<(String, Hand)>,
-    pub spent: Option<Spent>,
-    pub settings: Option<Settings>,
+    pub list: Option<StoredRoster>,
+    pub hands: Vec<(String, StoredOverride)>,
+    pub spent: Option<StoredSlowStartUsage>,
+    pub settings: Option<StoredSettings>,
 }
 
 #[derive(Debug)]
@@ -114,16 +116,16 @@
         taken
     }
 
-    pub fn keep<T: Kept>(&mut self, key: &str, kept: Option<&T>) {
+    pub fn keep<T: Storable>(&mut self, key: &str, kept: Option<&T>) {
         let (key, value) = (key.to_owned(), kept.map(bytes));
-        self.ask(Ask::Put { table: T::TABLE, key, form: T::FORM, value });
+        self.ask(Ask::Put { table: T::TABLE, key, form: T::FORMAT, value });
     }
 
     /// The same, and a number under which it is told when this is on the disk.
-    pub fn keep_now<T: Kept>(&mut self, key: &str, kept: Option<&T>) -> u64 {
+    pub fn keep_now<T: Storable>(&mut self, key: &str, kept: Option<&T>) -> u64 {
         let (key, value) = (key.to_owned(), kept.map(bytes));
         self.tickets += 1;
-        let put = self.ask(Ask::Put { table: T::TABLE, key, form: T::FORM, value });
+        let put = self.ask(Ask::Put { table: T::TABLE, key, form: T::FORMAT, value });
         if !put || !self.ask(Ask::Sync(self.tickets)) {
             self.refused.push(self.tickets);
         }
@@ -207,7 +209,7 @@
                     Ask::Sync(ticket) => self.waiting.push(ticket),
                     Ask::Above(heard) => {
                         if let Some(store) = &mut self.store {
-                            let kept = store.above(heard).map_err(|stale| stale.to_string());
+                            let kept = store.raise_boot_above(heard).map_err(|stale| stale.to_string());
                             self.well = kept.is_ok();
                             let boot = store.boot();
                             self.tell(Told::Health(kept.map(|()| boot)));
@@ -303,13 +305,13 @@
                     let records = store.records();
                     let left = Left {
                         boot: store.boot(),
-                        list: all::<List>(records).pop().map(|(_, list, _)| list),
-                        hands: all::<Hand>(records)
+                        list: all::<StoredRoster>(records).pop().map(|(_, list, _)| list),
+                        hands: all::<StoredOverride>(records)
                             .into_iter()
                             .map(|(key, hand, _)| (key.to_owned(), hand))
                             .collect(),
-                        spent: all::<Spent>(records).pop().map(|(_, spent, _)| spent),
-                        settings: all::<Settings>(records).pop().map(|(_, settings, _)| settings),
+                        spent: all::<StoredSlowStartUsage>(records).pop().map(|(_, spent, _)| spent),
+                        settings: all::<StoredSettings>(records).pop().map(|(_, settings, _)| settings),
                         found,
                     };
                     self.store = Some(store);
--- a/node/src/lifecycle/store_thread/tests.rs
+++ b/node/src/lifecycle/store_thread/tests.rs
@@ -1,13 +1,13 @@
 use std::sync::{Arc, Mutex};
 
-use topazsail_store::{Faults, Faulty, Memory};
+use topazsail_store::{DiskFaults, FaultyDisk, MemoryDisk};
 
 use super::*;
 
-fn keeper(under: &Memory, faults: &Arc<Mutex<Faults>>) -> Keeper {
+fn keeper(under: &MemoryDisk, faults: &Arc<Mutex<DiskFaults>>) -> Keeper {
     let (under, faults) = (under.clone(), faults.clone());
     let disks: Disks =
-        Box::new(move || Ok(Box::new(Faulty::new(under.clone(), faults.clone(), 3)?) as Box<dyn Disk>));
+        Box::new(move || Ok(Box::new(FaultyDisk::new(under.clone(), faults.clone(), 3)?) as Box<dyn Disk>));
     Keeper::start(None, disks, "d0".to_owned(), 7, || ()).unwrap()
 }
 
@@ -16,8 +16,8 @@
     keeper.from.recv_timeout(Duration::from_secs(30)).unwrap()
 }
 
-fn out() -> Hand {
-    Hand { out_since: Some(5), ..Hand::default() }
+fn out() -> StoredOverride {
+    StoredOverride { out_since: Some(5), ..StoredOverride::default() }
 }
 
 #[test]
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_disk_that_fails_is_told_at_once_and_tried_again() {
-    let (under, faults): (Memory, Arc<Mutex<Faults>>) = Default::default();
+    let (under, faults): (MemoryDisk, Arc<Mutex<DiskFaults>>) = Default::default();
     let mut keeper = keeper(&under, &faults);
     next(&mut keeper);
     faults.lock().unwrap().full = true;
@@ -59,7 +59,7 @@
 
 #[test]
 fn an_open_that_finds_the_disk_full_still_says_what_is_on_it() {
-    let (under, faults): (Memory, Arc<Mutex<Faults>>) = Default::default();
+    let (under, faults): (MemoryDisk, Arc<Mutex<DiskFaults>>) = Default::default();
     let mut first = keeper(&under, &faults);
     next(&mut first);
     first.keep("r1", Some(&out()));
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -15,7 +15,7 @@
     Action, Arrival, Brain, Ending, Event, Id, Listing, Micros, Outcome, Readiness, Roster as List, Spent,
 };
 use topazsail_recovery::Stage;
-use topazsail_recovery::limits::Worth;
+use topazsail_recovery::limits::OperationValue;
 use topazsail_settings::Decoded;
 
 use crate::config::{self, Dispatcher};
@@ -124,9 +124,11 @@
     standing.operations = clients.operations.set(told.collect(), now);
 }
 
-fn worth(decoded: &Decoded) -> Vec<Worth> {
-    let of =
-        |op: &topazsail::Operation| Worth { value: op.billed_value, latency_objective: op.latency_objective };
+fn worth(decoded: &Decoded) -> Vec<OperationValue> {
+    let of = |op: &topazsail::Operation| OperationValue {
+        value: op.billed_value,
+        latency_objective: op.latency_objective,
+    };
     decoded.standing.operations.iter().map(of).collect()
 }
 
@@ -180,7 +182,7 @@
     tip_after: Micros,
     cold_from: f64,
     /// What each operation is worth, by its number.
-    worth: Vec<Worth>,
+    worth: Vec<OperationValue>,
     /// What outlives the process, where there is anything.
     keeping: Option<Keeping>,
     /// The other dispatchers, where they may talk.
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use topazsail::{Event, Listing, Micros};
-use topazsail_peers::{Action, Life, Peers, Told, Version};
+use topazsail_peers::{Action, PeerEvent, PeerState, Peers, Version};
 use topazsail_recovery as recovery;
 use topazsail_store::stored_types as store;
 
@@ -34,7 +34,7 @@
 
     fn alive(&self) -> usize {
         let lives = self.core.iter().flat_map(|core| core.lives());
-        lives.filter(|(_, life, _)| *life == Life::Alive).count()
+        lives.filter(|(_, life, _)| *life == PeerState::Alive).count()
     }
 
     pub fn status(&self) -> String {
@@ -71,7 +71,7 @@
         let now = wires.now();
         let Some(meeting) = &mut self.meeting else { return };
         let left = left.map(|left| left.hands.as_slice()).unwrap_or_default();
-        let of_left = |(runner, hand): &(String, store::Hand)| topazsail_peers::Hand {
+        let of_left = |(runner, hand): &(String, store::StoredOverride)| topazsail_peers::AdminOverride {
             runner: runner.clone(),
             // One that was said before there were peers is older than whatever they say.
             version: Version { count: hand.count.max(1), author: hand.author },
@@ -177,11 +177,11 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => wires.datagram(to, &bytes),
-                Action::Told(Told::Peer { name, life, boot }) => {
+                Action::PeerEvent(PeerEvent::Peer { name, life, boot }) => {
                     log!("peer", "name={name} life={} boot={boot}", life.code());
                 }
-                Action::Told(Told::Numbered(heard)) => self.number_taken(heard),
-                Action::Told(Told::Hand(hand)) => {
+                Action::PeerEvent(PeerEvent::Numbered(heard)) => self.number_taken(heard),
+                Action::PeerEvent(PeerEvent::AdminOverride(hand)) => {
                     self.hand_heard(&hand.runner, hand.out_since.is_some(), wires);
                 }
             }
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 
 use topazsail::{Event, Listing, Micros};
-use topazsail_recovery::limits::Limits;
-use topazsail_recovery::{self as recovery, Action, Belief, Known, Recovery, Source, Stage};
-use topazsail_store::stored_types::{Hand, List, Settings, Spent};
+use topazsail_recovery::limits::AdmissionLimits;
+use topazsail_recovery::{self as recovery, Action, KnownRoster, Recovery, Source, Stage, Trust};
+use topazsail_store::stored_types::{StoredOverride, StoredRoster, StoredSettings, StoredSlowStartUsage};
 
 use super::Desk;
 use crate::ingress::operators::Call;
@@ -48,7 +48,7 @@
     /// Without a store there is no service; and why there is none, then.
     require: bool,
     fatal: Option<String>,
-    limits: Limits,
+    limits: AdmissionLimits,
     /// Runners that the list to begin with had; and warmth as it was a moment ago.
     began_with: usize,
     warmth: (f64, Micros),
@@ -74,7 +74,7 @@
             armed: Micros::MIN,
             require,
             fatal: None,
-            limits: Limits::new(std::iter::empty(), now),
+            limits: AdmissionLimits::new(std::iter::empty(), now),
             began_with: 0,
             warmth: (0.0, Micros::MIN),
         }
@@ -253,23 +253,24 @@
         let discovery = self.roster.discovery().to_string();
         let stored = left.as_ref().and_then(|left| left.list.as_ref());
         let listed = stored.and_then(|list| Some((list, serde_json::from_str::<Listed>(&list.json).ok()?)));
-        let known = |discovery, listed: &Listed| Known {
+        let known = |discovery, listed: &Listed| KnownRoster {
             discovery,
             generation: listed.generation,
             runners: listed.len(),
         };
         let stored = listed.as_ref().map(|(list, listed)| known(list.discovery.as_str(), listed));
-        let (source, why) = recovery::list(stored, known(&discovery, &file));
+        let (source, why) = recovery::choose_roster(stored, known(&discovery, &file));
         log!("trusts", "item=list source={source:?} reason={why:?}");
         let chosen = match listed {
             Some((_, listed)) if source == Source::Store => listed,
             _ => file,
         };
         self.roster.begin(chosen.generation, self.roster.sure_at());
-        (keeping.began_with, keeping.limits) = (chosen.len(), Limits::new(self.worth.iter().copied(), now));
+        (keeping.began_with, keeping.limits) =
+            (chosen.len(), AdmissionLimits::new(self.worth.iter().copied(), now));
         let mut rest = 0;
         if let Some(left) = &left {
-            rest = recovery::rest(&left.found, self.tip_after);
+            rest = recovery::cold_runner_pause(&left.found, self.tip_after);
             self.take_hands(left, wires);
         }
         if rest > 0 {
@@ -283,8 +284,8 @@
             wires,
         );
         if let Some(left) = left {
-            let (belief, why) = recovery::spent(&left.found);
-            if let Some(spent) = left.spent.filter(|_| belief == Belief::Trusted) {
+            let (belief, why) = recovery::trust_slow_start_usage(&left.found);
+            if let Some(spent) = left.spent.filter(|_| belief == Trust::Trusted) {
                 log!("trusts", "item=spent belief=trusted reason={why:?} runners={}", spent.runners.len());
                 // It is told as how long before the life's end; that it is over for longer only helps.
                 let end = now - left.found.away;
@@ -298,7 +299,7 @@
 
     /// Who was out by hand is out, whatever else is in doubt.
     fn take_hands(&mut self, left: &Left, wires: &mut dyn Wires) {
-        let (belief, why) = recovery::hands(&left.found);
+        let (belief, why) = recovery::trust_admin_overrides(&left.found);
         let out = left.hands.iter().filter(|(_, hand)| hand.out_since.is_some()).count();
         log!("trusts", "item=hands belief={belief:?} out={out} reason={why:?}");
         for (id, hand) in &left.hands {
@@ -385,7 +386,7 @@
         let Some((generation, json)) = list else { return };
         let json = json.to_string();
         keeping.list_length = json.len();
-        keeping.keeper.keep("", Some(&List { discovery, generation, json }));
+        keeping.keeper.keep("", Some(&StoredRoster { discovery, generation, json }));
     }
 
     pub(super) fn keep_settings(&mut self) {
@@ -396,7 +397,7 @@
         if let Some(known) = known.filter(|known| known.version != version) {
             log!("trusts", "item=settings source=File reason=\"differs from {:016x} before\"", known.version);
         }
-        keeping.keeper.keep("", Some(&Settings { version, json: self.file.to_string() }));
+        keeping.keeper.keep("", Some(&StoredSettings { version, json: self.file.to_string() }));
     }
 
     fn keep_all(&mut self, wires: &mut dyn Wires) {
@@ -412,7 +413,7 @@
         let (out_since, was_out) = self.members.hand(id);
         let (count, author) = self.hand_version(id);
         let Some(keeping) = &mut self.keeping else { return };
-        let hand = Hand { out_since, was_out, count, author };
+        let hand = StoredOverride { out_since, was_out, count, author };
         match call {
             None => keeping.keeper.keep(id, Some(&hand)),
             Some(call) => {
@@ -458,7 +459,7 @@
         let Some(mut keeping) = self.keeping.take() else { return };
         let ago = |work: Vec<(Micros, f64)>| work.into_iter().map(|(at, w)| (now - at, w)).collect();
         let runners = spent.into_iter().map(|(id, work)| (id.to_string(), ago(work))).collect();
-        keeping.keeper.keep("", Some(&Spent { runners }));
+        keeping.keeper.keep("", Some(&StoredSlowStartUsage { runners }));
         let clean = keeping.keeper.finish(within);
         log!("store", "state=closed clean={clean}");
     }
--- a/peers/src/admin_overrides.rs
+++ b/peers/src/admin_overrides.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::mix;
-use crate::packet::Hand;
+use crate::packet::AdminOverride;
 
 /// Digests are kept for so many parts, by the hash of the runner's id.
 pub const BUCKETS: usize = 16;
@@ -26,8 +26,8 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Hands {
-    by_runner: BTreeMap<String, Hand>,
+pub struct AdminOverrides {
+    by_runner: BTreeMap<String, AdminOverride>,
     digest: [u32; BUCKETS],
 }
 
@@ -37,7 +37,7 @@
 
 /// Of one word, for the digest: all words of a part together, in any order. A checksum alone would not do: it is linear,
 /// so that words on `r-10` to `r-13` cancel out, and two sides that differ would never notice.
-fn mark(hand: &Hand) -> u32 {
+fn mark(hand: &AdminOverride) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(hand.runner.as_bytes());
     sum.update(&hand.version.count.to_le_bytes());
@@ -45,12 +45,12 @@
     mix(u64::from(sum.finalize())) as u32
 }
 
-impl Hands {
+impl AdminOverrides {
     pub fn digest(&self) -> [u32; BUCKETS] {
         self.digest
     }
 
-    pub fn get(&self, runner: &str) -> Option<&Hand> {
+    pub fn get(&self, runner: &str) -> Option<&AdminOverride> {
         self.by_runner.get(runner)
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Takes a word in, if it is newer than what is known; whether it was.
-    pub fn merge(&mut self, hand: Hand) -> bool {
+    pub fn merge(&mut self, hand: AdminOverride) -> bool {
         let known = self.by_runner.get(&hand.runner);
         if hand.runner.len() > ID_MOST || known.is_some_and(|known| known.version >= hand.version) {
             return false;
@@ -86,13 +86,13 @@
     }
 
     /// What is known in those parts whose digest is not `theirs`.
-    pub fn differing(&self, theirs: &[u32; BUCKETS]) -> impl Iterator<Item = &Hand> {
+    pub fn differing(&self, theirs: &[u32; BUCKETS]) -> impl Iterator<Item = &AdminOverride> {
         let differs: Vec<bool> =
             self.digest.iter().zip(theirs).map(|(ours, theirs)| ours != theirs).collect();
         self.by_runner.values().filter(move |hand| differs[bucket(&hand.runner)])
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Hand> {
+    pub fn all(&self) -> impl Iterator<Item = &AdminOverride> {
         self.by_runner.values()
     }
 }
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -9,10 +9,10 @@
 mod peers;
 pub mod slow_start;
 
-pub use admin_overrides::{Hands, Version};
-pub use packet::{Hand, PACKET_MOST};
-pub use peers::{Action, Counts, Life, Member, Peers, Told};
-pub use slow_start::Portion;
+pub use admin_overrides::{AdminOverrides, Version};
+pub use packet::{AdminOverride, PACKET_MOST};
+pub use peers::{Action, Member, PeerCounters, PeerEvent, PeerState, Peers};
+pub use slow_start::SlowStartShare;
 
 /// Whole microseconds: a moment of the caller's clock, or a span.
 pub type Micros = i64;
--- a/peers/src/packet.rs
+++ b/peers/src/packet.rs
@@ -14,12 +14,12 @@
 /// No datagram is larger: it passes every link whole.
 pub const PACKET_MOST: usize = 1_200;
 const MARK: [u8; 2] = *b"tp";
-pub const FORM: u8 = 2;
+pub const FORMAT: u8 = 2;
 const HEAD: usize = 7;
 
 /// What the hand has done to one runner, and how new that is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hand {
+pub struct AdminOverride {
     pub runner: String,
     pub version: Version,
     pub out_since: Option<Micros>,
@@ -38,7 +38,7 @@
 /// Probes carry the number that their answer repeats. One on somebody's behalf names whom that is for, by its place
 /// in the sorted names, and the number that it waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum Message {
     Probe {
         number: u64,
         behalf: Option<(u16, u64)>,
@@ -60,7 +60,7 @@
         number: u64,
         boot: u64,
     },
-    Hands(Vec<Hand>),
+    AdminOverrides(Vec<AdminOverride>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,12 +73,12 @@
     /// The newest life of the receiver that the sender has heard of: its number, its nonce.
     pub yours: (u64, u32),
     pub digest: Digest,
-    pub what: What,
+    pub what: Message,
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Bad {
+pub enum PacketError {
     TooLong,
     /// Not one of ours, cut short, or spoilt on its way.
     Garbage,
@@ -93,27 +93,27 @@
 pub fn seal(packet: &Packet) -> Vec<u8> {
     // Plain types only: there is nothing that could fail to be written.
     let body = postcard::to_stdvec(packet).unwrap_or_default();
-    let sealed = [&[FORM][..], &body].concat();
-    [&MARK[..], &[FORM], &sum(&sealed), &body].concat()
+    let sealed = [&[FORMAT][..], &body].concat();
+    [&MARK[..], &[FORMAT], &sum(&sealed), &body].concat()
 }
 
-pub fn open(bytes: &[u8]) -> Result<Packet, Bad> {
+pub fn open(bytes: &[u8]) -> Result<Packet, PacketError> {
     if bytes.len() > PACKET_MOST {
-        return Err(Bad::TooLong);
+        return Err(PacketError::TooLong);
     }
     if bytes.len() < HEAD || bytes[..2] != MARK {
-        return Err(Bad::Garbage);
+        return Err(PacketError::Garbage);
     }
     let (form, body) = (bytes[2], &bytes[HEAD..]);
     if sum(&[&[form][..], body].concat()) != bytes[3..HEAD] {
-        return Err(Bad::Garbage);
+        return Err(PacketError::Garbage);
     }
-    if form != FORM {
-        return Err(Bad::Form);
+    if form != FORMAT {
+        return Err(PacketError::Form);
     }
     match postcard::take_from_bytes(body) {
         Ok((packet, [])) => Ok(packet),
-        _ => Err(Bad::Garbage),
+        _ => Err(PacketError::Garbage),
     }
 }
 
--- a/peers/src/peers.rs
+++ b/peers/src/peers.rs
@@ -17,9 +17,9 @@
 use rand_pcg::Pcg32;
 
 use crate::Micros;
-use crate::admin_overrides::{Hands, Version};
-use crate::packet::{Bad, Digest, Hand, PACKET_MOST, Packet, What, open, seal};
-use crate::slow_start::{Account, Portion};
+use crate::admin_overrides::{AdminOverrides, Version};
+use crate::packet::{AdminOverride, Digest, Message, PACKET_MOST, Packet, PacketError, open, seal};
+use crate::slow_start::{SlowStartAllocator, SlowStartShare};
 
 /// From one round of probes to the next, and how many are probed at once in a large fleet.
 const ROUND: Micros = 200_000;
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum PeerState {
     /// Never heard in this life of ours.
     Unknown,
     Alive,
@@ -55,37 +55,37 @@
     Gone,
 }
 
-impl Life {
+impl PeerState {
     pub fn code(self) -> &'static str {
         match self {
-            Life::Unknown => "unknown",
-            Life::Alive => "alive",
-            Life::Suspected => "suspected",
-            Life::Gone => "gone",
+            PeerState::Unknown => "unknown",
+            PeerState::Alive => "alive",
+            PeerState::Suspected => "suspected",
+            PeerState::Gone => "gone",
         }
     }
 }
 
 /// What is new.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum PeerEvent {
     /// A peer's state has changed; with the number of its life.
-    Peer { name: String, life: Life, boot: u64 },
+    Peer { name: String, life: PeerState, boot: u64 },
     /// Somebody has heard of a life of ours with this number, which is not this one.
     Numbered(u64),
     /// A newer word on a runner.
-    Hand(Hand),
+    AdminOverride(AdminOverride),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     Send { to: SocketAddr, bytes: Vec<u8> },
-    Told(Told),
+    PeerEvent(PeerEvent),
 }
 
 /// Datagrams, by what became of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct PeerCounters {
     pub sent: u64,
     pub sent_bytes: u64,
     pub heard: u64,
@@ -107,7 +107,7 @@
 
 struct Peer {
     member: Member,
-    life: Life,
+    life: PeerState,
     /// The highest number of its lives, and which life that was.
     boot: u64,
     nonce: u32,
@@ -131,8 +131,8 @@
     /// All names in order, ours among them: places in packets.
     names: Vec<String>,
     by_address: BTreeMap<SocketAddr, usize>,
-    pub hands: Hands,
-    account: Account,
+    pub hands: AdminOverrides,
+    account: SlowStartAllocator,
     /// Whether cold runners are listed: promises are then asked for in time.
     cold: bool,
     began: Micros,
@@ -143,7 +143,7 @@
     /// Probes that were made for others: their number here, who asked, their number there.
     behalf: BTreeMap<u64, (usize, u64, usize)>,
     drawn: Pcg32,
-    pub counts: Counts,
+    pub counts: PeerCounters,
     actions: Vec<Action>,
 }
 
@@ -158,7 +158,7 @@
         let by_address = members.iter().enumerate().map(|(nth, member)| (member.address, nth)).collect();
         let peer = |member| Peer {
             member,
-            life: Life::Unknown,
+            life: PeerState::Unknown,
             boot: 0,
             nonce: 0,
             heard_at: now,
@@ -174,18 +174,18 @@
             nonce,
             stage: 0,
             peers: members.into_iter().map(peer).collect(),
-            account: Account::new(&names, name, now),
+            account: SlowStartAllocator::new(&names, name, now),
             cold: false,
             began: now,
             names,
             by_address,
-            hands: Hands::default(),
+            hands: AdminOverrides::default(),
             turn: Vec::new(),
             number: u64::from(nonce) << 20,
             round_at: now,
             behalf: BTreeMap::new(),
             drawn: Pcg32::seed_from_u64(seed),
-            counts: Counts::default(),
+            counts: PeerCounters::default(),
             actions: Vec::new(),
         }
     }
@@ -211,11 +211,12 @@
     /// All others, and how many of them have heard this life of ours and agree on who is out by hand.
     pub fn agree(&self) -> (usize, usize) {
         let ours = self.hands.digest();
-        let agrees = |peer: &&Peer| peer.life == Life::Alive && peer.knows_us && peer.digest.hands == ours;
+        let agrees =
+            |peer: &&Peer| peer.life == PeerState::Alive && peer.knows_us && peer.digest.hands == ours;
         (self.peers.len(), self.peers.iter().filter(agrees).count())
     }
 
-    pub fn lives(&self) -> impl Iterator<Item = (&str, Life, u64)> {
+    pub fn lives(&self) -> impl Iterator<Item = (&str, PeerState, u64)> {
         self.peers.iter().map(|peer| (peer.member.name.as_str(), peer.life, peer.boot))
     }
 
@@ -228,13 +229,13 @@
         now: Micros,
     ) -> (Version, Vec<Action>) {
         let version = self.hands.next(runner, self.author());
-        let hand = Hand { runner: runner.to_owned(), version, out_since, was_out };
+        let hand = AdminOverride { runner: runner.to_owned(), version, out_since, was_out };
         self.hands.merge(hand.clone());
         // At once to all who are there: rounds are for who was not.
         for nth in 0..self.peers.len() {
-            if matches!(self.peers[nth].life, Life::Alive | Life::Suspected) {
+            if matches!(self.peers[nth].life, PeerState::Alive | PeerState::Suspected) {
                 self.peers[nth].told_at = now;
-                self.send(nth, What::Hands(vec![hand.clone()]));
+                self.send(nth, Message::AdminOverrides(vec![hand.clone()]));
             }
         }
         (version, std::mem::take(&mut self.actions))
@@ -247,7 +248,7 @@
 
     /// A word that an earlier life has left, perhaps on a disk that opens late. Gives it back where it holds from now
     /// on: not where a newer one is known, nor where a call was made here since, which then counts above it.
-    pub fn remember(&mut self, hand: Hand) -> Option<Hand> {
+    pub fn remember(&mut self, hand: AdminOverride) -> Option<AdminOverride> {
         let own = self.author();
         let known = self.hands.get(&hand.runner).filter(|known| known.version.author == own).cloned();
         if !self.hands.merge(hand.clone()) {
@@ -255,7 +256,7 @@
         }
         let Some(called) = known else { return Some(hand) };
         let version = self.hands.next(&called.runner, own);
-        self.hands.merge(Hand { version, ..called });
+        self.hands.merge(AdminOverride { version, ..called });
         None
     }
 
@@ -266,7 +267,7 @@
 
     /// Which portions of these cold runners' budgets are this dispatcher's own, in the same order: to be asked for
     /// in each round, and to hold from when they are told.
-    pub fn portions<'a>(&mut self, cold: impl Iterator<Item = &'a str>, now: Micros) -> Vec<Portion> {
+    pub fn portions<'a>(&mut self, cold: impl Iterator<Item = &'a str>, now: Micros) -> Vec<SlowStartShare> {
         let portions = self.account.portions(cold, now);
         self.cold = !portions.is_empty();
         portions
@@ -275,18 +276,19 @@
     /// Whether fewer than half of the others are heard.
     fn alone(&self, now: Micros) -> bool {
         let starting = now < self.began + ALONE_AFTER;
-        let heard = |peer: &&Peer| peer.life == Life::Alive || starting && peer.life == Life::Unknown;
+        let heard =
+            |peer: &&Peer| peer.life == PeerState::Alive || starting && peer.life == PeerState::Unknown;
         self.peers.iter().filter(heard).count() * 2 < self.peers.len()
     }
 
-    fn packet(&self, nth: usize, what: What) -> Packet {
+    fn packet(&self, nth: usize, what: Message) -> Packet {
         let digest = Digest { stage: self.stage, hands: self.hands.digest() };
         let peer = &self.peers[nth];
         let yours = (peer.boot, peer.nonce);
         Packet { from: self.name.clone(), boot: self.boot, nonce: self.nonce, yours, digest, what }
     }
 
-    fn send(&mut self, nth: usize, what: What) {
+    fn send(&mut self, nth: usize, what: Message) {
         let bytes = seal(&self.packet(nth, what));
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
@@ -335,7 +337,7 @@
         }
         // At the start all are asked, not one after the other.
         for nth in 0..self.peers.len() {
-            if self.peers[nth].life == Life::Unknown && self.peers[nth].probe.is_none() {
+            if self.peers[nth].life == PeerState::Unknown && self.peers[nth].probe.is_none() {
                 self.probe(nth, now);
             }
         }
@@ -349,42 +351,43 @@
         self.number += 1;
         let number = self.number;
         self.peers[nth].probe = Some(Probe { number, at: now, asked: false });
-        self.send(nth, What::Probe { number, behalf: None });
+        self.send(nth, Message::Probe { number, behalf: None });
     }
 
     /// What a probe without an answer says by now.
     fn look(&mut self, nth: usize, now: Micros) {
         let peer = &self.peers[nth];
-        if peer.life == Life::Suspected && now >= peer.heard_at + GONE_AFTER {
-            self.becomes(nth, Life::Gone);
+        if peer.life == PeerState::Suspected && now >= peer.heard_at + GONE_AFTER {
+            self.becomes(nth, PeerState::Gone);
         }
         let Some(probe) = self.peers[nth].probe else { return };
         let waited = now - probe.at;
         if waited >= ANSWER_WITHIN && !probe.asked {
             self.peers[nth].probe = Some(Probe { asked: true, ..probe });
-            let mut others: Vec<usize> =
-                (0..self.peers.len()).filter(|o| *o != nth && self.peers[*o].life == Life::Alive).collect();
+            let mut others: Vec<usize> = (0..self.peers.len())
+                .filter(|o| *o != nth && self.peers[*o].life == PeerState::Alive)
+                .collect();
             let most = THROUGH.min(others.len());
             let (target, number) = (self.place(nth), probe.number);
             let (chosen, _) = others.partial_shuffle(&mut self.drawn, most);
             for other in chosen.iter().copied() {
-                self.send(other, What::Ask { target, number });
+                self.send(other, Message::Ask { target, number });
             }
         }
         if waited >= ANSWER_WITHIN + THROUGH_WITHIN {
             self.peers[nth].probe = None;
             // Heard meanwhile: it is there, whatever becomes of what is sent to it.
-            if self.peers[nth].heard_at < probe.at && self.peers[nth].life == Life::Alive {
-                self.becomes(nth, Life::Suspected);
+            if self.peers[nth].heard_at < probe.at && self.peers[nth].life == PeerState::Alive {
+                self.becomes(nth, PeerState::Suspected);
             }
         }
     }
 
-    fn becomes(&mut self, nth: usize, life: Life) {
+    fn becomes(&mut self, nth: usize, life: PeerState) {
         let peer = &mut self.peers[nth];
         if std::mem::replace(&mut peer.life, life) != life {
-            let told = Told::Peer { name: peer.member.name.clone(), life, boot: peer.boot };
-            self.actions.push(Action::Told(told));
+            let told = PeerEvent::Peer { name: peer.member.name.clone(), life, boot: peer.boot };
+            self.actions.push(Action::PeerEvent(told));
         }
     }
 
@@ -396,7 +399,7 @@
         };
         let packet = match open(bytes) {
             Ok(packet) => packet,
-            Err(Bad::TooLong | Bad::Garbage | Bad::Form) => {
+            Err(PacketError::TooLong | PacketError::Garbage | PacketError::Form) => {
                 self.counts.bad += 1;
                 return Vec::new();
             }
@@ -418,52 +421,52 @@
         if !newer && theirs != known {
             // Of an earlier life, or of another one with a number that is taken: it is told so, and not believed.
             self.counts.old += 1;
-            if let What::Probe { number, behalf } = packet.what {
-                self.send(nth, What::Answer { number, behalf, promise: None });
+            if let Message::Probe { number, behalf } = packet.what {
+                self.send(nth, Message::Answer { number, behalf, promise: None });
             }
             return;
         }
         if newer && theirs != known {
             (peer.boot, peer.nonce, peer.knows_us) = (packet.boot, packet.nonce, false);
             // Told anew, also where it was alive before: it is another life.
-            peer.life = Life::Unknown;
+            peer.life = PeerState::Unknown;
         }
         peer.heard_at = now;
         peer.digest = packet.digest;
         let (yours, nonce) = packet.yours;
         if yours > self.boot || yours == self.boot && yours > 0 && nonce != self.nonce {
-            self.actions.push(Action::Told(Told::Numbered(yours)));
+            self.actions.push(Action::PeerEvent(PeerEvent::Numbered(yours)));
         }
         peer.knows_us |= (yours > 0 || self.boot == 0) && nonce == self.nonce;
-        self.becomes(nth, Life::Alive);
+        self.becomes(nth, PeerState::Alive);
         match packet.what {
-            What::Probe { number, behalf } => {
+            Message::Probe { number, behalf } => {
                 let alone = self.alone(now);
                 let promise = behalf.is_none() && self.account.promise(alone, now);
                 let promise = Some(self.account.list).filter(|_| promise);
-                self.send(nth, What::Answer { number, behalf, promise });
+                self.send(nth, Message::Answer { number, behalf, promise });
             }
-            What::Answer { number, behalf: None, promise } => {
+            Message::Answer { number, behalf: None, promise } => {
                 if let Some(probe) = self.peers[nth].probe.take_if(|probe| probe.number == number)
                     && promise == Some(self.account.list)
                 {
                     self.account.promised(usize::from(self.place(nth)), probe.at);
                 }
             }
-            What::Answer { number, behalf: Some(_), .. } => {
+            Message::Answer { number, behalf: Some(_), .. } => {
                 if let Some((asker, theirs, target)) = self.behalf.remove(&number)
                     && target == nth
                 {
                     let (target, boot) = (self.place(nth), self.peers[nth].boot);
-                    self.send(asker, What::Through { target, number: theirs, boot });
+                    self.send(asker, Message::Through { target, number: theirs, boot });
                 }
             }
-            What::Ask { target, number } => self.ask(nth, target, number),
-            What::Through { target, number, boot } => self.through(target, number, boot, now),
-            What::Hands(hands) => {
+            Message::Ask { target, number } => self.ask(nth, target, number),
+            Message::Through { target, number, boot } => self.through(target, number, boot, now),
+            Message::AdminOverrides(hands) => {
                 for hand in hands {
                     if self.hands.merge(hand.clone()) {
-                        self.actions.push(Action::Told(Told::Hand(hand)));
+                        self.actions.push(Action::PeerEvent(PeerEvent::AdminOverride(hand)));
                     }
                 }
             }
@@ -481,7 +484,7 @@
         self.behalf.insert(self.number, (asker, theirs, target));
         let behalf = Some((self.place(asker), theirs));
         let number = self.number;
-        self.send(target, What::Probe { number, behalf });
+        self.send(target, Message::Probe { number, behalf });
     }
 
     /// A peer whose link to us is cut has answered somebody else.
@@ -491,7 +494,7 @@
         if peer.probe.is_some_and(|probe| probe.number == number) && boot >= peer.boot {
             peer.probe = None;
             peer.heard_at = now;
-            self.becomes(nth, Life::Alive);
+            self.becomes(nth, PeerState::Alive);
         }
     }
 
@@ -502,11 +505,11 @@
             return;
         }
         self.peers[nth].told_at = now;
-        let mut hands: Vec<Hand> = self.hands.differing(&theirs).cloned().collect();
+        let mut hands: Vec<AdminOverride> = self.hands.differing(&theirs).cloned().collect();
         // Where there are too many, on from where the last time ended.
         let from = hands.partition_point(|hand| hand.runner <= self.peers[nth].told_last);
         hands.rotate_left(from);
-        let bare = seal(&self.packet(nth, What::Hands(Vec::new()))).len();
+        let bare = seal(&self.packet(nth, Message::AdminOverrides(Vec::new()))).len();
         let mut hands = hands.into_iter().peekable();
         for _ in 0..TELL_MOST {
             let (mut some, mut length) = (Vec::new(), bare + 8);
@@ -521,7 +524,7 @@
             if some.is_empty() {
                 return;
             }
-            self.send(nth, What::Hands(some));
+            self.send(nth, Message::AdminOverrides(some));
         }
     }
 }
--- a/peers/src/peers/tests.rs
+++ b/peers/src/peers/tests.rs
@@ -20,7 +20,7 @@
     loss: u32,
     doubled: u32,
     cut: Vec<(usize, usize)>,
-    told: Vec<(usize, Told)>,
+    told: Vec<(usize, PeerEvent)>,
     spenders: Vec<Spender>,
 }
 
@@ -30,7 +30,7 @@
     /// Its own clock: so far ahead, and so many parts in a thousand faster.
     ahead: Micros,
     faster: Micros,
-    portion: Option<Portion>,
+    portion: Option<SlowStartShare>,
     /// By the true clock, and by its own.
     sent: Vec<(Micros, Micros, f64)>,
     rests_until: Micros,
@@ -146,7 +146,7 @@
     fn act(&mut self, nth: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Told(told) => self.told.push((nth, told)),
+                Action::PeerEvent(told) => self.told.push((nth, told)),
                 Action::Send { to, bytes } => {
                     assert!(bytes.len() <= PACKET_MOST, "{}", bytes.len());
                     let to = usize::from(to.port() - 7_000);
@@ -223,7 +223,7 @@
         Some(self.cores[nth].as_ref()?.hands.get(runner)?.out_since.is_some())
     }
 
-    fn life(&self, at: usize, of: usize) -> Life {
+    fn life(&self, at: usize, of: usize) -> PeerState {
         let core = self.cores[at].as_ref().unwrap();
         core.lives().find(|(known, ..)| *known == name(of)).unwrap().1
     }
@@ -244,7 +244,10 @@
     net.run(50_000);
     assert!((0..9).all(|nth| net.out(nth, "r1") == Some(false)));
     assert_eq!(
-        net.told.iter().filter(|(_, told)| matches!(told, Told::Peer { life: Life::Suspected, .. })).count(),
+        net.told
+            .iter()
+            .filter(|(_, told)| matches!(told, PeerEvent::Peer { life: PeerState::Suspected, .. }))
+            .count(),
         0
     );
 }
@@ -257,7 +260,7 @@
         (0..2).flat_map(|a| (2..5).flat_map(move |b| [(a, b), (b, a)])).collect();
     net.cut = sides;
     net.run(3_000_000);
-    assert!((0..2).all(|a| (2..5).all(|b| net.life(a, b) != Life::Alive)));
+    assert!((0..2).all(|a| (2..5).all(|b| net.life(a, b) != PeerState::Alive)));
     net.call(0, "r1", true);
     net.call(4, "r1", false);
     net.call(4, "r2", true);
@@ -277,19 +280,19 @@
     // d0 and d1 do not hear each other, all others hear both.
     net.cut = vec![(0, 1), (1, 0)];
     net.run(20_000_000);
-    assert_eq!((net.life(0, 1), net.life(1, 0)), (Life::Alive, Life::Alive));
+    assert_eq!((net.life(0, 1), net.life(1, 0)), (PeerState::Alive, PeerState::Alive));
     // One way: who is heard is there, whatever becomes of what is sent to it.
     net.cut = (1..6).map(|to| (0, to)).collect();
     net.run(4_000_000);
-    assert_eq!((net.life(0, 2), net.life(2, 0)), (Life::Alive, Life::Suspected));
+    assert_eq!((net.life(0, 2), net.life(2, 0)), (PeerState::Alive, PeerState::Suspected));
     net.cut.clear();
     net.run(3_000_000);
-    assert_eq!(net.life(2, 0), Life::Alive);
+    assert_eq!(net.life(2, 0), PeerState::Alive);
     net.cores[5] = None;
     net.run(4_000_000);
-    assert!((0..5).all(|nth| net.life(nth, 5) == Life::Suspected));
+    assert!((0..5).all(|nth| net.life(nth, 5) == PeerState::Suspected));
     net.run(8_000_000);
-    assert!((0..5).all(|nth| net.life(nth, 5) == Life::Gone));
+    assert!((0..5).all(|nth| net.life(nth, 5) == PeerState::Gone));
 }
 
 #[test]
@@ -302,9 +305,9 @@
         net.call(2, "r9", true);
         net.told.clear();
         net.run(600_000);
-        let numbered: Vec<&Told> =
+        let numbered: Vec<&PeerEvent> =
             net.told.iter().filter(|(nth, _)| *nth == 2).map(|(_, told)| told).collect();
-        assert!(numbered.contains(&&Told::Numbered(7)), "{boot}: {numbered:?}");
+        assert!(numbered.contains(&&PeerEvent::Numbered(7)), "{boot}: {numbered:?}");
         assert!([0, 1, 3].iter().all(|nth| net.out(*nth, "r9").is_none()));
     }
     net.core(2).numbered(8);
@@ -320,7 +323,7 @@
     // What d1 had sent in its first life comes only now.
     let late = seal(&net.core(1).packet(
         0,
-        What::Hands(vec![Hand {
+        Message::AdminOverrides(vec![AdminOverride {
             runner: "r1".into(),
             version: Version { count: 1, author: 1 },
             out_since: Some(1),
@@ -357,7 +360,7 @@
             let known = (0..20).filter(|r| net.out(nth, &format!("r{r}")) == Some(true)).count();
             assert_eq!(known, 20, "loss {loss}, d{nth}");
         }
-        let suspected = |told: &Told| matches!(told, Told::Peer { life: Life::Suspected, .. });
+        let suspected = |told: &PeerEvent| matches!(told, PeerEvent::Peer { life: PeerState::Suspected, .. });
         let count = net.told.iter().filter(|(_, told)| suspected(told)).count();
         assert!(count <= suspected_most, "loss {loss}: {count} suspicions");
     }
@@ -461,7 +464,8 @@
     net.call(0, "r1", false);
     net.run(50_000);
     let version = Version { count: 3, author: 9 };
-    let left = |runner: &str| Hand { runner: runner.into(), version, out_since: Some(5), was_out: None };
+    let left =
+        |runner: &str| AdminOverride { runner: runner.into(), version, out_since: Some(5), was_out: None };
     assert_eq!(net.core(0).remember(left("r1")), None);
     assert_eq!(net.core(0).remember(left("r2")), Some(left("r2")));
     assert_eq!(net.core(0).remember(left("r2")), None);
--- a/peers/src/slow_start.rs
+++ b/peers/src/slow_start.rs
@@ -31,12 +31,12 @@
 
 /// What one dispatcher may send a cold runner: this share of its budget until then, an even share afterwards.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Portion {
+pub struct SlowStartShare {
     pub share: f64,
     pub until: Micros,
 }
 
-pub struct Account {
+pub struct SlowStartAllocator {
     /// All dispatchers by their names' hashes, in the order of names; which of them is this one.
     hashes: Vec<u64>,
     own: usize,
@@ -61,11 +61,11 @@
     mix(u64::from(crc32fast::hash(bytes)) << 32 | bytes.len() as u64)
 }
 
-impl Account {
+impl SlowStartAllocator {
     /// `names` in order. A life that begins holds to whatever an earlier one may have promised.
-    pub fn new(names: &[String], own: &str, now: Micros) -> Account {
+    pub fn new(names: &[String], own: &str, now: Micros) -> SlowStartAllocator {
         let own = names.binary_search_by(|name| name.as_str().cmp(own)).unwrap_or(0);
-        let mut account = Account {
+        let mut account = SlowStartAllocator {
             hashes: names.iter().map(|name| hash(name)).collect(),
             own,
             list: crc32fast::hash(names.join("\n").as_bytes()),
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether an answer that leaves now may promise to send nothing to others' runners, for [`Account::span`].
+    /// Whether an answer that leaves now may promise to send nothing to others' runners, for [`SlowStartAllocator::span`].
     pub fn promise(&mut self, alone: bool, now: Micros) -> bool {
         let gives = !alone && now <= self.holds_until && now >= self.gives_from;
         if gives {
@@ -137,17 +137,21 @@
     }
 
     /// What this dispatcher may send each of these runners, in the same order.
-    pub fn portions<'a>(&mut self, runners: impl Iterator<Item = &'a str>, now: Micros) -> Vec<Portion> {
+    pub fn portions<'a>(
+        &mut self,
+        runners: impl Iterator<Item = &'a str>,
+        now: Micros,
+    ) -> Vec<SlowStartShare> {
         let all = (0..self.promised.len()).filter(|place| self.gives(*place, now)).count();
         let portion = |runner: &str| {
             let owners = self.owners_of(runner);
             if !owners.contains(&(self.own as u16)) {
                 // A promise may have been made since, and the next round not come.
-                return Portion { share: 0.0, until: self.holds_until + TOLD_FOR };
+                return SlowStartShare { share: 0.0, until: self.holds_until + TOLD_FOR };
             }
             let givers = all - owners.iter().filter(|place| self.gives(usize::from(**place), now)).count();
             let shares = 1.0 + givers as f64 / owners.len() as f64;
-            Portion { share: shares / self.counted as f64, until: now + TOLD_FOR }
+            SlowStartShare { share: shares / self.counted as f64, until: now + TOLD_FOR }
         };
         runners.map(portion).collect()
     }
--- a/peers/src/slow_start/tests.rs
+++ b/peers/src/slow_start/tests.rs
@@ -6,16 +6,16 @@
     (0..all).map(|nth| format!("d{nth:03}")).collect()
 }
 
-fn account(nth: usize, all: usize, now: Micros) -> Account {
+fn account(nth: usize, all: usize, now: Micros) -> SlowStartAllocator {
     let names = names(all);
-    let mut account = Account::new(&names, &names[nth], now);
+    let mut account = SlowStartAllocator::new(&names, &names[nth], now);
     account.settings(all, 2_000_000);
     account
 }
 
 #[test]
 fn all_find_the_same_owners_and_few_own_much() {
-    let mut all: Vec<Account> = (0..9).map(|nth| account(nth, 9, 0)).collect();
+    let mut all: Vec<SlowStartAllocator> = (0..9).map(|nth| account(nth, 9, 0)).collect();
     let mut owned = [0; 9];
     for r in 0..200 {
         let owners = all[0].owners_of(&format!("r{r}"));
@@ -29,10 +29,10 @@
 #[test]
 fn whoever_begins_holds_and_owners_have_what_others_promise() {
     let now = 100_000_000;
-    let mut all: Vec<Account> = (0..9).map(|nth| account(nth, 9, now)).collect();
+    let mut all: Vec<SlowStartAllocator> = (0..9).map(|nth| account(nth, 9, now)).collect();
     let owners = all[0].owners_of("r1");
     let owner = usize::from(owners[0]);
-    let share = |account: &mut Account, now| account.portions(["r1"].into_iter(), now)[0];
+    let share = |account: &mut SlowStartAllocator, now| account.portions(["r1"].into_iter(), now)[0];
     assert_eq!(share(&mut all[owner], now).share, 1.0 / 9.0);
     let other = (0..9).find(|nth| !owners.contains(&(*nth as u16))).unwrap();
     let held = share(&mut all[other], now);
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub mod limits;
 
-use topazsail_store::{Doubt, Found, Micros};
+use topazsail_store::{IntegrityWarning, LoadSummary, Micros};
 
 /// From the process's start until the store must have been read: a disk that hangs keeps nobody from serving.
 pub const FOUND_WITHIN: Micros = 5_000_000;
@@ -50,7 +50,7 @@
 
 /// How far an item is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
+pub enum Trust {
     /// As if it had just been said.
     Trusted,
     /// For want of better: whoever says otherwise goes first.
@@ -68,7 +68,7 @@
 
 /// A list that is at hand before discovery has been heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known<'a> {
+pub struct KnownRoster<'a> {
     pub discovery: &'a str,
     pub generation: u64,
     pub runners: usize,
@@ -76,7 +76,7 @@
 
 /// Which list to begin with. Generations are one discovery's own: a list of another one says nothing here, however
 /// high its number. Of two of the same the newer one is taken, and none that is empty where the other is not.
-pub fn list(stored: Option<Known>, file: Known) -> (Source, &'static str) {
+pub fn choose_roster(stored: Option<KnownRoster>, file: KnownRoster) -> (Source, &'static str) {
     match stored {
         None => (Source::File, "the store has none"),
         Some(stored) if stored.discovery != file.discovery => {
@@ -91,28 +91,28 @@
 }
 
 /// What the last life sent to cold runners: exact only where that life ended as it should.
-pub fn spent(found: &Found) -> (Belief, &'static str) {
+pub fn trust_slow_start_usage(found: &LoadSummary) -> (Trust, &'static str) {
     if found.fresh {
-        (Belief::Dropped, "there was no last life")
+        (Trust::Dropped, "there was no last life")
     } else if found.clean {
-        (Belief::Trusted, "the last life ended as it should")
+        (Trust::Trusted, "the last life ended as it should")
     } else {
-        (Belief::Dropped, "the last life was cut short")
+        (Trust::Dropped, "the last life was cut short")
     }
 }
 
 /// Who is out by hand: a ban that was said yes to holds whatever else is in doubt.
-pub fn hands(found: &Found) -> (Belief, &'static str) {
-    if found.doubts.iter().any(|doubt| !matches!(doubt, Doubt::Clock { .. })) {
-        (Belief::Doubted, "the store is spoilt: one may be missing")
+pub fn trust_admin_overrides(found: &LoadSummary) -> (Trust, &'static str) {
+    if found.doubts.iter().any(|doubt| !matches!(doubt, IntegrityWarning::Clock { .. })) {
+        (Trust::Doubted, "the store is spoilt: one may be missing")
     } else {
-        (Belief::Trusted, "as said yes to")
+        (Trust::Trusted, "as said yes to")
     }
 }
 
 /// For how long cold runners must rest that were there in the last life: what it sent them at its very end may still
 /// count, and how long that has been over is known only as far as the machine tells.
-pub fn rest(found: &Found, tip_after: Micros) -> Micros {
+pub fn cold_runner_pause(found: &LoadSummary, tip_after: Micros) -> Micros {
     if found.fresh || found.clean { 0 } else { (tip_after - found.away).max(0) }
 }
 
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// The store has been read; this life's number, if it is on the disk.
-    Opened { found: &'a Found, boot: Option<u64> },
+    Opened { found: &'a LoadSummary, boot: Option<u64> },
     /// There is no store to be had.
     Unopened { why: &'a str },
     /// Of so many others, so many have answered this life and agree on who is out by hand.
@@ -194,7 +194,7 @@
         let mut actions = Vec::new();
         match event {
             Event::Opened { found, boot } if self.stage == Stage::Finding => {
-                let doubts: Vec<String> = found.doubts.iter().map(Doubt::to_string).collect();
+                let doubts: Vec<String> = found.doubts.iter().map(IntegrityWarning::to_string).collect();
                 let store = match (found.fresh, found.clean, doubts.is_empty()) {
                     (true, ..) => "new".to_owned(),
                     (_, true, _) => "clean".to_owned(),
--- a/recovery/src/limits.rs
+++ b/recovery/src/limits.rs
@@ -30,7 +30,7 @@
 
 /// What settings say of one operation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Worth {
+pub struct OperationValue {
     pub value: f64,
     pub latency_objective: Micros,
 }
@@ -43,21 +43,25 @@
 }
 
 /// One dispatcher's view; draws are handed in.
-pub struct Limits {
+pub struct AdmissionLimits {
     operations: Vec<Operation>,
     /// Which share of the work is taken, as of when.
     level: (f64, Micros),
     decayed_at: Micros,
 }
 
-impl Limits {
-    pub fn new(operations: impl Iterator<Item = Worth>, now: Micros) -> Limits {
-        let operation = |worth: Worth| Operation {
+impl AdmissionLimits {
+    pub fn new(operations: impl Iterator<Item = OperationValue>, now: Micros) -> AdmissionLimits {
+        let operation = |worth: OperationValue| Operation {
             value: worth.value,
             takes: worth.latency_objective.max(1) as f64,
             arrivals: 0.0,
         };
-        Limits { operations: operations.map(operation).collect(), level: (1.0, now), decayed_at: now }
+        AdmissionLimits {
+            operations: operations.map(operation).collect(),
+            level: (1.0, now),
+            decayed_at: now,
+        }
     }
 
     /// The share of all work that is taken now.
--- a/recovery/src/limits/tests.rs
+++ b/recovery/src/limits/tests.rs
@@ -1,8 +1,11 @@
 use super::*;
 
-fn limits() -> Limits {
+fn limits() -> AdmissionLimits {
     let worth = [(8.0, 400_000), (2.0, 600_000), (2.0, 1_500_000)];
-    Limits::new(worth.map(|(value, latency_objective)| Worth { value, latency_objective }).into_iter(), 0)
+    AdmissionLimits::new(
+        worth.map(|(value, latency_objective)| OperationValue { value, latency_objective }).into_iter(),
+        0,
+    )
 }
 
 #[test]
--- a/recovery/src/tests.rs
+++ b/recovery/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn found() -> Found {
-    Found { boot: 4, ..Found::default() }
+fn found() -> LoadSummary {
+    LoadSummary { boot: 4, ..LoadSummary::default() }
 }
 
 fn stages(actions: &[Action]) -> Vec<&'static str> {
@@ -70,24 +70,34 @@
 
 #[test]
 fn which_list_comes_first() {
-    let known = |discovery, generation, runners| Known { discovery, generation, runners };
+    let known = |discovery, generation, runners| KnownRoster { discovery, generation, runners };
     let file = known("a", 5, 3);
-    assert_eq!(list(None, file).0, Source::File);
-    assert_eq!(list(Some(known("b", 9, 3)), file).0, Source::File);
-    assert_eq!(list(Some(known("a", 9, 3)), file).0, Source::Store);
-    assert_eq!(list(Some(known("a", 5, 3)), file).0, Source::File);
-    assert_eq!(list(Some(known("a", 9, 0)), file).0, Source::File);
-    assert_eq!(list(Some(known("a", 0, 2)), known("a", 0, 0)).0, Source::Store);
+    assert_eq!(choose_roster(None, file).0, Source::File);
+    assert_eq!(choose_roster(Some(known("b", 9, 3)), file).0, Source::File);
+    assert_eq!(choose_roster(Some(known("a", 9, 3)), file).0, Source::Store);
+    assert_eq!(choose_roster(Some(known("a", 5, 3)), file).0, Source::File);
+    assert_eq!(choose_roster(Some(known("a", 9, 0)), file).0, Source::File);
+    assert_eq!(choose_roster(Some(known("a", 0, 2)), known("a", 0, 0)).0, Source::Store);
 }
 
 #[test]
 fn a_life_that_was_cut_short_may_have_spent_until_its_end() {
-    let cut = Found { away: 500_000, ..found() };
-    assert_eq!(rest(&cut, 2_000_000), 1_500_000);
-    assert_eq!(rest(&Found { away: 3_000_000, ..found() }, 2_000_000), 0);
-    assert_eq!(rest(&Found { clean: true, ..found() }, 2_000_000), 0);
-    assert_eq!(rest(&Found { fresh: true, ..found() }, 2_000_000), 0);
-    assert_eq!(spent(&cut).0, Belief::Dropped);
-    assert_eq!(hands(&Found { doubts: vec![Doubt::Holes(1)], ..found() }).0, Belief::Doubted);
-    assert_eq!(hands(&Found { doubts: vec![Doubt::Clock { behind: 1 }], ..found() }).0, Belief::Trusted);
+    let cut = LoadSummary { away: 500_000, ..found() };
+    assert_eq!(cold_runner_pause(&cut, 2_000_000), 1_500_000);
+    assert_eq!(cold_runner_pause(&LoadSummary { away: 3_000_000, ..found() }, 2_000_000), 0);
+    assert_eq!(cold_runner_pause(&LoadSummary { clean: true, ..found() }, 2_000_000), 0);
+    assert_eq!(cold_runner_pause(&LoadSummary { fresh: true, ..found() }, 2_000_000), 0);
+    assert_eq!(trust_slow_start_usage(&cut).0, Trust::Dropped);
+    assert_eq!(
+        trust_admin_overrides(&LoadSummary { doubts: vec![IntegrityWarning::Holes(1)], ..found() }).0,
+        Trust::Doubted
+    );
+    assert_eq!(
+        trust_admin_overrides(&LoadSummary {
+            doubts: vec![IntegrityWarning::Clock { behind: 1 }],
+            ..found()
+        })
+        .0,
+        Trust::Trusted
+    );
 }
--- a/store/examples/stores.rs
+++ b/store/examples/stores.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use topazsail_store::stored_types::Hand;
-use topazsail_store::{Folder, Store, Table};
+use topazsail_store::stored_types::StoredOverride;
+use topazsail_store::{DirectoryDisk, Store, Table};
 
 const RUNNERS: usize = 10_000;
 const SYNCS: usize = 200;
@@ -34,7 +34,8 @@
 
 fn ours(folder: &Path) -> Result<(), Box<dyn std::error::Error>> {
     std::fs::create_dir_all(folder)?;
-    let open = || Store::open(Box::new(Folder::new(folder)), "d0", 1, 1).map_err(|error| error.to_string());
+    let open =
+        || Store::open(Box::new(DirectoryDisk::new(folder)), "d0", 1, 1).map_err(|error| error.to_string());
     let (mut store, _) = open()?;
     for nth in 0..RUNNERS {
         store.put(Table(40), &format!("r{nth}"), 1, Some(entry(nth)), 1);
@@ -43,7 +44,11 @@
     let mut times = Vec::new();
     for nth in 0..SYNCS {
         let began = Instant::now();
-        store.keep("r7", Some(&Hand { out_since: Some(nth as i64), ..Hand::default() }), 1);
+        store.put_typed(
+            "r7",
+            Some(&StoredOverride { out_since: Some(nth as i64), ..StoredOverride::default() }),
+            1,
+        );
         store.sync()?;
         times.push(began.elapsed());
     }
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -56,16 +56,16 @@
 }
 
 /// A real folder.
-pub struct Folder {
+pub struct DirectoryDisk {
     path: PathBuf,
     lock: Option<File>,
     /// The file that was written last stays open.
     open: Option<(String, File)>,
 }
 
-impl Folder {
-    pub fn new(path: &Path) -> Folder {
-        Folder { path: path.to_owned(), lock: None, open: None }
+impl DirectoryDisk {
+    pub fn new(path: &Path) -> DirectoryDisk {
+        DirectoryDisk { path: path.to_owned(), lock: None, open: None }
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
@@ -79,7 +79,7 @@
 
 const LOCK: &str = "lock";
 
-impl Disk for Folder {
+impl Disk for DirectoryDisk {
     fn list(&mut self) -> io::Result<Vec<String>> {
         let names = fs::read_dir(&self.path)?.map(|entry| Ok(entry?.file_name().into_string().ok()));
         let names: io::Result<Vec<Option<String>>> = names.collect();
@@ -140,15 +140,15 @@
     }
 }
 
-/// A folder in memory that never fails and loses nothing: what lies below [`crate::Faulty`] in tests and in virtual
+/// A folder in memory that never fails and loses nothing: what lies below [`crate::FaultyDisk`] in tests and in virtual
 /// time. Clones are the same folder.
 #[derive(Clone, Default)]
-pub struct Memory {
+pub struct MemoryDisk {
     files: Arc<Mutex<BTreeMap<String, Vec<u8>>>>,
     machine: Arc<Mutex<Machine>>,
 }
 
-impl Memory {
+impl MemoryDisk {
     /// What the folder holds, to be looked at, copied or spoilt.
     pub fn files(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, Vec<u8>>> {
         self.files.lock().unwrap_or_else(PoisonError::into_inner)
@@ -164,7 +164,7 @@
     io::ErrorKind::NotFound.into()
 }
 
-impl Disk for Memory {
+impl Disk for MemoryDisk {
     fn list(&mut self) -> io::Result<Vec<String>> {
         Ok(self.files().keys().cloned().collect())
     }
--- a/store/src/faulty.rs
+++ b/store/src/faulty.rs
@@ -14,7 +14,7 @@
 
 /// What is wrong with the disk now; shared, so that it can be changed under way.
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
+pub struct DiskFaults {
     /// Nothing more can be written.
     pub full: bool,
     pub read_only: bool,
@@ -45,9 +45,9 @@
     Remove(String),
 }
 
-pub struct Faulty<D> {
+pub struct FaultyDisk<D> {
     under: D,
-    faults: Arc<Mutex<Faults>>,
+    faults: Arc<Mutex<DiskFaults>>,
     nodes: Vec<Node>,
     names: BTreeMap<String, usize>,
     /// Names as they are on the disk, and what has been done to them since.
@@ -57,9 +57,9 @@
     operations: u64,
 }
 
-impl<D: Disk> Faulty<D> {
+impl<D: Disk> FaultyDisk<D> {
     /// Takes over what the disk holds. By `seed`, some of what was not synced reaches it early.
-    pub fn new(mut under: D, faults: Arc<Mutex<Faults>>, seed: u64) -> io::Result<Faulty<D>> {
+    pub fn new(mut under: D, faults: Arc<Mutex<DiskFaults>>, seed: u64) -> io::Result<FaultyDisk<D>> {
         let (mut nodes, mut names) = (Vec::new(), BTreeMap::new());
         for name in under.list()? {
             let written = under.read(&name)?;
@@ -68,7 +68,7 @@
         }
         let names_on_disk = names.clone();
         let steps = Vec::new();
-        Ok(Faulty { under, faults, nodes, names, names_on_disk, steps, seed, operations: 0 })
+        Ok(FaultyDisk { under, faults, nodes, names, names_on_disk, steps, seed, operations: 0 })
     }
 
     /// Operations so far: the places where a crash can come.
@@ -85,11 +85,11 @@
         (mixed ^ (mixed >> 31)) as usize % below.max(1)
     }
 
-    fn now(&self) -> Faults {
+    fn now(&self) -> DiskFaults {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn begin(&mut self) -> io::Result<Faults> {
+    fn begin(&mut self) -> io::Result<DiskFaults> {
         let faults = self.now();
         if faults.crash_at.is_some_and(|at| self.operations >= at) {
             return Err(io::Error::other("crashed"));
@@ -98,7 +98,7 @@
         Ok(faults)
     }
 
-    fn changes(&mut self) -> io::Result<Faults> {
+    fn changes(&mut self) -> io::Result<DiskFaults> {
         let faults = self.begin()?;
         if faults.read_only {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
@@ -170,7 +170,7 @@
     }
 }
 
-impl<D: Disk> Disk for Faulty<D> {
+impl<D: Disk> Disk for FaultyDisk<D> {
     fn list(&mut self) -> io::Result<Vec<String>> {
         self.begin()?;
         Ok(self.names.keys().cloned().collect())
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -11,10 +11,10 @@
 mod store;
 pub mod stored_types;
 
-pub use disk::{Disk, Folder, Machine, Memory};
-pub use faulty::{Faults, Faulty};
-pub use log::{FORM, Record, Table};
-pub use store::{Doubt, Fault, Found, Stale, Store, look};
+pub use disk::{DirectoryDisk, Disk, Machine, MemoryDisk};
+pub use faulty::{DiskFaults, FaultyDisk};
+pub use log::{FORMAT, Record, Table};
+pub use store::{IntegrityWarning, LoadSummary, Store, StoreError, WriteError, inspect};
 
 /// Whole microseconds of Unix time, or a span.
 pub type Micros = i64;
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -14,7 +14,7 @@
 use crate::Micros;
 
 /// The newest form that is read, and the one that is written.
-pub const FORM: u16 = 1;
+pub const FORMAT: u16 = 1;
 const MARK: [u8; 2] = [0xd5, 0x7a];
 const HEAD: usize = 18;
 /// No record is larger: a list of 10,000 runners takes about 3 MB.
@@ -41,7 +41,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Line {
+pub enum LogEntry {
     /// First in each file; `form` is of this and all that follows.
     Head {
         form: u16,
@@ -91,7 +91,7 @@
         Writer { file, nth: 0, length: 0 }
     }
 
-    pub fn seal(&mut self, line: &Line, into: &mut Vec<u8>) {
+    pub fn seal(&mut self, line: &LogEntry, into: &mut Vec<u8>) {
         // Plain types only: there is nothing that could fail to be written.
         let payload = postcard::to_stdvec(line).unwrap_or_default();
         into.extend_from_slice(&MARK);
@@ -106,8 +106,8 @@
 
 /// What is left of a file.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Read {
-    pub lines: Vec<Line>,
+pub struct LogContents {
+    pub lines: Vec<LogEntry>,
     /// Places within the file at which lines are missing or spoilt, with readable ones behind them.
     pub holes: u64,
     /// Bytes at the end that are no line: the last write was torn, or the end is spoilt.
@@ -117,7 +117,7 @@
 }
 
 /// The line at the beginning of `bytes`, if its number in the file is at least `from`: its number, itself, its length.
-fn open(bytes: &[u8], file: u64, from: u64) -> Option<(u64, Line, usize)> {
+fn open(bytes: &[u8], file: u64, from: u64) -> Option<(u64, LogEntry, usize)> {
     if bytes.get(..2)? != MARK {
         return None;
     }
@@ -134,15 +134,15 @@
     Some((nth, postcard::from_bytes(payload).ok()?, HEAD + length))
 }
 
-pub fn read(file: u64, bytes: &[u8]) -> Read {
-    let mut read = Read::default();
+pub fn read(file: u64, bytes: &[u8]) -> LogContents {
+    let mut read = LogContents::default();
     let (mut at, mut next, mut good) = (0, 0, 0);
     while at < bytes.len() {
         // One that stands where it is due, or one that is found again behind a spoilt stretch.
         match open(&bytes[at..], file, next) {
             Some((nth, line, length)) => {
-                if let Line::Head { form, .. } = line
-                    && form > FORM
+                if let LogEntry::Head { form, .. } = line
+                    && form > FORMAT
                 {
                     read.newer = Some(form);
                 }
--- a/store/src/log/tests.rs
+++ b/store/src/log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn record(nth: u8) -> Line {
-    Line::Record(Record {
+fn record(nth: u8) -> LogEntry {
+    LogEntry::Record(Record {
         table: Table(1),
         key: format!("k{nth}"),
         form: 1,
@@ -11,8 +11,8 @@
     })
 }
 
-fn file() -> (Vec<u8>, Vec<Line>) {
-    let lines: Vec<Line> = (0..6).map(record).collect();
+fn file() -> (Vec<u8>, Vec<LogEntry>) {
+    let lines: Vec<LogEntry> = (0..6).map(record).collect();
     let mut writer = Writer::new(3);
     let mut bytes = Vec::new();
     lines.iter().for_each(|line| writer.seal(line, &mut bytes));
@@ -23,7 +23,7 @@
 #[test]
 fn what_is_written_is_read_and_a_torn_end_is_left_out() {
     let (bytes, lines) = file();
-    assert_eq!(read(3, &bytes), Read { lines: lines.clone(), ..Read::default() });
+    assert_eq!(read(3, &bytes), LogContents { lines: lines.clone(), ..LogContents::default() });
     for end in 0..bytes.len() {
         let cut = read(3, &bytes[..end]);
         assert_eq!(cut.lines, lines[..cut.lines.len()]);
@@ -40,7 +40,7 @@
         spoilt[at / 8] ^= 1 << (at % 8);
         let read = read(3, &spoilt);
         let hit = at / 8 * 6 / bytes.len();
-        let left: Vec<&Line> =
+        let left: Vec<&LogEntry> =
             lines.iter().enumerate().filter(|(nth, _)| *nth != hit).map(|(_, l)| l).collect();
         assert_eq!(read.lines.iter().collect::<Vec<_>>(), left);
         assert!(if hit == 5 { read.torn > 0 } else { read.holes == 1 });
--- a/store/src/store.rs
+++ b/store/src/store.rs
@@ -11,7 +11,7 @@
 use crate::Micros;
 use crate::disk::{Disk, Machine};
 use crate::faulty::at_least_ago;
-use crate::log::{self, FORM, Line, RECORD_MOST, Record, Table, Writer};
+use crate::log::{self, FORMAT, LogEntry, RECORD_MOST, Record, Table, Writer};
 
 const NEXT: &str = "next";
 /// Twice, as the latest boot number is the one thing that nobody else may know: each is read by itself.
@@ -23,7 +23,7 @@
 
 /// Why the last life's records are taken with doubt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum IntegrityWarning {
     /// Lines in the middle of the newest file are spoilt: what they said is not known.
     Holes(u64),
     /// The newest file could not be used at all, and an older one stands in.
@@ -34,13 +34,15 @@
     Clock { behind: Micros },
 }
 
-impl fmt::Display for Doubt {
+impl fmt::Display for IntegrityWarning {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Doubt::Holes(holes) => write!(to, "spoilt in {holes} places"),
-            Doubt::Older { file, instead_of } => write!(to, "file {instead_of} is spoilt, {file} stands in"),
-            Doubt::Nothing => to.write_str("there are files, and none can be read"),
-            Doubt::Clock { behind } => {
+            IntegrityWarning::Holes(holes) => write!(to, "spoilt in {holes} places"),
+            IntegrityWarning::Older { file, instead_of } => {
+                write!(to, "file {instead_of} is spoilt, {file} stands in")
+            }
+            IntegrityWarning::Nothing => to.write_str("there are files, and none can be read"),
+            IntegrityWarning::Clock { behind } => {
                 write!(to, "the clock is {} s behind the last record", behind / 1_000_000)
             }
         }
@@ -49,7 +51,7 @@
 
 /// Why a folder cannot be used.
 #[derive(Debug)]
-pub enum Fault {
+pub enum StoreError {
     Disk(io::Error),
     /// It is another dispatcher's.
     Owner(String),
@@ -57,44 +59,46 @@
     Newer(u16),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for StoreError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Disk(error) => error.fmt(to),
-            Fault::Owner(owner) => write!(to, "it is the store of {owner:?}"),
-            Fault::Newer(form) => write!(to, "it has form {form}, and this version knows {FORM} at most"),
+            StoreError::Disk(error) => error.fmt(to),
+            StoreError::Owner(owner) => write!(to, "it is the store of {owner:?}"),
+            StoreError::Newer(form) => {
+                write!(to, "it has form {form}, and this version knows {FORMAT} at most")
+            }
         }
     }
 }
 
-impl From<io::Error> for Fault {
-    fn from(error: io::Error) -> Fault {
-        Fault::Disk(error)
+impl From<io::Error> for StoreError {
+    fn from(error: io::Error) -> StoreError {
+        StoreError::Disk(error)
     }
 }
 
 /// What could not be kept: the disk is not to be relied on now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stale(pub String);
+pub struct WriteError(pub String);
 
-impl fmt::Display for Stale {
+impl fmt::Display for WriteError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         self.0.fmt(to)
     }
 }
 
-impl std::error::Error for Stale {}
+impl std::error::Error for WriteError {}
 
 /// What was found at the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct LoadSummary {
     /// Whether there was nothing: no life has kept anything here.
     pub fresh: bool,
     /// Of which life the records are.
     pub boot: u64,
     /// Whether that life ended as it should, so that nothing is missing.
     pub clean: bool,
-    pub doubts: Vec<Doubt>,
+    pub doubts: Vec<IntegrityWarning>,
     /// Bytes of a last write that did not come whole.
     pub torn: u64,
     /// When the last record was written, as its writer believed.
@@ -102,15 +106,15 @@
     /// At least so long ago the last life ended.
     pub away: Micros,
     /// Why nothing can be written now, if so: this life has no boot number until that is over.
-    pub unwritten: Option<Stale>,
+    pub unwritten: Option<WriteError>,
 }
 
 /// What is left in a folder.
 #[derive(Debug, Default)]
-pub struct Look {
+pub struct StoreInspection {
     pub owner: Option<String>,
     pub store: u64,
-    pub found: Found,
+    pub found: LoadSummary,
     pub file: Option<u64>,
     pub files: Vec<(String, u64)>,
     pub records: BTreeMap<(Table, String), Record>,
@@ -131,13 +135,13 @@
 }
 
 /// A file's records, if its head and its snapshot are there.
-fn file(number: u64, bytes: &[u8]) -> Result<Option<File>, Fault> {
+fn file(number: u64, bytes: &[u8]) -> Result<Option<File>, StoreError> {
     let read = log::read(number, bytes);
     if let Some(form) = read.newer {
-        return Err(Fault::Newer(form));
+        return Err(StoreError::Newer(form));
     }
     let head = read.lines.iter().find_map(|line| match line {
-        Line::Head { owner, store, boot, .. } => Some((owner.clone(), *store, *boot)),
+        LogEntry::Head { owner, store, boot, .. } => Some((owner.clone(), *store, *boot)),
         _ => None,
     });
     let Some((owner, store, boot)) = head else { return Ok(None) };
@@ -156,12 +160,12 @@
     for line in read.lines {
         file.clean = false;
         match line {
-            Line::Head { .. } => {}
-            Line::Whole { .. } => whole = true,
-            Line::Clean { written } => {
+            LogEntry::Head { .. } => {}
+            LogEntry::Whole { .. } => whole = true,
+            LogEntry::Clean { written } => {
                 (file.clean, file.written) = (true, file.written.max(written));
             }
-            Line::Record(record) => {
+            LogEntry::Record(record) => {
                 file.written = file.written.max(record.written);
                 let key = (record.table, record.key.clone());
                 match record.value {
@@ -178,17 +182,17 @@
 }
 
 /// Reads a folder and changes nothing. Damage is told, not failed on; a folder of a newer form is a fault.
-pub fn look(disk: &mut dyn Disk) -> Result<Look, Fault> {
+pub fn inspect(disk: &mut dyn Disk) -> Result<StoreInspection, StoreError> {
     let names = disk.list()?;
     let mut files: Vec<(u64, String)> =
         names.into_iter().filter_map(|name| Some((log::number(&name)?, name))).collect();
     files.sort_unstable();
-    let mut look = Look::default();
+    let mut inspection = StoreInspection::default();
     let mut best: Option<File> = None;
     let newest = files.last().map(|(number, _)| *number);
     for (number, name) in files.iter().rev() {
         let bytes = disk.read(name)?;
-        look.files.push((name.clone(), bytes.len() as u64));
+        inspection.files.push((name.clone(), bytes.len() as u64));
         match &mut best {
             None => best = file(*number, &bytes)?,
             // What a spoilt file may have said of a record it does not have, the one before says at least as it
@@ -203,35 +207,35 @@
     }
     for name in BOOTS {
         let boot = disk.read(name).ok().and_then(|bytes| read_boot(&bytes));
-        look.found.boot = look.found.boot.max(boot.unwrap_or(0));
+        inspection.found.boot = inspection.found.boot.max(boot.unwrap_or(0));
     }
     let alive = disk.read(ALIVE).ok().and_then(|bytes| read_alive(&bytes));
     if let Some(alive) = alive {
-        look.found.away = at_least_ago(&alive, &disk.machine());
+        inspection.found.away = at_least_ago(&alive, &disk.machine());
     }
-    look.found.fresh = newest.is_none() && look.found.boot == 0;
+    inspection.found.fresh = newest.is_none() && inspection.found.boot == 0;
     let Some(best) = best else {
-        if !look.found.fresh {
-            look.found.doubts.push(Doubt::Nothing);
+        if !inspection.found.fresh {
+            inspection.found.doubts.push(IntegrityWarning::Nothing);
         }
-        return Ok(look);
+        return Ok(inspection);
     };
-    let found = &mut look.found;
+    let found = &mut inspection.found;
     if let Some(newest) = newest.filter(|newest| *newest != best.number) {
-        found.doubts.push(Doubt::Older { file: best.number, instead_of: newest });
+        found.doubts.push(IntegrityWarning::Older { file: best.number, instead_of: newest });
     }
     if best.holes > 0 {
-        found.doubts.push(Doubt::Holes(best.holes));
+        found.doubts.push(IntegrityWarning::Holes(best.holes));
     }
     found.clean = best.clean && found.doubts.is_empty() && best.boot >= found.boot;
     (found.torn, found.written) = (best.torn, best.written);
     let last = best.records.values().map(|record| record.boot).max().unwrap_or(0);
     found.boot = found.boot.max(best.boot).max(last);
-    look.file = Some(best.number);
-    look.owner = Some(best.owner);
-    look.store = best.store;
-    look.records = best.records;
-    Ok(look)
+    inspection.file = Some(best.number);
+    inspection.owner = Some(best.owner);
+    inspection.store = best.store;
+    inspection.records = best.records;
+    Ok(inspection)
 }
 
 fn with_sum(bytes: &[u8]) -> Vec<u8> {
@@ -282,24 +286,29 @@
 impl Store {
     /// Takes a folder over for a new life: its boot number is on the disk when this returns, or `unwritten` says why
     /// not. `id` is for a folder that has none yet.
-    pub fn open(mut disk: Box<dyn Disk>, owner: &str, id: u64, now: Micros) -> Result<(Store, Found), Fault> {
+    pub fn open(
+        mut disk: Box<dyn Disk>,
+        owner: &str,
+        id: u64,
+        now: Micros,
+    ) -> Result<(Store, LoadSummary), StoreError> {
         disk.lock()?;
-        let look = look(disk.as_mut())?;
-        if let Some(other) = look.owner.as_ref().filter(|other| *other != owner) {
-            return Err(Fault::Owner(other.clone()));
+        let inspection = inspect(disk.as_mut())?;
+        if let Some(other) = inspection.owner.as_ref().filter(|other| *other != owner) {
+            return Err(StoreError::Owner(other.clone()));
         }
-        let mut found = look.found;
+        let mut found = inspection.found;
         if found.written > now {
-            found.doubts.push(Doubt::Clock { behind: found.written - now });
+            found.doubts.push(IntegrityWarning::Clock { behind: found.written - now });
         }
-        let last = look.files.iter().filter_map(|(name, _)| log::number(name)).max().unwrap_or(0);
+        let last = inspection.files.iter().filter_map(|(name, _)| log::number(name)).max().unwrap_or(0);
         let mut store = Store {
             disk,
             owner: owner.to_owned(),
-            store: if look.store == 0 { id } else { look.store },
+            store: if inspection.store == 0 { id } else { inspection.store },
             boot: found.boot + 1,
             numbered: false,
-            records: look.records,
+            records: inspection.records,
             writer: None,
             number: last,
             base: 0,
@@ -317,7 +326,7 @@
     }
 
     /// A higher number for this life, as somebody has heard of one at least as high as ours.
-    pub fn above(&mut self, heard: u64) -> Result<(), Stale> {
+    pub fn raise_boot_above(&mut self, heard: u64) -> Result<(), WriteError> {
         if heard >= self.boot {
             (self.boot, self.numbered, self.writer) = (heard + 1, false, None);
         }
@@ -360,7 +369,7 @@
         let record = Record { table, key: key.to_owned(), form, boot: self.boot, written: now, value };
         if let Some(writer) = &mut self.writer {
             let mut bytes = Vec::new();
-            writer.seal(&Line::Record(record.clone()), &mut bytes);
+            writer.seal(&LogEntry::Record(record.clone()), &mut bytes);
             let name = log::name(writer.file);
             if self.disk.append(&name, &bytes).is_err() {
                 self.writer = None;
@@ -381,7 +390,7 @@
 
     /// All that was put is on the disk, or why it is not. After a fault the whole of it is written anew: what a file
     /// with a failed sync holds is not known, even where the next sync says yes.
-    pub fn sync(&mut self) -> Result<(), Stale> {
+    pub fn sync(&mut self) -> Result<(), WriteError> {
         let synced = match &self.writer {
             Some(_) if !self.behind => return Ok(()),
             Some(writer) if writer.length < self.base * GROWN + GROWN_LEAST => {
@@ -397,20 +406,20 @@
             }
             Err(error) => {
                 self.writer = None;
-                Err(Stale(error.to_string()))
+                Err(WriteError(error.to_string()))
             }
         }
     }
 
     /// The process ends as it should.
-    pub fn close(&mut self, now: Micros) -> Result<(), Stale> {
+    pub fn close(&mut self, now: Micros) -> Result<(), WriteError> {
         self.sync()?;
         if let Some(writer) = &mut self.writer {
             let mut bytes = Vec::new();
-            writer.seal(&Line::Clean { written: now }, &mut bytes);
+            writer.seal(&LogEntry::Clean { written: now }, &mut bytes);
             let name = log::name(writer.file);
             let closed = self.disk.append(&name, &bytes).and_then(|()| self.disk.sync(&name));
-            closed.map_err(|error| Stale(error.to_string()))?;
+            closed.map_err(|error| WriteError(error.to_string()))?;
         }
         Ok(())
     }
@@ -421,14 +430,14 @@
         let mut writer = Writer::new(self.number + 1);
         let mut bytes = Vec::new();
         let (owner, store, boot) = (self.owner.clone(), self.store, self.boot);
-        let head = Line::Head { form: FORM, owner, store, boot };
+        let head = LogEntry::Head { form: FORMAT, owner, store, boot };
         writer.seal(&head, &mut bytes);
         for record in self.records.values() {
-            writer.seal(&Line::Record(record.clone()), &mut bytes);
+            writer.seal(&LogEntry::Record(record.clone()), &mut bytes);
         }
         // Once more: whose store this is may not hang on one line.
         writer.seal(&head, &mut bytes);
-        writer.seal(&Line::Whole { records: self.records.len() as u64 }, &mut bytes);
+        writer.seal(&LogEntry::Whole { records: self.records.len() as u64 }, &mut bytes);
         self.disk.create(NEXT)?;
         self.disk.append(NEXT, &bytes)?;
         self.disk.sync(NEXT)?;
--- a/store/src/stored_types.rs
+++ b/store/src/stored_types.rs
@@ -12,32 +12,32 @@
 use crate::{Micros, Store};
 
 /// One kind of record.
-pub trait Kept: Serialize + DeserializeOwned {
+pub trait Storable: Serialize + DeserializeOwned {
     const TABLE: Table;
     const NAME: &'static str;
-    const FORM: u16;
+    const FORMAT: u16;
     /// Older than this it is believed only where nothing newer is to be had; none where age says nothing.
     const FRESH_FOR: Option<Micros>;
 }
 
 /// The list of runners as last had, in discovery's own form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct List {
+pub struct StoredRoster {
     pub discovery: String,
     pub generation: u64,
     pub json: String,
 }
 
-impl Kept for List {
+impl Storable for StoredRoster {
     const TABLE: Table = Table(1);
     const NAME: &'static str = "list";
-    const FORM: u16 = 1;
+    const FORMAT: u16 = 1;
     const FRESH_FOR: Option<Micros> = Some(10_000_000);
 }
 
 /// What an operator's hand has done to one runner, by its id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hand {
+pub struct StoredOverride {
     pub out_since: Option<Micros>,
     pub was_out: Option<(Micros, Micros)>,
     /// How new this word is among dispatchers: calls on this runner so far, and the author of the last one; 0 and 0 where
@@ -46,73 +46,73 @@
     pub author: u32,
 }
 
-impl Kept for Hand {
+impl Storable for StoredOverride {
     const TABLE: Table = Table(2);
     const NAME: &'static str = "hand";
-    const FORM: u16 = 1;
+    const FORMAT: u16 = 1;
     const FRESH_FOR: Option<Micros> = None;
 }
 
 /// What was sent to cold runners of late: when, and work as time on a standard core. One record for all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct StoredSlowStartUsage {
     pub runners: Vec<(String, Vec<(Micros, f64)>)>,
 }
 
-impl Kept for Spent {
+impl Storable for StoredSlowStartUsage {
     const TABLE: Table = Table(3);
     const NAME: &'static str = "spent";
-    const FORM: u16 = 1;
+    const FORMAT: u16 = 1;
     const FRESH_FOR: Option<Micros> = Some(10_000_000);
 }
 
 /// The configuration in force, and the hash of its settings as its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Settings {
+pub struct StoredSettings {
     pub version: u64,
     pub json: String,
 }
 
-impl Kept for Settings {
+impl Storable for StoredSettings {
     const TABLE: Table = Table(4);
     const NAME: &'static str = "settings";
-    const FORM: u16 = 1;
+    const FORMAT: u16 = 1;
     const FRESH_FOR: Option<Micros> = None;
 }
 
 /// A table's name, for people.
 pub fn name(table: Table) -> String {
     let known = [
-        (List::TABLE, List::NAME),
-        (Hand::TABLE, Hand::NAME),
-        (Spent::TABLE, Spent::NAME),
-        (Settings::TABLE, Settings::NAME),
+        (StoredRoster::TABLE, StoredRoster::NAME),
+        (StoredOverride::TABLE, StoredOverride::NAME),
+        (StoredSlowStartUsage::TABLE, StoredSlowStartUsage::NAME),
+        (StoredSettings::TABLE, StoredSettings::NAME),
     ];
     let name = known.iter().find(|(known, _)| *known == table).map(|(_, name)| (*name).to_owned());
     name.unwrap_or_else(|| format!("table-{}", table.0))
 }
 
 /// A record's value, where it is of a known form and can be read.
-pub fn value<T: Kept>(record: &Record) -> Option<T> {
-    let bytes = record.value.as_deref().filter(|_| record.table == T::TABLE && record.form == T::FORM)?;
+pub fn value<T: Storable>(record: &Record) -> Option<T> {
+    let bytes = record.value.as_deref().filter(|_| record.table == T::TABLE && record.form == T::FORMAT)?;
     postcard::from_bytes(bytes).ok()
 }
 
 /// The bytes of a value, as they stand in a record.
-pub fn bytes<T: Kept>(value: &T) -> Vec<u8> {
+pub fn bytes<T: Storable>(value: &T) -> Vec<u8> {
     // Plain types only: there is nothing that could fail to be written.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
 /// All of one kind, by key.
-pub fn all<T: Kept>(records: &BTreeMap<(Table, String), Record>) -> Vec<(&str, T, &Record)> {
+pub fn all<T: Storable>(records: &BTreeMap<(Table, String), Record>) -> Vec<(&str, T, &Record)> {
     let of = records.range((T::TABLE, String::new())..).take_while(|((table, _), _)| *table == T::TABLE);
     of.filter_map(|((_, key), record)| Some((key.as_str(), value(record)?, record))).collect()
 }
 
 impl Store {
     /// As [`Store::put`], with a value of a known kind.
-    pub fn keep<T: Kept>(&mut self, key: &str, kept: Option<&T>, now: Micros) {
-        self.put(T::TABLE, key, T::FORM, kept.map(bytes), now);
+    pub fn put_typed<T: Storable>(&mut self, key: &str, kept: Option<&T>, now: Micros) {
+        self.put(T::TABLE, key, T::FORMAT, kept.map(bytes), now);
     }
 }
--- a/store/tests/crashes.rs
+++ b/store/tests/crashes.rs
@@ -6,22 +6,24 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use topazsail_store::stored_types::{Hand, List, all};
-use topazsail_store::{Disk, Doubt, Fault, Faults, Faulty, Machine, Memory, Store, look};
+use topazsail_store::stored_types::{StoredOverride, StoredRoster, all};
+use topazsail_store::{
+    Disk, DiskFaults, FaultyDisk, IntegrityWarning, Machine, MemoryDisk, Store, StoreError, inspect,
+};
 
 const NOW: i64 = 1_700_000_000_000_000;
 
-type Told = BTreeMap<String, Hand>;
+type Told = BTreeMap<String, StoredOverride>;
 
-fn out(since: i64) -> Hand {
-    Hand { out_since: Some(since), ..Hand::default() }
+fn out(since: i64) -> StoredOverride {
+    StoredOverride { out_since: Some(since), ..StoredOverride::default() }
 }
 
 fn hands(store: &Store) -> Told {
-    all::<Hand>(store.records()).into_iter().map(|(key, hand, _)| (key.to_owned(), hand)).collect()
+    all::<StoredOverride>(store.records()).into_iter().map(|(key, hand, _)| (key.to_owned(), hand)).collect()
 }
 
-fn open(disk: impl Disk + 'static) -> Result<(Store, topazsail_store::Found), Fault> {
+fn open(disk: impl Disk + 'static) -> Result<(Store, topazsail_store::LoadSummary), StoreError> {
     Store::open(Box::new(disk), "d0", 77, NOW)
 }
 
@@ -37,10 +39,10 @@
 
 impl Life {
     /// One life over `under`, until it ends by itself or crashes at an operation; by `seed`, what it does.
-    fn live(&mut self, under: &Memory, seed: u64, crash_at: Option<u64>, mut faults: Faults) -> u64 {
+    fn live(&mut self, under: &MemoryDisk, seed: u64, crash_at: Option<u64>, mut faults: DiskFaults) -> u64 {
         faults.crash_at = crash_at;
         let faults = Arc::new(Mutex::new(faults));
-        let disk = Faulty::new(under.clone(), faults, seed).unwrap();
+        let disk = FaultyDisk::new(under.clone(), faults, seed).unwrap();
         let mut drawn = Pcg32::seed_from_u64(seed ^ 0x51);
         // Opening may crash as well; nothing is lost by it.
         let counted = Arc::new(Mutex::new(0));
@@ -66,11 +68,11 @@
         for nth in 0..drawn.random_range(1..12) {
             let runner = format!("r{}", drawn.random_range(0..3));
             if drawn.random_range(0..4) == 0 {
-                store.keep::<Hand>(&runner, None, NOW);
+                store.put_typed::<StoredOverride>(&runner, None, NOW);
                 now.remove(&runner);
             } else {
                 let hand = out(seed as i64 * 1000 + nth);
-                store.keep(&runner, Some(&hand), NOW);
+                store.put_typed(&runner, Some(&hand), NOW);
                 now.insert(runner, hand);
             }
             self.since.push(now.clone());
@@ -86,7 +88,7 @@
 }
 
 /// Counts operations where the disk itself has gone into the store.
-struct Counting<D: Disk>(Faulty<D>, Arc<Mutex<u64>>);
+struct Counting<D: Disk>(FaultyDisk<D>, Arc<Mutex<u64>>);
 
 macro_rules! counted {
     ($($name:ident($($arg:ident: $type:ty),*) -> $result:ty;)*) => {
@@ -113,8 +115,8 @@
     machine() -> Machine;
 }
 
-fn copied(of: &Memory) -> Memory {
-    let copy = Memory::default();
+fn copied(of: &MemoryDisk) -> MemoryDisk {
+    let copy = MemoryDisk::default();
     *copy.files() = of.files().clone();
     copy
 }
@@ -124,16 +126,16 @@
 fn a_cut_at_every_operation_loses_nothing_that_was_said_to_be_kept() {
     let mut cuts = 0;
     for seed in 0..12 {
-        let (under, mut life) = (Memory::default(), Life::default());
-        life.live(&under, seed, None, Faults::default());
+        let (under, mut life) = (MemoryDisk::default(), Life::default());
+        life.live(&under, seed, None, DiskFaults::default());
         let mut second = 0;
         loop {
             let (again, mut lived) = (copied(&under), life.clone());
-            let done = lived.live(&again, seed + 100, Some(second), Faults::default());
+            let done = lived.live(&again, seed + 100, Some(second), DiskFaults::default());
             for third in (0..30).step_by(if seed == 0 { 1 } else { 7 }) {
                 let (again, mut lived) = (copied(&again), lived.clone());
-                lived.live(&again, seed + 200, Some(third), Faults::default());
-                lived.live(&again, seed + 300, None, Faults::default());
+                lived.live(&again, seed + 200, Some(third), DiskFaults::default());
+                lived.live(&again, seed + 300, None, DiskFaults::default());
                 cuts += 1;
             }
             if done < second {
@@ -148,38 +150,38 @@
 #[test]
 fn long_histories_by_seed() {
     for seed in 0..400u64 {
-        let (under, mut life) = (Memory::default(), Life::default());
+        let (under, mut life) = (MemoryDisk::default(), Life::default());
         let mut drawn = Pcg32::seed_from_u64(seed);
         for nth in 0..20 {
             let crash = (drawn.random_range(0..4) > 0).then(|| drawn.random_range(0..60));
-            let faults = Faults {
+            let faults = DiskFaults {
                 full: drawn.random_range(0..8) == 0,
                 sync_fails: drawn.random_range(0..8) == 0,
                 read_only: drawn.random_range(0..12) == 0,
-                ..Faults::default()
+                ..DiskFaults::default()
             };
             life.live(&under, seed * 100 + nth, crash, faults);
         }
-        life.live(&under, seed * 100 + 99, None, Faults::default());
+        life.live(&under, seed * 100 + 99, None, DiskFaults::default());
         assert!(life.boots.len() > 2, "{:?}", life.boots);
     }
 }
 
 /// A folder with two lives in it and three bans, the last of them in the last line.
-fn folder() -> Memory {
-    let under = Memory::default();
+fn folder() -> MemoryDisk {
+    let under = MemoryDisk::default();
     let (mut store, found) = open(under.clone()).unwrap();
     assert!(found.fresh && found.doubts.is_empty());
-    store.keep("r1", Some(&out(1)), NOW);
+    store.put_typed("r1", Some(&out(1)), NOW);
     store.close(NOW).unwrap();
     drop(store);
     let (mut store, found) = open(under.clone()).unwrap();
     assert!(!found.fresh && found.clean && found.boot == 1);
-    let list = List { discovery: "127.0.0.1:1".into(), generation: 4, json: "{}".into() };
-    store.keep("", Some(&list), NOW);
-    store.keep("r2", Some(&out(2)), NOW);
+    let list = StoredRoster { discovery: "127.0.0.1:1".into(), generation: 4, json: "{}".into() };
+    store.put_typed("", Some(&list), NOW);
+    store.put_typed("r2", Some(&out(2)), NOW);
     store.sync().unwrap();
-    store.keep("r3", Some(&out(3)), NOW);
+    store.put_typed("r3", Some(&out(3)), NOW);
     store.sync().unwrap();
     under
 }
@@ -232,15 +234,15 @@
 
 #[test]
 fn a_sync_that_failed_once_is_not_believed_the_second_time() {
-    let (under, faults) = (Memory::default(), Arc::new(Mutex::new(Faults::default())));
-    let disk = Faulty::new(under.clone(), faults.clone(), 9).unwrap();
+    let (under, faults) = (MemoryDisk::default(), Arc::new(Mutex::new(DiskFaults::default())));
+    let disk = FaultyDisk::new(under.clone(), faults.clone(), 9).unwrap();
     let (mut store, _) = open(disk).unwrap();
-    store.keep("r1", Some(&out(1)), NOW);
+    store.put_typed("r1", Some(&out(1)), NOW);
     faults.lock().unwrap().sync_fails = true;
     assert!(store.sync().is_err());
     // From here on this disk says yes to every sync, though what the first one lost is not there.
     faults.lock().unwrap().sync_fails = false;
-    store.keep("r2", Some(&out(2)), NOW);
+    store.put_typed("r2", Some(&out(2)), NOW);
     assert!(store.sync().is_ok());
     drop(store);
     let (store, found) = open(under).unwrap();
@@ -249,18 +251,19 @@
 
 #[test]
 fn a_full_or_read_only_disk_is_owned_up_to_and_what_is_on_it_still_holds() {
-    for faults in
-        [Faults { full: true, ..Faults::default() }, Faults { read_only: true, ..Faults::default() }]
-    {
+    for faults in [
+        DiskFaults { full: true, ..DiskFaults::default() },
+        DiskFaults { read_only: true, ..DiskFaults::default() },
+    ] {
         let under = folder();
         let faults = Arc::new(Mutex::new(faults));
-        let (mut store, found) = open(Faulty::new(under.clone(), faults.clone(), 4).unwrap()).unwrap();
+        let (mut store, found) = open(FaultyDisk::new(under.clone(), faults.clone(), 4).unwrap()).unwrap();
         assert!(found.unwritten.is_some() && store.boot().is_none());
         assert_eq!(hands(&store).len(), 3);
-        store.keep("r4", Some(&out(4)), NOW);
+        store.put_typed("r4", Some(&out(4)), NOW);
         assert!(store.sync().is_err() && hands(&store).len() == 4);
         // Free again.
-        *faults.lock().unwrap() = Faults::default();
+        *faults.lock().unwrap() = DiskFaults::default();
         assert!(store.sync().is_ok() && store.boot() == Some(3));
         drop(store);
         assert_eq!(hands(&open(under).unwrap().0).len(), 4);
@@ -272,8 +275,8 @@
     let refused = Store::open(Box::new(folder()), "d1", 1, NOW).map(|_| ()).unwrap_err();
     assert_eq!(refused.to_string(), "it is the store of \"d0\"");
     let (_, found) = Store::open(Box::new(folder()), "d0", 1, NOW - 5_000_000).unwrap();
-    assert_eq!(found.doubts, [Doubt::Clock { behind: 5_000_000 }]);
-    let looked = look(&mut folder()).unwrap();
+    assert_eq!(found.doubts, [IntegrityWarning::Clock { behind: 5_000_000 }]);
+    let looked = inspect(&mut folder()).unwrap();
     assert_eq!((looked.owner.as_deref(), looked.store, looked.found.boot), (Some("d0"), 77, 2));
 }
 
@@ -281,7 +284,7 @@
 fn how_long_the_last_life_has_been_over_is_told_by_the_machine_not_by_the_clock() {
     let machine = |life: &str, up| Machine { life: life.to_owned(), up };
     let away = |then: Machine, now: Machine| {
-        let under = Memory::default();
+        let under = MemoryDisk::default();
         under.set_machine(then);
         drop(open(under.clone()).unwrap());
         under.set_machine(now);
@@ -299,7 +302,7 @@
     let under = folder();
     let (mut store, _) = open(under.clone()).unwrap();
     assert_eq!(store.boot(), Some(3));
-    store.above(9).unwrap();
+    store.raise_boot_above(9).unwrap();
     assert_eq!(store.boot(), Some(10));
     drop(store);
     assert_eq!(open(under).unwrap().0.boot(), Some(11));
