--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -7,11 +7,11 @@
 use std::panic::{self, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use topazsail::{Brain, Event, Micros};
+use topazsail::{Event, Micros, RoutingPolicy};
 use wire::{Message, Reader};
 
 struct Instance {
-    brain: Brain,
+    policy: RoutingPolicy,
     operations: Vec<String>,
     happened: Vec<Event>,
 }
@@ -26,9 +26,9 @@
 impl House {
     fn take(&mut self, message: Message) {
         match message {
-            Message::Create { inst, seed, orders, operations } => {
-                let brain = Brain::new(orders, seed);
-                self.instances.insert(inst, Instance { brain, operations, happened: Vec::new() });
+            Message::Create { inst, seed, settings, operations } => {
+                let policy = RoutingPolicy::new(settings, seed);
+                self.instances.insert(inst, Instance { policy, operations, happened: Vec::new() });
             }
             Message::Kill { inst } => {
                 self.instances.remove(&inst);
@@ -53,7 +53,7 @@
                 continue;
             };
             let happened = std::mem::take(&mut instance.happened);
-            match panic::catch_unwind(AssertUnwindSafe(|| instance.brain.decide(now, happened))) {
+            match panic::catch_unwind(AssertUnwindSafe(|| instance.policy.decide(now, happened))) {
                 Ok(actions) => actions.iter().for_each(|action| wire::write(out, inst, action)),
                 Err(fault) => wire::write_fault(out, inst, fault.as_ref()),
             }
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -6,8 +6,8 @@
 use std::str::{FromStr, SplitN};
 
 use topazsail::{
-    Action, Arrival, Ending, Event, Id, Listing, Micros, Outcome, Readiness, Roster, RosterEntry,
-    StandingOrders,
+    Action, Arrival, Event, ForwardResult, Id, Listing, Micros, Outcome, Readiness, Roster, RosterEntry,
+    Settings,
 };
 
 /// The one timer that an instance keeps needs no more than one handle.
@@ -34,7 +34,7 @@
 }
 
 pub enum Message {
-    Create { inst: u64, seed: u64, orders: StandingOrders, operations: Vec<String> },
+    Create { inst: u64, seed: u64, settings: Settings, operations: Vec<String> },
     Kill { inst: u64 },
     Event { inst: u64, event: Event },
     PassedOver,
@@ -197,8 +197,8 @@
                 let decoded = pairs(info)
                     .and_then(topazsail_settings::decode)
                     .map_err(|fault| parts.fault("info", fault))?;
-                let (orders, operations) = (decoded.standing, decoded.operations);
-                return Ok(Some(Message::Create { inst, seed, orders, operations }));
+                let (settings, operations) = (decoded.settings, decoded.operations);
+                return Ok(Some(Message::Create { inst, seed, settings, operations }));
             }
             "KILL" => {
                 parts.end()?;
@@ -225,14 +225,21 @@
                 let Some(operation) = names.iter().position(|known| known == name) else {
                     return Err(parts.fault("type", format!("unknown operation '{name}'")));
                 };
-                Event::Arrival(Arrival { inv, operation, expires_in, slots, hint, key })
+                Event::Arrival(Arrival {
+                    invocation: inv,
+                    operation,
+                    time_left: expires_in,
+                    slots,
+                    work_hint: hint,
+                    key,
+                })
             }
             "FLOWING" => {
                 let inv = parts.id("ticket")?;
                 parts.span("elapsed")?;
                 let forward = parts.number("roundNo")?;
                 parts.text("runner")?;
-                Event::Flowing { inv, forward }
+                Event::ResponseStarted { invocation: inv, forward }
             }
             "NOTICE" => {
                 let inv = parts.id("ticket")?;
@@ -240,7 +247,11 @@
                 parts.real("level", 0.0)?;
                 let started = parts.number_or("what", 0u64)? == 1;
                 parts.text("runner")?;
-                if started { Event::Started { inv, forward } } else { Event::Progress { inv, forward } }
+                if started {
+                    Event::Started { invocation: inv, forward }
+                } else {
+                    Event::Progress { invocation: inv, forward }
+                }
             }
             "RESOLVED" => {
                 let inv = parts.id("ticket")?;
@@ -253,18 +264,26 @@
                 parts.number_or("remark", 0i64)?;
                 let elapsed = parts.span("elapsed")?;
                 let report = parts.row("gauge")?;
-                Event::Outcome(Outcome { inv, forward, tgt, ending, finished, elapsed, report })
+                Event::Outcome(Outcome {
+                    invocation: inv,
+                    forward,
+                    runner: tgt,
+                    result: ending,
+                    answered: finished,
+                    elapsed,
+                    report,
+                })
             }
-            "GONE" => Event::Gone { inv: parts.id("ticket")? },
+            "GONE" => Event::ClientLeft { invocation: parts.id("ticket")? },
             "RING" => {
                 parts.number::<u64>("handle")?;
-                Event::Tick
+                Event::TimerFired
             }
             _ => {
                 parts.span("elapsed")?;
                 let alive = parts.text("how")? == "success";
                 let tgt = parts.id("runner")?;
-                Event::Probed { tgt, alive, report: parts.row("gauge")? }
+                Event::ProbeEnded { runner: tgt, alive, report: parts.row("gauge")? }
             }
         };
         parts.end()?;
@@ -319,19 +338,19 @@
     let zone = parts.optional("dc")?.unwrap_or_default().into();
     let tgt = parts.id("runner")?;
     let launched = Some(parts.span("launched")?).filter(|at| *at != 0);
-    Ok(RosterEntry { tgt, cell, size, kind, zone, readiness, launched })
+    Ok(RosterEntry { runner: tgt, cell, size, machine_type: kind, zone, readiness, launched })
 }
 
-fn ending(how: &str) -> Option<Ending> {
+fn ending(how: &str) -> Option<ForwardResult> {
     Some(match how {
-        "success" => Ending::Succeeded,
-        "failure" => Ending::Errored,
-        "overloaded" => Ending::Overloaded,
-        "timed_out" => Ending::TimedOut,
-        "unreachable" => Ending::Unreachable,
-        "broken" => Ending::Broken,
-        "withdrawn" => Ending::Withdrawn,
-        "void" => Ending::Void,
+        "success" => ForwardResult::Succeeded,
+        "failure" => ForwardResult::Errored,
+        "overloaded" => ForwardResult::Overloaded,
+        "timed_out" => ForwardResult::TimedOut,
+        "unreachable" => ForwardResult::Unreachable,
+        "broken" => ForwardResult::Broken,
+        "withdrawn" => ForwardResult::Withdrawn,
+        "void" => ForwardResult::Void,
         _ => return None,
     })
 }
@@ -339,14 +358,18 @@
 pub fn write(out: &mut String, inst: u64, action: &Action) {
     // Writing to a String cannot fail.
     let _ = match action {
-        Action::Forward { inv, tgt, .. } => writeln!(out, "SUBMIT_TO {inst} {inv} {tgt} -"),
-        Action::Cancel { inv, forward } => writeln!(out, "CANCEL {inst} {inv} {forward}"),
-        Action::Throttle { inv, come_back: Some(after) } => writeln!(out, "DENY {inst} {inv} {after}"),
-        Action::Throttle { inv, come_back: None } => writeln!(out, "DENY {inst} {inv} -"),
-        Action::Error { inv } => writeln!(out, "DROP_REQUEST {inst} {inv}"),
-        Action::Probe { tgt } => writeln!(out, "SAMPLE {inst} {tgt}"),
-        Action::Follow => writeln!(out, "OBSERVE {inst} 1"),
-        Action::Tick { after } => writeln!(out, "ARM {inst} {after} {TICK}"),
+        Action::Forward { invocation: inv, runner: tgt, .. } => {
+            writeln!(out, "SUBMIT_TO {inst} {inv} {tgt} -")
+        }
+        Action::Cancel { invocation: inv, forward } => writeln!(out, "CANCEL {inst} {inv} {forward}"),
+        Action::Throttle { invocation: inv, retry_after: Some(after) } => {
+            writeln!(out, "DENY {inst} {inv} {after}")
+        }
+        Action::Throttle { invocation: inv, retry_after: None } => writeln!(out, "DENY {inst} {inv} -"),
+        Action::Error { invocation: inv } => writeln!(out, "DROP_REQUEST {inst} {inv}"),
+        Action::Probe { runner: tgt } => writeln!(out, "SAMPLE {inst} {tgt}"),
+        Action::Subscribe => writeln!(out, "OBSERVE {inst} 1"),
+        Action::SetTimer { after } => writeln!(out, "ARM {inst} {after} {TICK}"),
         Action::Log(text) => writeln!(out, "TRACE {inst} {}", one_line(text)),
     };
 }
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -9,7 +9,8 @@
 use rand::RngExt;
 use rand_pcg::Pcg32;
 use topazsail::{
-    Action, Brain, Effect, Ending, Event, Group, Id, Listing, Micros, Readiness, StandingOrders,
+    Action, DeduplicationScope, Effect, Event, ForwardResult, Id, Listing, Micros, Readiness, RoutingPolicy,
+    Settings,
 };
 
 use crate::load::chance;
@@ -55,22 +56,22 @@
 }
 
 pub trait Decide {
-    /// As [`Brain::decide`]; `truth` is for those baselines that are told it.
+    /// As [`RoutingPolicy::decide`]; `truth` is for those baselines that are told it.
     fn decide(&mut self, now: Micros, happened: Event, truth: &[Runner]) -> Vec<Action>;
 }
 
-impl Decide for Brain {
+impl Decide for RoutingPolicy {
     fn decide(&mut self, now: Micros, happened: Event, _: &[Runner]) -> Vec<Action> {
-        Brain::decide(self, now, vec![happened])
+        RoutingPolicy::decide(self, now, vec![happened])
     }
 }
 
-pub fn decider(policy: Policy, orders: StandingOrders, seed: u64) -> Box<dyn Decide> {
+pub fn decider(policy: Policy, settings: Settings, seed: u64) -> Box<dyn Decide> {
     match policy {
-        Policy::Topazsail => Box::new(Brain::new(orders, seed)),
+        Policy::Topazsail => Box::new(RoutingPolicy::new(settings, seed)),
         _ => Box::new(Baseline {
             policy,
-            orders,
+            settings,
             chance: chance(seed, 4),
             listed: Vec::new(),
             reported: HashMap::new(),
@@ -89,7 +90,7 @@
 
 struct Baseline {
     policy: Policy,
-    orders: StandingOrders,
+    settings: Settings,
     chance: Pcg32,
     listed: Vec<(u32, Id)>,
     reported: HashMap<u32, f64>,
@@ -142,9 +143,9 @@
         let tgt = self.choose(truth);
         let Some(held) = self.invs.get_mut(&inv) else { return Vec::new() };
         match tgt {
-            Some(tgt) if held.forwards < self.orders.most_forwards => {
+            Some(tgt) if held.forwards < self.settings.max_forwards => {
                 held.forwards += 1;
-                vec![Action::Forward { inv, tgt, by: None }]
+                vec![Action::Forward { invocation: inv, runner: tgt, latest: None }]
             }
             _ => self.give_up(inv),
         }
@@ -152,11 +153,14 @@
 
     fn give_up(&mut self, inv: Id) -> Vec<Action> {
         let Some(held) = self.invs.remove(&inv) else { return Vec::new() };
-        let effect = self.orders.operations[held.operation].effect;
-        let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated(Group::All));
+        let effect = self.settings.operations[held.operation].effect;
+        let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated(DeduplicationScope::All));
         match harmless || !held.may_have_run {
-            true => vec![Action::Throttle { inv, come_back: self.orders.come_back_max.map(|most| most / 4) }],
-            false => vec![Action::Error { inv }],
+            true => vec![Action::Throttle {
+                invocation: inv,
+                retry_after: self.settings.max_retry_after.map(|most| most / 4),
+            }],
+            false => vec![Action::Error { invocation: inv }],
         }
     }
 }
@@ -166,30 +170,33 @@
         match happened {
             Event::Arrival(arrival) => {
                 let held = Held { operation: arrival.operation, forwards: 0, may_have_run: false };
-                self.invs.insert(arrival.inv.clone(), held);
-                self.forward(arrival.inv, truth)
+                self.invs.insert(arrival.invocation.clone(), held);
+                self.forward(arrival.invocation, truth)
             }
             Event::Outcome(outcome) => {
                 if let Some(in_flight) = outcome.report.get(2) {
-                    self.reported.insert(number(&outcome.tgt), *in_flight);
+                    self.reported.insert(number(&outcome.runner), *in_flight);
                 }
-                if outcome.finished {
-                    self.invs.remove(&outcome.inv);
+                if outcome.answered {
+                    self.invs.remove(&outcome.invocation);
                     return Vec::new();
                 }
-                let never = matches!(outcome.ending, Ending::Overloaded | Ending::Unreachable | Ending::Void);
-                let Some(held) = self.invs.get_mut(&outcome.inv) else { return Vec::new() };
+                let never = matches!(
+                    outcome.result,
+                    ForwardResult::Overloaded | ForwardResult::Unreachable | ForwardResult::Void
+                );
+                let Some(held) = self.invs.get_mut(&outcome.invocation) else { return Vec::new() };
                 held.may_have_run |= !never;
-                let effect = self.orders.operations[held.operation].effect;
+                let effect = self.settings.operations[held.operation].effect;
                 // Groups and spans are left alone: what may have run goes again only where any runner will do.
                 let again = !held.may_have_run || effect == Effect::Idempotent;
-                if again && outcome.ending != Ending::TimedOut {
-                    self.forward(outcome.inv, truth)
+                if again && outcome.result != ForwardResult::TimedOut {
+                    self.forward(outcome.invocation, truth)
                 } else {
-                    self.give_up(outcome.inv)
+                    self.give_up(outcome.invocation)
                 }
             }
-            Event::Gone { inv } => {
+            Event::ClientLeft { invocation: inv } => {
                 self.invs.remove(&inv);
                 Vec::new()
             }
@@ -199,16 +206,16 @@
                     self.listed.clear();
                 }
                 for entry in roster.entries {
-                    let r = number(&entry.tgt);
+                    let r = number(&entry.runner);
                     if !whole {
                         self.listed.retain(|(known, _)| *known != r);
                     }
                     if entry.readiness == Readiness::Up {
-                        self.listed.push((r, entry.tgt));
+                        self.listed.push((r, entry.runner));
                     }
                 }
                 let ask = !std::mem::replace(&mut self.subscribed, roster.listing != Listing::Refused);
-                if ask { vec![Action::Follow] } else { Vec::new() }
+                if ask { vec![Action::Subscribe] } else { Vec::new() }
             }
             _ => Vec::new(),
         }
--- a/lab/src/start.rs
+++ b/lab/src/start.rs
@@ -8,7 +8,7 @@
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
-use topazsail::{Micros, StandingOrders};
+use topazsail::{Micros, Settings};
 use topazsail_recovery::limits::{self, AdmissionLimits, OperationValue};
 use topazsail_recovery::{Event, Recovery, Stage};
 use topazsail_store::LoadSummary;
@@ -30,7 +30,7 @@
 }
 
 impl Start {
-    pub fn new(orders: &StandingOrders, peers: bool, began_with: usize, drawn: Pcg32, now: Micros) -> Start {
+    pub fn new(settings: &Settings, peers: bool, began_with: usize, drawn: Pcg32, now: Micros) -> Start {
         let worth = |op: &topazsail::Operation| OperationValue {
             value: op.billed_value,
             latency_objective: op.latency_objective,
@@ -39,12 +39,12 @@
         recovery.handle(now, Event::Opened { found: &LoadSummary::default(), boot: Some(1) });
         Start {
             recovery,
-            limits: AdmissionLimits::new(orders.operations.iter().map(worth), now),
+            limits: AdmissionLimits::new(settings.operations.iter().map(worth), now),
             listed: BTreeMap::new(),
             began_with,
-            cold_from: orders.cold_from,
-            warm_within: orders.warm_within,
-            come_back_most: orders.come_back_max,
+            cold_from: settings.cold_capacity_share,
+            warm_within: settings.warm_up_span,
+            come_back_most: settings.max_retry_after,
             drawn,
         }
     }
--- a/lab/src/talk.rs
+++ b/lab/src/talk.rs
@@ -7,7 +7,7 @@
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
-use topazsail::{Micros, StandingOrders};
+use topazsail::{Micros, Settings};
 use topazsail_peers::{Action, Member, PeerEvent, Peers};
 
 pub struct Talk {
@@ -39,7 +39,7 @@
     pub fn new(
         (d, all): (u32, u32),
         boot: u64,
-        orders: &StandingOrders,
+        settings: &Settings,
         mut drawn: Pcg32,
         rests_until: Micros,
         now: Micros,
@@ -48,7 +48,7 @@
         let members = others.map(|d| Member { name: name(d), address: address(d) }).collect();
         let (nonce, seed) = (drawn.random(), drawn.random());
         let mut core = Peers::new(&name(d), members, (boot, nonce), seed, now);
-        core.settings(orders.dispatchers as usize, orders.tip_after);
+        core.settings(settings.dispatchers as usize, settings.overload_window);
         Talk { core, rests_until }
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// What is this dispatcher's own of cold runners' budgets.
-    pub fn portions(&mut self, cold: Vec<topazsail::Id>, now: Micros) -> Vec<topazsail::Portion> {
+    pub fn portions(&mut self, cold: Vec<topazsail::Id>, now: Micros) -> Vec<topazsail::SlowStartShare> {
         let portions = self.core.portions(cold.iter().map(|id| &**id), now);
         if now < self.rests_until {
             return Vec::new();
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -13,8 +13,8 @@
 use rand_pcg::Pcg32;
 use rustc_hash::FxHashMap;
 use topazsail::{
-    Action, Arrival, Ending, Event, Id, Listing, Micros, Outcome as Ended, Readiness, Roster, RosterEntry,
-    StandingOrders,
+    Action, Arrival, Event, ForwardResult, Id, Listing, Micros, Outcome as Ended, Readiness, Roster,
+    RosterEntry, Settings,
 };
 
 use crate::judge::{Back, Final, Judge, Seen, Terms};
@@ -64,7 +64,7 @@
     Submit(Incarnation, u64, u32, u32),
     /// The connection of a forward is free again.
     Free(Incarnation, u32),
-    Heard(Incarnation, u64, u32, Ending, Option<Load>),
+    Heard(Incarnation, u64, u32, ForwardResult, Option<Load>),
     Progress(Incarnation, u64, u32),
     Cancel(Incarnation, u64, u32, u32),
     Probe(Incarnation, u32, u64),
@@ -180,7 +180,7 @@
     serial: u64,
     world: World,
     dispatchers: Vec<Dispatcher>,
-    orders: Vec<StandingOrders>,
+    settings: Vec<Settings>,
     /// Which dispatchers the front sends to.
     front: Vec<bool>,
     ids: Vec<Id>,
@@ -221,7 +221,7 @@
     fn new(scenario: &'a Scenario, policy: Policy, seed: u64, options: Options) -> Result<Clock<'a>, String> {
         let world = World::new(scenario, seed);
         let zones = &scenario.zones.names;
-        let mut orders = Vec::new();
+        let mut settings = Vec::new();
         // The settings go the way that they go on sockets, so that both clocks tell the same.
         for number in 0..scenario.dispatchers {
             let told = Told {
@@ -234,9 +234,9 @@
                 kept: None,
             };
             let decoded = topazsail_node::config::decode(&scenario.configuration(&told))?;
-            let mut standing = decoded.decoded.standing;
-            standing.portioned = scenario.store.as_ref().is_some_and(|store| store.peers);
-            orders.push(standing);
+            let mut own_settings = decoded.decoded.settings;
+            own_settings.slow_start_is_shared = scenario.store.as_ref().is_some_and(|store| store.peers);
+            settings.push(own_settings);
         }
         let runners = world.runners.len();
         let places = world.places();
@@ -273,7 +273,7 @@
             options,
             decisions: 0,
             spent: [Duration::ZERO; 2],
-            orders,
+            settings,
             world,
         })
     }
@@ -387,7 +387,7 @@
                 let open = self.living(life).and_then(|dispatcher| dispatcher.invs.get(&inv));
                 if let Some(open) = open.filter(|open| open.sent[number as usize].out) {
                     let inv = open.id.clone();
-                    self.tell(life.d, Event::Progress { inv, forward: number });
+                    self.tell(life.d, Event::Progress { invocation: inv, forward: number });
                 }
             }
             Ev::Probed(life, r, nth, load) => {
@@ -397,7 +397,7 @@
                 }
                 dispatcher.probes.remove(&r);
                 let (tgt, alive) = (self.ids[r as usize].clone(), load.is_some());
-                self.tell(life.d, Event::Probed { tgt, alive, report: report(load) });
+                self.tell(life.d, Event::ProbeEnded { runner: tgt, alive, report: report(load) });
             }
             Ev::RunnerDue(r, nth) => {
                 if self.due[r as usize].1 == nth {
@@ -407,7 +407,7 @@
             }
             Ev::Tick(life) => {
                 if self.living(life).is_some() {
-                    self.tell(life.d, Event::Tick);
+                    self.tell(life.d, Event::TimerFired);
                 }
             }
             Ev::Round(life) => self.round(life),
@@ -492,7 +492,7 @@
         let cold = start.cold(now).into_iter().map(|r| self.ids[r as usize].clone()).collect();
         let portions = talk.portions(cold, now);
         if !portions.is_empty() {
-            self.tell(d, Event::Portions(portions));
+            self.tell(d, Event::SlowStartShares(portions));
         }
     }
 
@@ -605,7 +605,17 @@
         }
         let life = self.life(d);
         self.push(self.now + expires_in, Ev::Overdue(life, inv));
-        self.tell(d, Event::Arrival(Arrival { inv: id, operation, expires_in, slots: 1.0, hint: None, key }));
+        self.tell(
+            d,
+            Event::Arrival(Arrival {
+                invocation: id,
+                operation,
+                time_left: expires_in,
+                slots: 1.0,
+                work_hint: None,
+                key,
+            }),
+        );
     }
 
     fn overdue(&mut self, life: Incarnation, inv: u64) {
@@ -618,13 +628,13 @@
             let id = open.id.clone();
             let zone = dispatcher.zone;
             self.send(zone, self.world.runners[r as usize].zone, Ev::Cancel(life, inv, number as u32, r));
-            self.outcome(life.d, (inv, id), (number as u32, r), Ending::TimedOut, elapsed, None);
+            self.outcome(life.d, (inv, id), (number as u32, r), ForwardResult::TimedOut, elapsed, None);
         }
         // What the module has not ended by now gets its error all the same.
         if let Some(open) = self.dispatchers[life.d as usize].invs.get(&inv).filter(|open| !open.answered) {
             let id = open.id.clone();
             self.answer(life.d, inv, Final::Errored, None);
-            self.tell(life.d, Event::Gone { inv: id });
+            self.tell(life.d, Event::ClientLeft { invocation: id });
         }
     }
 
@@ -633,17 +643,25 @@
         d: u32,
         (inv, id): (u64, Id),
         (forward, r): (u32, u32),
-        ending: Ending,
+        ending: ForwardResult,
         elapsed: Micros,
         load: Option<Load>,
     ) {
         let mut finished = self.dispatchers[d as usize].invs.get(&inv).is_none_or(|open| open.answered);
-        if ending == Ending::Succeeded && !finished {
+        if ending == ForwardResult::Succeeded && !finished {
             finished = true;
             self.answer(d, inv, Final::Succeeded, None);
         }
         let tgt = self.ids[r as usize].clone();
-        let ended = Ended { inv: id, forward, tgt, ending, finished, elapsed, report: report(load) };
+        let ended = Ended {
+            invocation: id,
+            forward,
+            runner: tgt,
+            result: ending,
+            answered: finished,
+            elapsed,
+            report: report(load),
+        };
         self.tidy(d, inv);
         self.tell(d, Event::Outcome(ended));
     }
@@ -682,8 +700,8 @@
         let life = self.life(d);
         for action in actions {
             match action {
-                Action::Forward { inv, tgt, .. } => self.forward(life, &inv, &tgt),
-                Action::Cancel { inv, forward } => {
+                Action::Forward { invocation: inv, runner: tgt, .. } => self.forward(life, &inv, &tgt),
+                Action::Cancel { invocation: inv, forward } => {
                     let inv = key(&inv);
                     let sent = self.dispatchers[d as usize].invs.get(&inv);
                     let sent = sent.and_then(|open| open.sent.get(forward as usize)).filter(|sent| sent.out);
@@ -691,27 +709,27 @@
                     if !left {
                         // As on sockets: what never got out is withdrawn at once, or an answer that comes
                         // meanwhile would be followed by a forward.
-                        self.push(self.now, Ev::Heard(life, inv, forward, Ending::Withdrawn, None));
+                        self.push(self.now, Ev::Heard(life, inv, forward, ForwardResult::Withdrawn, None));
                     } else {
                         self.tally.traffic.cancels += 1;
                         let (from, to) = self.ends(d, r);
                         self.send(from, to, Ev::Cancel(life, inv, forward, r));
                     }
                 }
-                Action::Throttle { inv, come_back } => {
+                Action::Throttle { invocation: inv, retry_after: come_back } => {
                     let now = self.now;
                     if let Some(start) = &mut self.dispatchers[d as usize].start {
                         start.short(now);
                     }
                     self.answer(d, key(&inv), Final::Throttled, come_back);
                 }
-                Action::Error { inv } => self.answer(d, key(&inv), Final::Errored, None),
-                Action::Probe { tgt } => self.probe(life, number(&tgt)),
-                Action::Follow => {
+                Action::Error { invocation: inv } => self.answer(d, key(&inv), Final::Errored, None),
+                Action::Probe { runner: tgt } => self.probe(life, number(&tgt)),
+                Action::Subscribe => {
                     let zone = self.dispatchers[d as usize].zone;
                     self.send(zone, 0, Ev::Call(life));
                 }
-                Action::Tick { after } => self.push(self.now + after.max(1), Ev::Tick(life)),
+                Action::SetTimer { after } => self.push(self.now + after.max(1), Ev::Tick(life)),
                 Action::Log(_) => {}
             }
         }
@@ -729,7 +747,7 @@
         let sendable = !open.answered && !open.sent.iter().any(|sent| sent.out);
         open.sent.push(Sent { left: false, runner: r, at: now, out: sendable });
         if !sendable {
-            return self.push(now, Ev::Heard(life, inv, number, Ending::Void, None));
+            return self.push(now, Ev::Heard(life, inv, number, ForwardResult::Void, None));
         }
         if let Some((idle, _)) = dispatcher.conns.get_mut(&r).filter(|(idle, _)| *idle > 0) {
             *idle -= 1;
@@ -739,7 +757,7 @@
             life,
             r,
             Ev::Dialled(life, inv, number, r),
-            Ev::Heard(life, inv, number, Ending::Unreachable, None),
+            Ev::Heard(life, inv, number, ForwardResult::Unreachable, None),
         );
     }
 
@@ -777,7 +795,7 @@
         let Some(dispatcher) = self.living(life) else { return };
         let out = dispatcher.invs.get(&inv).is_some_and(|open| open.sent[number as usize].out);
         if !self.connected(life, r) {
-            return self.push(self.now, Ev::Heard(life, inv, number, Ending::Unreachable, None));
+            return self.push(self.now, Ev::Heard(life, inv, number, ForwardResult::Unreachable, None));
         }
         if out {
             self.leave(life, inv, number, r);
@@ -829,13 +847,13 @@
         }
     }
 
-    fn heard(&mut self, life: Incarnation, inv: u64, number: u32, ending: Ending, load: Option<Load>) {
+    fn heard(&mut self, life: Incarnation, inv: u64, number: u32, ending: ForwardResult, load: Option<Load>) {
         let now = self.now;
         let operation = self.asks.get(&(inv >> TRY_BITS)).map(|asked| asked.ask.operation);
         let Some(dispatcher) = self.living(life) else { return };
         let Some(open) = dispatcher.invs.get_mut(&inv) else { return };
         let id = open.id.clone();
-        if let Some(start) = dispatcher.start.as_mut().filter(|_| ending == Ending::Succeeded)
+        if let Some(start) = dispatcher.start.as_mut().filter(|_| ending == ForwardResult::Succeeded)
             && let Some(operation) = operation
         {
             start.succeeded(operation, now - open.at);
@@ -844,22 +862,22 @@
         let (r, elapsed, was_out) = (sent.runner, now - sent.at, sent.out);
         sent.out = false;
         let how = match ending {
-            Ending::Succeeded => Some(Back::Succeeded),
-            Ending::Overloaded => Some(Back::NeverRan),
+            ForwardResult::Succeeded => Some(Back::Succeeded),
+            ForwardResult::Overloaded => Some(Back::NeverRan),
             // No byte left: the judge never saw a forward.
-            Ending::Unreachable | Ending::Void => None,
-            Ending::Withdrawn => None,
+            ForwardResult::Unreachable | ForwardResult::Void => None,
+            ForwardResult::Withdrawn => None,
             _ => Some(Back::MayHaveRun),
         };
         if let Some(how) = how {
             self.judge.see(now, Seen::Ended { inv, runner: r, how });
         }
-        if was_out || ending == Ending::Void {
+        if was_out || ending == ForwardResult::Void {
             self.outcome(life.d, (inv, id), (number, r), ending, elapsed, load);
-        } else if ending == Ending::Succeeded {
+        } else if ending == ForwardResult::Succeeded {
             // Given up, but it came to its end all the same: this is the result that is owed.
             self.answer(life.d, inv, Final::Succeeded, None);
-            self.tell(life.d, Event::Gone { inv: id });
+            self.tell(life.d, Event::ClientLeft { invocation: id });
         }
     }
 
@@ -892,7 +910,7 @@
                     self.reschedule(r);
                 }
                 let (to, from) = self.ends(life.d, r);
-                self.send(from, to, Ev::Heard(life, inv, number, Ending::Withdrawn, None));
+                self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Withdrawn, None));
             }
             Ev::Probe(life, r, nth) => {
                 let load = self.world.runners[r as usize].report(self.now);
@@ -908,12 +926,12 @@
         match ev {
             Ev::Submit(life, inv, number, r) => {
                 let (to, from) = self.ends(life.d, r);
-                self.send(from, to, Ev::Heard(life, inv, number, Ending::Broken, None));
+                self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Broken, None));
             }
             Ev::Cancel(life, inv, number, r) => {
                 self.judge.see(self.now, Seen::Withdrawn { inv, runner: r });
                 let (to, from) = self.ends(life.d, r);
-                self.send(from, to, Ev::Heard(life, inv, number, Ending::Withdrawn, None));
+                self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Withdrawn, None));
             }
             Ev::Probe(life, r, nth) => {
                 let (to, from) = self.ends(life.d, r);
@@ -927,7 +945,7 @@
         let (to, from) = self.ends(life.d, r);
         let Some(asked) = self.asks.get(&(inv >> TRY_BITS)) else {
             // The client has its answer or has left, and how much work it was is not kept: it fails at once.
-            return self.send(from, to, Ev::Heard(life, inv, number, Ending::Errored, None));
+            return self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Errored, None));
         };
         let (operation, work) = (asked.ask.operation, asked.ask.work);
         let mut news = std::mem::take(&mut self.told);
@@ -941,10 +959,10 @@
             }
             Taken::Full => {
                 self.tally.traffic.turned_away += 1;
-                self.send(from, to, Ev::Heard(life, inv, number, Ending::Overloaded, Some(load)));
+                self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Overloaded, Some(load)));
             }
             Taken::Failed => {
-                self.send(from, to, Ev::Heard(life, inv, number, Ending::Errored, Some(load)));
+                self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Errored, Some(load)));
             }
         }
         self.news(r, &mut news);
@@ -985,9 +1003,9 @@
                     self.send(from, to, Ev::Progress(life, inv, number));
                     continue;
                 }
-                News::Done => Ending::Succeeded,
-                News::Returned => Ending::Overloaded,
-                News::Started | News::Failed => Ending::Errored,
+                News::Done => ForwardResult::Succeeded,
+                News::Returned => ForwardResult::Overloaded,
+                News::Started | News::Failed => ForwardResult::Errored,
             };
             self.owners.remove(&(r, inv));
             self.send(from, to, Ev::Heard(life, inv, number, ending, load));
@@ -1044,7 +1062,7 @@
             let Some((life, number)) = self.owners.remove(&(*r as u32, *inv)) else { continue };
             // Where the machine itself is gone, nobody is left to tell.
             if self.world.runners[*r].life == Life::Down {
-                self.push(self.now + AGENT, Ev::Heard(life, *inv, number, Ending::Broken, None));
+                self.push(self.now + AGENT, Ev::Heard(life, *inv, number, ForwardResult::Broken, None));
             }
         }
         for r in &follows.reset {
@@ -1144,11 +1162,11 @@
         let zone = nth % self.world.zones;
         let (epoch, starts) = self.dispatchers.get(nth).map_or((0, 0), |old| (old.epoch + 1, old.starts + 1));
         let (now, killed_at) = (self.now, self.dispatchers.get(nth).and_then(|old| old.killed_at));
-        let orders = &self.orders[nth];
-        let peers = orders.portioned;
+        let settings = &self.settings[nth];
+        let peers = settings.slow_start_is_shared;
         let seed = chance(self.seed, 1 << 41 | u64::from(d) << 8 | starts).random();
         let dispatcher = Dispatcher {
-            decide: decider(self.policy, self.orders[nth].clone(), seed),
+            decide: decider(self.policy, self.settings[nth].clone(), seed),
             alive: true,
             epoch,
             starts,
@@ -1160,12 +1178,12 @@
             still: None,
             start: self.scenario.store.is_some().then(|| {
                 let drawn = chance(self.seed, 1 << 42 | u64::from(d) << 8 | starts);
-                Start::new(orders, peers, self.world.runners.len(), drawn, now)
+                Start::new(settings, peers, self.world.runners.len(), drawn, now)
             }),
             talk: peers.then(|| {
                 let drawn = chance(self.seed, 1 << 43 | u64::from(d) << 8 | starts);
-                let rests_until = killed_at.map_or(now, |at| at + orders.tip_after);
-                Talk::new((d, self.scenario.dispatchers), starts + 1, orders, drawn, rests_until, now)
+                let rests_until = killed_at.map_or(now, |at| at + settings.overload_window);
+                Talk::new((d, self.scenario.dispatchers), starts + 1, settings, drawn, rests_until, now)
             }),
             killed_at: None,
         };
@@ -1189,10 +1207,10 @@
     fn entry(&self, r: u32, state: State) -> RosterEntry {
         let runner = &self.world.runners[r as usize];
         RosterEntry {
-            tgt: self.ids[r as usize].clone(),
+            runner: self.ids[r as usize].clone(),
             cell: runner.cell,
             size: 1.0,
-            kind: Id::from(self.scenario.pool[runner.kind].kind.as_str()),
+            machine_type: Id::from(self.scenario.pool[runner.kind].kind.as_str()),
             zone: Id::from(self.scenario.zones.names[runner.zone].as_str()),
             readiness: match state {
                 State::Up => Readiness::Up,
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -12,7 +12,7 @@
 
 use serde_json::Value;
 use topazsail_peers::Member;
-use topazsail_settings::Decoded;
+use topazsail_settings::DecodedSettings;
 
 use crate::net::errno;
 use crate::upstream::roster::Listed;
@@ -36,7 +36,7 @@
     pub peers: Option<PeersAt>,
     /// The whole file, by which a key that is gone is known.
     pub file: Value,
-    pub decoded: Decoded,
+    pub decoded: DecodedSettings,
     /// The list of runners as this dispatcher last had it.
     pub known: Listed,
 }
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -12,11 +12,12 @@
 use std::net::SocketAddr;
 
 use topazsail::{
-    Action, Arrival, Brain, Ending, Event, Id, Listing, Micros, Outcome, Readiness, Roster as List, Spent,
+    Action, Arrival, Event, ForwardResult, Id, Listing, Micros, Outcome, Readiness, Roster as List,
+    RoutingPolicy, SlowStartUsage,
 };
 use topazsail_recovery::Stage;
 use topazsail_recovery::limits::OperationValue;
-use topazsail_settings::Decoded;
+use topazsail_settings::DecodedSettings;
 
 use crate::config::{self, Dispatcher};
 use crate::ingress::clients::{self, CallBack, Clients, Invocation, State};
@@ -107,41 +108,41 @@
 
 /// What settings mean on sockets.
 fn on_sockets(
-    decoded: &mut Decoded,
+    decoded: &mut DecodedSettings,
     portioned: bool,
     clients: &mut Clients,
     figures: &mut Figures,
     now: Micros,
 ) {
-    let standing = &mut decoded.standing;
-    standing.portioned = portioned;
+    let settings = &mut decoded.settings;
+    settings.slow_start_is_shared = portioned;
     // The list comes only on a watch, and a watch has to be opened whatever the settings say; connections end
     // by our own time, which is shorter than the runners'.
-    standing.must_subscribe = true;
-    standing.idle_close = decoded.idle_close / 2;
+    settings.must_subscribe = true;
+    settings.idle_timeout = decoded.idle_close / 2;
     decoded.operations.iter().for_each(|operation| figures.uses(operation));
-    let told = decoded.operations.drain(..).zip(std::mem::take(&mut standing.operations));
-    standing.operations = clients.operations.set(told.collect(), now);
+    let told = decoded.operations.drain(..).zip(std::mem::take(&mut settings.operations));
+    settings.operations = clients.operations.set(told.collect(), now);
 }
 
-fn worth(decoded: &Decoded) -> Vec<OperationValue> {
+fn worth(decoded: &DecodedSettings) -> Vec<OperationValue> {
     let of = |op: &topazsail::Operation| OperationValue {
         value: op.billed_value,
         latency_objective: op.latency_objective,
     };
-    decoded.standing.operations.iter().map(of).collect()
+    decoded.settings.operations.iter().map(of).collect()
 }
 
 /// When to come back where there is no room.
-fn come_back(decoded: &Decoded) -> Option<Micros> {
-    decoded.standing.come_back_max.map(|most| most.min(ROOM_AGAIN))
+fn come_back(decoded: &DecodedSettings) -> Option<Micros> {
+    decoded.settings.max_retry_after.map(|most| most.min(ROOM_AGAIN))
 }
 
 pub use peer_exchange::Meeting;
 pub use persistence::Keeping;
 
 pub struct Desk {
-    brain: Brain,
+    policy: RoutingPolicy,
     /// What only a start can change.
     name: String,
     listen: SocketAddr,
@@ -201,14 +202,14 @@
         let peers = meeting.is_some();
         let (require, began) = (told.store.as_ref().is_some_and(|store| store.require), wires.now());
         let mut decoded = told.decoded;
-        let pushed = !decoded.standing.must_subscribe;
+        let pushed = !decoded.settings.must_subscribe;
         let (mut clients, mut figures) = (Clients::new(), Figures::default());
         on_sockets(&mut decoded, peers, &mut clients, &mut figures, wires.now());
         let come_back = come_back(&decoded);
-        let come_back_most = decoded.standing.come_back_max;
-        let (warm_within, tip_after) = (decoded.standing.warm_within, decoded.standing.tip_after);
-        let dispatchers = decoded.standing.dispatchers as usize;
-        let (cold_from, worth) = (decoded.standing.cold_from, worth(&decoded));
+        let come_back_most = decoded.settings.max_retry_after;
+        let (warm_within, tip_after) = (decoded.settings.warm_up_span, decoded.settings.overload_window);
+        let dispatchers = decoded.settings.dispatchers as usize;
+        let (cold_from, worth) = (decoded.settings.cold_capacity_share, worth(&decoded));
         let mut desk = Desk {
             clients,
             operators: Operators::default(),
@@ -216,7 +217,7 @@
             runners: Runners::new(&decoded),
             members: Members::new(warm_within),
             roster: Roster::new(told.discovery, told.known.generation, pushed),
-            brain: Brain::new(decoded.standing, told.seed),
+            policy: RoutingPolicy::new(decoded.settings, told.seed),
             name: told.name,
             listen: told.listen,
             file: told.file,
@@ -270,14 +271,14 @@
         );
         // Once it knows the runners that this is about.
         if !spent.is_empty() {
-            desk.happened.push(Event::Spent(spent));
+            desk.happened.push(Event::SlowStartUsage(spent));
         }
         desk
     }
 
     /// What the process that served until now knows. Gives the list to begin with, the other's where it
     /// comes from the same discovery, and what the other has sent to cold runners.
-    fn inherit(&mut self, handed: Handed, known: Listed, now: Micros) -> (Listed, Vec<Spent>) {
+    fn inherit(&mut self, handed: Handed, known: Listed, now: Micros) -> (Listed, Vec<SlowStartUsage>) {
         self.theirs = handed.connections;
         handed.gone.iter().for_each(|id| self.members.inherit(id, None, None));
         for (id, since) in &handed.out {
@@ -320,7 +321,7 @@
     pub fn hand_over(&mut self, link: Link, wires: &mut dyn Wires) {
         self.collect(wires);
         let discovery = self.roster.discovery();
-        let spent = self.brain.spent(wires.now());
+        let spent = self.policy.slow_start_usage(wires.now());
         let state = Handed {
             discovery: discovery.to_string(),
             list: self.as_listed().map(|(_, list)| list).unwrap_or_default(),
@@ -347,7 +348,7 @@
     fn as_listed(&self) -> Option<(u64, serde_json::Value)> {
         let generation = self.roster.generation()?;
         let listed = self.members.as_listed();
-        let listed = listed.filter_map(|entry| Some((entry, self.runners.address(&entry.tgt)?)));
+        let listed = listed.filter_map(|entry| Some((entry, self.runners.address(&entry.runner)?)));
         Some((generation, Listed::of(generation, listed)))
     }
 
@@ -423,24 +424,24 @@
         self.collect(wires);
     }
 
-    fn retune(&mut self, mut decoded: Decoded, wires: &mut dyn Wires) {
-        self.roster.pushed(!decoded.standing.must_subscribe);
+    fn retune(&mut self, mut decoded: DecodedSettings, wires: &mut dyn Wires) {
+        self.roster.pushed(!decoded.settings.must_subscribe);
         let portioned = self.meeting.is_some();
         on_sockets(&mut decoded, portioned, &mut self.clients, &mut self.figures, wires.now());
         let names: Vec<&str> = self.clients.operations.names().collect();
-        log!("retuned", "operations={} forwards={}", names.join(","), decoded.standing.most_forwards);
+        log!("retuned", "operations={} forwards={}", names.join(","), decoded.settings.max_forwards);
         self.runners.retune(&decoded);
-        self.members.warm_within(decoded.standing.warm_within);
-        (self.come_back, self.come_back_most) = (come_back(&decoded), decoded.standing.come_back_max);
-        (self.cold_from, self.worth) = (decoded.standing.cold_from, worth(&decoded));
-        (self.tip_after, self.open_cap) = (decoded.standing.tip_after, decoded.open_cap);
+        self.members.warm_within(decoded.settings.warm_up_span);
+        (self.come_back, self.come_back_most) = (come_back(&decoded), decoded.settings.max_retry_after);
+        (self.cold_from, self.worth) = (decoded.settings.cold_capacity_share, worth(&decoded));
+        (self.tip_after, self.open_cap) = (decoded.settings.overload_window, decoded.open_cap);
         self.longest_timeout = decoded.longest_timeout;
         if self.down_since.is_some() {
             wires.wake(Timer::Down, wires.now());
         }
-        self.dispatchers = decoded.standing.dispatchers as usize;
+        self.dispatchers = decoded.settings.dispatchers as usize;
         self.account();
-        self.happened.push(Event::Retuned(Box::new(decoded.standing)));
+        self.happened.push(Event::SettingsChanged(Box::new(decoded.settings)));
     }
 
     /// A configuration that was read again is no good: nothing of it holds.
@@ -525,7 +526,7 @@
 
     pub fn due(&mut self, due: Timer, wires: &mut dyn Wires) {
         match due {
-            Timer::Tick => self.happened.push(Event::Tick),
+            Timer::Tick => self.happened.push(Event::TimerFired),
             Timer::Inv(id) => self.overdue(&id, wires),
             Timer::Cancel(id, number) => self.cancel(&id, number, wires),
             Timer::Down => self.step_down(wires),
@@ -592,7 +593,7 @@
             return;
         }
         let happened = std::mem::take(&mut self.happened);
-        for action in self.brain.decide(wires.now(), happened) {
+        for action in self.policy.decide(wires.now(), happened) {
             self.act(action, wires);
         }
         self.collect(wires);
@@ -600,16 +601,18 @@
 
     fn act(&mut self, action: Action, wires: &mut dyn Wires) {
         match action {
-            Action::Forward { inv, tgt, by } => self.forward(&inv, tgt, by, wires),
-            Action::Cancel { inv, forward } => self.cancel(&inv, forward, wires),
-            Action::Throttle { inv, come_back } => {
+            Action::Forward { invocation: inv, runner: tgt, latest: by } => {
+                self.forward(&inv, tgt, by, wires)
+            }
+            Action::Cancel { invocation: inv, forward } => self.cancel(&inv, forward, wires),
+            Action::Throttle { invocation: inv, retry_after: come_back } => {
                 self.was_short(wires.now());
                 self.answer(&inv, THROTTLED, come_back, b"", wires);
             }
-            Action::Error { inv } => self.answer(&inv, ERRORED, None, b"", wires),
-            Action::Probe { tgt } => self.runners.probe(&tgt, wires),
-            Action::Follow => self.roster.follow(wires),
-            Action::Tick { after } => wires.wake(Timer::Tick, wires.now() + after),
+            Action::Error { invocation: inv } => self.answer(&inv, ERRORED, None, b"", wires),
+            Action::Probe { runner: tgt } => self.runners.probe(&tgt, wires),
+            Action::Subscribe => self.roster.follow(wires),
+            Action::SetTimer { after } => wires.wake(Timer::Tick, wires.now() + after),
             Action::Log(text) => log!("brain", "{}", text.escape_debug()),
         }
     }
@@ -624,7 +627,7 @@
             let message = (open.head.as_slice(), open.body.as_slice());
             self.runners.forward(&tgt, (inv, number), message, (open.expires_at, by), open.link, wires);
         } else {
-            self.end(inv, number, Ending::Void, Vec::new(), at);
+            self.end(inv, number, ForwardResult::Void, Vec::new(), at);
         }
     }
 
@@ -693,18 +696,26 @@
     }
 
     /// A forward's one outcome.
-    fn end(&mut self, inv: &Id, number: u32, ending: Ending, report: Vec<f64>, now: Micros) {
+    fn end(&mut self, inv: &Id, number: u32, ending: ForwardResult, report: Vec<f64>, now: Micros) {
         let Some(open) = self.invs.get_mut(inv) else { return };
         let finished = open.answered;
         let sent = open.forwards.get_mut(number as usize).filter(|sent| sent.out);
         let Some(sent) = sent else { return };
         sent.out = false;
         let (tgt, elapsed, forward) = (sent.tgt.clone(), now - sent.at, number);
-        if !matches!(ending, Ending::Succeeded | Ending::Overloaded) {
+        if !matches!(ending, ForwardResult::Succeeded | ForwardResult::Overloaded) {
             let (code, ms) = (ending.code(), elapsed / 1000);
             log!("attempt-failed", "inv={inv} attempt={number} runner={tgt} ending={code} ms={ms}");
         }
-        let outcome = Outcome { inv: inv.clone(), forward, tgt, ending, finished, elapsed, report };
+        let outcome = Outcome {
+            invocation: inv.clone(),
+            forward,
+            runner: tgt,
+            result: ending,
+            answered: finished,
+            elapsed,
+            report,
+        };
         self.happened.push(Event::Outcome(outcome));
         if finished && open.out().is_none() {
             self.invs.remove(inv);
@@ -720,7 +731,7 @@
             log!("overdue", "inv={inv} forwards={}", open.forwards.len());
             return self.error(inv, wires);
         }
-        self.happened.push(Event::Over { inv: inv.clone() });
+        self.happened.push(Event::AnswerNow { invocation: inv.clone() });
         wires.wake(Timer::Inv(inv.clone()), wires.now() + OVERDUE);
     }
 
@@ -731,7 +742,7 @@
         let tgt = open.forwards[number as usize].tgt.clone();
         // What has not left cannot have run, and need not be errored.
         let held_back = self.runners.hold_back(&tgt, inv, number, wires);
-        let ending = if held_back { Ending::Void } else { Ending::TimedOut };
+        let ending = if held_back { ForwardResult::Void } else { ForwardResult::TimedOut };
         self.end(inv, number, ending, Vec::new(), wires.now());
         if !held_back {
             self.runners.give_up(&tgt, inv, number, wires);
@@ -741,7 +752,7 @@
     /// Answers without waiting for the brain, which hears that nothing more is owed.
     fn error(&mut self, inv: &Id, wires: &mut dyn Wires) {
         self.answer(inv, ERRORED, None, b"", wires);
-        self.happened.push(Event::Gone { inv: inv.clone() });
+        self.happened.push(Event::ClientLeft { invocation: inv.clone() });
     }
 
     /// Turns what the parts have heard into events.
@@ -790,15 +801,15 @@
                     if let Some(link) = self.invs.get(&inv).map(|open| open.link) {
                         self.gone(link, inv.clone(), wires);
                     }
-                    self.end(&inv, number, Ending::Void, Vec::new(), wires.now());
+                    self.end(&inv, number, ForwardResult::Void, Vec::new(), wires.now());
                 }
                 runners::Heard::Unusable { inv, number } => {
                     // No runner will take it, and it says nothing against this one.
                     self.answer(&inv, UNUSABLE, None, b"", wires);
-                    self.end(&inv, number, Ending::Void, Vec::new(), wires.now());
+                    self.end(&inv, number, ForwardResult::Void, Vec::new(), wires.now());
                 }
                 runners::Heard::Dropped { inv, number } => {
-                    self.end(&inv, number, Ending::Withdrawn, Vec::new(), wires.now());
+                    self.end(&inv, number, ForwardResult::Withdrawn, Vec::new(), wires.now());
                 }
                 runners::Heard::NotDropped { inv, number } => {
                     if let Some(sent) = self.sent(&inv, number).filter(|sent| sent.out) {
@@ -809,7 +820,7 @@
                     }
                 }
                 runners::Heard::Probed { tgt, alive, report } => {
-                    self.happened.push(Event::Probed { tgt, alive, report });
+                    self.happened.push(Event::ProbeEnded { runner: tgt, alive, report });
                 }
             }
         }
@@ -832,7 +843,7 @@
                 let now = Now {
                     in_progress: self.invs.values().filter(|open| !open.answered).count(),
                     known_runners,
-                    skipped_runners: self.brain.set_aside(wires.now()) + out,
+                    skipped_runners: self.policy.set_aside(wires.now()) + out,
                     tries: self.runners.written(),
                 };
                 let kept = self.keeping.as_ref().map(Keeping::figures).unwrap_or_default();
@@ -877,7 +888,7 @@
         log!(code, "runner={id:?} answer={}", told.as_ref().err().unwrap_or(&"yes"));
         let Some(entry) = told? else { return Ok(()) };
         if out {
-            self.runners.recall(&entry.tgt, wires);
+            self.runners.recall(&entry.runner, wires);
         }
         self.happened.push(Event::Roster(List { listing: Listing::Own, entries: vec![entry] }));
         Ok(())
@@ -918,9 +929,9 @@
         let mut entries = Vec::new();
         for (entry, address) in heard.entries {
             let listed = entry.readiness != Readiness::Removed;
-            self.runners.note(&entry.tgt, listed, address, wires);
+            self.runners.note(&entry.runner, listed, address, wires);
             if entry.readiness != Readiness::Up {
-                self.runners.recall_waiting(&entry.tgt, wires);
+                self.runners.recall_waiting(&entry.runner, wires);
             }
             entries.push(entry);
         }
@@ -970,7 +981,14 @@
         wires.wake(Timer::Inv(told.id.clone()), told.expires_at);
         let (inv, operation, slots, key) = (told.id.clone(), told.operation, told.slots, told.key);
         let (expires_in, hint) = (told.expires_at - now, told.hint);
-        self.happened.push(Event::Arrival(Arrival { inv, operation, expires_in, slots, hint, key }));
+        self.happened.push(Event::Arrival(Arrival {
+            invocation: inv,
+            operation,
+            time_left: expires_in,
+            slots,
+            work_hint: hint,
+            key,
+        }));
         let (link, expires_at, head, body) = (told.link, told.expires_at, told.head, told.body);
         let taken_at = now;
         let (answered, over, forwards) = (false, false, Vec::new());
@@ -983,7 +1001,7 @@
         if owed {
             log!("client-left", "inv={id} link={link} attempts={}", self.attempts(&id));
             self.close(&id, wires);
-            self.happened.push(Event::Gone { inv: id });
+            self.happened.push(Event::ClientLeft { invocation: id });
         }
     }
 
@@ -1012,18 +1030,18 @@
         let (out, answered, now) = (sent.out, open.answered, wires.now());
         let ending = match told.state {
             State::Started if out => {
-                return self.happened.push(Event::Started { inv, forward: number });
+                return self.happened.push(Event::Started { invocation: inv, forward: number });
             }
             State::Running if out => {
-                return self.happened.push(Event::Progress { inv, forward: number });
+                return self.happened.push(Event::Progress { invocation: inv, forward: number });
             }
             State::Started | State::Running => return,
-            State::Done => Ending::Succeeded,
-            State::Failed => Ending::Errored,
-            State::Returned => Ending::Overloaded,
-            State::Lost => Ending::Broken,
+            State::Done => ForwardResult::Succeeded,
+            State::Failed => ForwardResult::Errored,
+            State::Returned => ForwardResult::Overloaded,
+            State::Lost => ForwardResult::Broken,
         };
-        if ending == Ending::Succeeded && !answered {
+        if ending == ForwardResult::Succeeded && !answered {
             let result = told.result.unwrap_or_default();
             let (operation, took) = (open.operation, now - open.taken_at);
             self.took(operation, took);
@@ -1031,7 +1049,7 @@
             if !out {
                 // Given up, but it came to its end all the same: this is the result that is owed.
                 log!("late-result", "inv={inv} runner={}", told.from);
-                self.happened.push(Event::Gone { inv: inv.clone() });
+                self.happened.push(Event::ClientLeft { invocation: inv.clone() });
             }
         }
         if let Some(open) = self.invs.get_mut(&inv) {
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -161,7 +161,7 @@
         let portions = core.portions(cold.iter().map(|id| &**id), now);
         if !cold.is_empty() {
             let told = cold.into_iter().zip(portions).map(|(id, p)| (id, p.share, p.until));
-            self.happened.push(Event::Portions(told.collect()));
+            self.happened.push(Event::SlowStartShares(told.collect()));
         }
     }
 
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -292,7 +292,7 @@
                 let at =
                     |work: Vec<(Micros, f64)>| work.into_iter().map(move |(ago, w)| (end - ago, w)).collect();
                 let spent = spent.runners.into_iter().map(|(id, work)| (id.into(), at(work))).collect();
-                self.happened.push(Event::Spent(spent));
+                self.happened.push(Event::SlowStartUsage(spent));
             }
         }
     }
@@ -454,7 +454,7 @@
 
     /// The process ends as it should: the next life knows to the last forward what was spent.
     pub fn leave(mut self, now: Micros, within: std::time::Duration) {
-        let spent = self.brain.spent(now);
+        let spent = self.policy.slow_start_usage(now);
         self.keep_list();
         let Some(mut keeping) = self.keeping.take() else { return };
         let ago = |work: Vec<(Micros, f64)>| work.into_iter().map(|(at, w)| (now - at, w)).collect();
--- a/node/src/upstream/membership.rs
+++ b/node/src/upstream/membership.rs
@@ -158,7 +158,7 @@
             let launched = known.standing(&self.terms, now).launched;
             launched.is_some_and(|launched| now < launched + self.terms.warm_within)
         };
-        self.listed_now().filter(cold).map(|known| known.entry.tgt.clone()).collect()
+        self.listed_now().filter(cold).map(|known| known.entry.runner.clone()).collect()
     }
 
     /// What holds of all listed ones now.
@@ -181,10 +181,10 @@
     pub fn inherit(&mut self, id: &str, out_since: Option<Micros>, was_out: Option<(Micros, Micros)>) {
         let known = self.by_id.entry(id.into()).or_insert_with(|| {
             let entry = RosterEntry {
-                tgt: id.into(),
+                runner: id.into(),
                 cell: -1,
                 size: 0.0,
-                kind: "".into(),
+                machine_type: "".into(),
                 zone: "".into(),
                 readiness: Readiness::Removed,
                 launched: None,
@@ -204,7 +204,7 @@
     /// yet to come, and one that is new has not started long before the list in which it was not.
     fn started(&self, told: &RosterEntry, now: Micros) -> Option<Micros> {
         let launched = told.launched?;
-        let known = self.by_id.get(&told.tgt).filter(|known| known.started == told.launched);
+        let known = self.by_id.get(&told.runner).filter(|known| known.started == told.launched);
         if let Some(known) = known {
             return known.entry.launched;
         }
@@ -222,7 +222,7 @@
             let gone_since = Some(now).filter(|_| entry.readiness == Readiness::Removed);
             let started = entry.launched;
             entry.launched = self.started(&entry, now);
-            let known = self.by_id.entry(entry.tgt.clone());
+            let known = self.by_id.entry(entry.runner.clone());
             let known = known.or_insert_with(|| Member::new(entry.clone(), gone_since));
             (known.entry, known.started, known.gone_since) = (entry, started, gone_since);
             standing.push(known.standing(&self.terms, now));
--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -59,10 +59,10 @@
     pub fn of<'a>(generation: u64, entries: impl Iterator<Item = (&'a RosterEntry, SocketAddr)>) -> Value {
         let instance = |(entry, address): (&RosterEntry, SocketAddr)| {
             json!({
-                "instanceId": &*entry.tgt,
+                "instanceId": &*entry.runner,
                 "hostPort": address.to_string(),
                 "zone": &*entry.zone,
-                "machineType": &*entry.kind,
+                "machineType": &*entry.machine_type,
                 "cell": entry.cell,
                 "lifecycle": if entry.readiness == Readiness::Up { "up" } else { "draining" },
                 "weight": entry.size,
@@ -139,10 +139,10 @@
         };
         let weight = self.weight.filter(|weight| weight.is_finite()).unwrap_or(1.0);
         let entry = RosterEntry {
-            tgt: self.instance_id.into(),
+            runner: self.instance_id.into(),
             cell: self.cell.unwrap_or(-1),
             size: weight.max(0.0),
-            kind: self.machine_type.into(),
+            machine_type: self.machine_type.into(),
             zone: self.zone.into(),
             readiness,
             // Far beyond any real time, and far enough from the type's end.
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 
 use serde_json::Value;
-use topazsail::{Ending, Id, Micros};
-use topazsail_settings::Decoded;
+use topazsail::{ForwardResult, Id, Micros};
+use topazsail_settings::DecodedSettings;
 
 use crate::net::connection::{Callbacks, End, Link, Side, Timer, Wires};
 use crate::net::http::{self, Answer, MESSAGE_MOST, encode_bare};
@@ -44,7 +44,7 @@
     Ended {
         inv: Id,
         number: u32,
-        ending: Ending,
+        ending: ForwardResult,
         report: Vec<f64>,
     },
     /// A forward's client had left when it was to leave.
@@ -150,21 +150,21 @@
 }
 
 impl Runners {
-    pub fn new(decoded: &Decoded) -> Runners {
+    pub fn new(decoded: &DecodedSettings) -> Runners {
         let mut runners = Runners::default();
         runners.retune(decoded);
         runners
     }
 
     /// What holds from now on.
-    pub fn retune(&mut self, decoded: &Decoded) {
+    pub fn retune(&mut self, decoded: &DecodedSettings) {
         self.report_fields = decoded.report_fields.clone();
         self.dial_timeout = decoded.dial_timeout;
         // A probe answers beside the queue: one as slow as a dial may be tells as much as none.
         self.probe_within = decoded.dial_timeout / 2;
         // Well before the runner does, or a request could cross its closing.
         self.idle_most = decoded.idle_close / 2;
-        self.may_cancel = decoded.standing.may_cancel;
+        self.may_cancel = decoded.settings.may_cancel;
     }
 
     /// What the roster says of a runner's whereabouts.
@@ -232,7 +232,7 @@
             let waiting = waiting.and_then(|line| line.take_waiting(Micros::MIN));
             if let Some(asked) = waiting {
                 self.end_line(link, End::Unlisted, wires);
-                self.unanswered(tgt, asked.task, Ending::Void, false);
+                self.unanswered(tgt, asked.task, ForwardResult::Void, false);
             }
         }
     }
@@ -346,7 +346,7 @@
     fn ask_anew(&mut self, tgt: &Id, asked: Asked, wires: &mut dyn Wires) {
         let Asked { task, message, due, waits } = asked;
         let Some(runner) = self.by_id.get_mut(tgt) else {
-            return self.unanswered(tgt, task, Ending::Void, false);
+            return self.unanswered(tgt, task, ForwardResult::Void, false);
         };
         let link = wires.dial(runner.address, Side::Runner);
         runner.lines.push(link);
@@ -377,7 +377,7 @@
         line.leaves_by = Micros::MAX;
         if let Some(asked) = line.take_waiting(Micros::MIN) {
             let tgt = line.tgt.clone();
-            self.unanswered(&tgt, asked.task, Ending::Void, false);
+            self.unanswered(&tgt, asked.task, ForwardResult::Void, false);
         }
     }
 
@@ -420,7 +420,7 @@
         let Some(Line { tgt, task: Some(task), .. }) = self.drop_line(link) else { return };
         wires.cut(link, End::SlowReader);
         self.written -= 1;
-        self.unanswered(&tgt, task, Ending::Unreachable, false);
+        self.unanswered(&tgt, task, ForwardResult::Unreachable, false);
     }
 
     /// A connection has come free: it takes over a task that waits for a dial, or is kept for the next one.
@@ -459,7 +459,7 @@
     }
 
     /// A task that came to its end without an answer.
-    fn unanswered(&mut self, tgt: &Id, task: Task, ending: Ending, refused: bool) {
+    fn unanswered(&mut self, tgt: &Id, task: Task, ending: ForwardResult, refused: bool) {
         let gone = self.by_id.get(tgt).is_none_or(|runner| runner.gone_since.is_some());
         self.heard.push(match task {
             Task::Forward { inv, number } => Heard::Ended { inv, number, ending, report: Vec::new() },
@@ -495,10 +495,10 @@
                 let report = load.map(|load| read_report(&self.report_fields, &load)).unwrap_or_default();
                 let not_run = answer.header("x-not-run") == Some("1");
                 let ending = match answer.status {
-                    503 | 504 if not_run => Ending::Overloaded,
+                    503 | 504 if not_run => ForwardResult::Overloaded,
                     status => {
                         log!("forward-errored", "inv={inv} runner={tgt} status={status}");
-                        Ending::Errored
+                        ForwardResult::Errored
                     }
                 };
                 Heard::Ended { inv, number, ending, report }
@@ -512,7 +512,7 @@
         log!("bad-answer", "link={link} runner={tgt} reason={why}");
         wires.cut(link, End::BadAnswer);
         if let Some(task) = task.filter(|_| !overdue) {
-            self.unanswered(&tgt, task, Ending::Broken, false);
+            self.unanswered(&tgt, task, ForwardResult::Broken, false);
         }
     }
 
@@ -616,7 +616,7 @@
             // It was counted when its writing began.
             let begun = line.phase == Phase::Busy && matches!(task, Task::Forward { .. });
             self.written -= u64::from(begun);
-            return self.unanswered(&line.tgt, task, Ending::Unreachable, end == End::Refused);
+            return self.unanswered(&line.tgt, task, ForwardResult::Unreachable, end == End::Refused);
         }
         match (http::answer(input, true), task) {
             (Ok(Some((answer, _))), task) => self.answered(&line.tgt, task, &answer),
@@ -624,7 +624,7 @@
             (_, Task::Forward { inv, number }) if end == End::PathLost && self.may_cancel => {
                 self.give_up(&line.tgt, &inv, number, wires);
             }
-            (_, task) => self.unanswered(&line.tgt, task, Ending::Broken, false),
+            (_, task) => self.unanswered(&line.tgt, task, ForwardResult::Broken, false),
         }
     }
 
@@ -637,7 +637,8 @@
             Phase::Dialling if now >= line.since + self.dial_timeout => {
                 let (tgt, task) = (line.tgt.clone(), line.task.take());
                 // One that never began says nothing of its runner.
-                let ending = if wires.postponed(link) { Ending::Void } else { Ending::Unreachable };
+                let ending =
+                    if wires.postponed(link) { ForwardResult::Void } else { ForwardResult::Unreachable };
                 self.end_line(link, End::DialTimeout, wires);
                 if let Some(task) = task {
                     self.unanswered(&tgt, task, ending, false);
@@ -660,7 +661,7 @@
                 line.due = now + LATE_MOST;
                 wires.wake(Timer::Link(link), line.due);
                 let tgt = line.tgt.clone();
-                self.unanswered(&tgt, task, Ending::Broken, false);
+                self.unanswered(&tgt, task, ForwardResult::Broken, false);
             }
             _ => {}
         }
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -1768,7 +1768,7 @@
         let mut stage = Stage { now: START, ..Stage::default() };
         let mut clients = Clients::new();
         let told = config::decode(&configuration(&[])).unwrap().decoded;
-        clients.operations.set(told.operations.into_iter().zip(told.standing.operations).collect(), START);
+        clients.operations.set(told.operations.into_iter().zip(told.settings.operations).collect(), START);
         clients.accepted(7, &mut stage);
         let mut input = request.as_bytes()[..cut].to_vec();
         clients.bytes(7, &mut input, &mut stage);
@@ -1917,7 +1917,7 @@
     .assert_eq(&faults.collect::<Vec<_>>().join("\n"));
     let decoded = config::decode(&good).unwrap().decoded;
     expect![[r#"["x0", "outstanding"] [FreeSlots, InFlight]"#]]
-        .assert_eq(&format!("{:?} {:?}", decoded.report_fields, decoded.standing.report_fields));
+        .assert_eq(&format!("{:?} {:?}", decoded.report_fields, decoded.settings.report_fields));
 }
 
 #[test]
@@ -1987,10 +1987,10 @@
 #[test]
 fn a_runner_that_comes_back_is_cold_though_the_list_says_so_late() {
     let entry = |launched: Option<Micros>| RosterEntry {
-        tgt: "s-a".into(),
+        runner: "s-a".into(),
         cell: 1,
         size: 1.0,
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: "z".into(),
         readiness: Readiness::Up,
         launched,
@@ -2213,7 +2213,7 @@
 fn a_changed_operation_is_another_one_and_an_old_one_can_return() {
     let decoded = |text: &str| {
         let told = config::decode(text).unwrap().decoded;
-        told.operations.into_iter().zip(told.standing.operations).collect::<Vec<_>>()
+        told.operations.into_iter().zip(told.settings.operations).collect::<Vec<_>>()
     };
     let good = configuration(&[]);
     let (first, then) = (decoded(&good), decoded(&good.replace("8000000", "9000000").replace("0.5", "0.25")));
@@ -2277,10 +2277,10 @@
 fn a_runner_that_starts_after_a_step_of_the_wall_clock_counts_as_started_now() {
     const SECOND: Micros = 1_000_000;
     let entry = |launched| RosterEntry {
-        tgt: "s-a".into(),
+        runner: "s-a".into(),
         cell: -1,
         size: 1.0,
-        kind: "".into(),
+        machine_type: "".into(),
         zone: "".into(),
         readiness: Readiness::Up,
         launched: Some(launched),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -8,7 +8,9 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-use topazsail::{Budget, Effect, Group, Micros, Operation, ReportField, Sizes, StandingOrders};
+use topazsail::{
+    DeduplicationScope, Effect, Micros, Operation, ReportField, RetryBudget, Settings, SizeSource,
+};
 
 struct Info<'a>(BTreeMap<&'a str, &'a str>);
 
@@ -44,9 +46,9 @@
             "idempotent" => Effect::Idempotent,
             "at_most_once" => Effect::NonIdempotent,
             "deduplicated" => Effect::Deduplicated(match self.text(&path("group"))? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Cell,
                 other => return Err(format!("{} has the bad value '{other}'", path("group"))),
             }),
             other => return Err(format!("{} has the bad value '{other}'", path("effect"))),
@@ -66,10 +68,10 @@
             in_use: true,
             latency_objective: self.within(&path("latencyObjective"), 0, SPAN)?,
             effect,
-            memory_span,
+            deduplication_window: memory_span,
             billed_value: self.within(&path("billedValue"), 0.0, f64::MAX)?,
-            late_share: self.value_or(&path("lateBilledValue"), 0.0)?,
-            stretch: match self.list("familyInfo.classStretch").nth(index) {
+            late_value_share: self.value_or(&path("lateBilledValue"), 0.0)?,
+            objective_stretch: match self.list("familyInfo.classStretch").nth(index) {
                 None | Some("-") => 0.0,
                 Some(text) => text
                     .parse()
@@ -77,19 +79,19 @@
                     .filter(|stretch| (0.0..=1e6).contains(stretch))
                     .ok_or_else(|| format!("familyInfo.classStretch has the bad value '{text}'"))?,
             },
-            kind: kind.map(Into::into),
+            machine_type: kind.map(Into::into),
         })
     }
 
     /// All of its three figures, or none.
-    fn budget(&self) -> Result<Option<Budget>, String> {
+    fn budget(&self) -> Result<Option<RetryBudget>, String> {
         let paths = ["invariants.extraFloor", "invariants.repeatRatio", "invariants.extraWindow"];
         let absent = |path: &&str| matches!(self.0.get(path), None | Some(&"" | &"-"));
         if paths.iter().all(absent) {
             return Ok(None);
         }
         let [floor, share, window] = paths;
-        Ok(Some(Budget {
+        Ok(Some(RetryBudget {
             floor: self.within(floor, 0.0, f64::MAX)?,
             share: self.within(share, 0.0, f64::MAX)?,
             window: self.within(window, 1, SPAN)?,
@@ -113,8 +115,8 @@
 const SPAN: i64 = 1 << 46;
 
 #[derive(Debug)]
-pub struct Decoded {
-    pub standing: StandingOrders,
+pub struct DecodedSettings {
+    pub settings: Settings,
     /// Names of the operations, in the order of the standing orders.
     pub operations: Vec<String>,
     /// Names of the values of a load report, in the order of the standing orders.
@@ -129,7 +131,7 @@
     pub longest_timeout: Micros,
 }
 
-pub fn decode<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Result<Decoded, String> {
+pub fn decode<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Result<DecodedSettings, String> {
     let info = Info(pairs.into_iter().collect());
     let (mut operations, mut names, mut longest_timeout) = (Vec::new(), Vec::new(), 0);
     for index in 0..info.value("operations.count")? {
@@ -145,47 +147,47 @@
     };
     let idle_close = info.value_or("limits.idleClose", 60_000_000)?.clamp(1, SPAN);
     let flag = |path: &str| info.value_or(path, false);
-    let standing = StandingOrders {
+    let settings = Settings {
         operations,
         dispatchers: info.within("balancers", 1, u32::MAX)?,
-        number: info.value_or("selfIndex", 0)?,
-        my_zone: info.0.get("myZone").copied().unwrap_or_default().into(),
-        crossing_costs: info.value_or("prices.crossZone", 0.0)? > 0.0,
-        connecting_costs: info.value_or("prices.handshake", 0.0)? > 0.0
+        dispatcher_index: info.value_or("selfIndex", 0)?,
+        own_zone: info.0.get("myZone").copied().unwrap_or_default().into(),
+        cross_zone_is_priced: info.value_or("prices.crossZone", 0.0)? > 0.0,
+        connections_are_priced: info.value_or("prices.handshake", 0.0)? > 0.0
             || info.value_or("prices.connection", 0.0)? > 0.0,
-        idle_close,
+        idle_timeout: idle_close,
         must_subscribe,
         // Where lists are pushed, a change counts as told though nobody listens: whoever has to listen on sockets is
         // to be without a watch for no longer than a drain leaves.
-        ask_within: match must_subscribe {
+        notification_deadline: match must_subscribe {
             true => info.within("invariants.askWithin", 1, SPAN)?,
             false => info.value_or("invariants.drainGrace", SPAN)?.clamp(1, SPAN),
         },
-        cold_from: info.within("invariants.coldFrom", 0.0, 1.0)?,
-        warm_within: info.within("invariants.warmWithin", 0, SPAN)?,
+        cold_capacity_share: info.within("invariants.coldFrom", 0.0, 1.0)?,
+        warm_up_span: info.within("invariants.warmWithin", 0, SPAN)?,
         overload_factor: info.within("invariants.overloadFactor", 0.0, f64::MAX)?,
-        tip_after: info.within("invariants.tipAfter", 0, SPAN)?,
-        portioned: false,
-        most_forwards: info.within("limits.mostForwards", 1, u32::MAX)?,
-        budget: info.budget()?,
+        overload_window: info.within("invariants.tipAfter", 0, SPAN)?,
+        slow_start_is_shared: false,
+        max_forwards: info.within("limits.mostForwards", 1, u32::MAX)?,
+        retry_budget: info.budget()?,
         may_cancel: flag("limits.cancel")?,
         may_probe: flag("limits.probes")?,
-        come_back_max: match flag("limits.retryAfter")? {
+        max_retry_after: match flag("limits.retryAfter")? {
             true => Some(info.within("limits.maxRetryAfter", 0, SPAN)?),
             false => None,
         },
         report_fields: info.list("report.fields").map(|name| info.report_field(name)).collect(),
-        sizes: match info.0.get("weights").copied() {
-            None | Some("" | "-" | "off") => Sizes::Untold,
-            Some("nominal" | "rough") => Sizes::Registered,
-            Some("live") => Sizes::Live,
+        size_source: match info.0.get("weights").copied() {
+            None | Some("" | "-" | "off") => SizeSource::Unknown,
+            Some("nominal" | "rough") => SizeSource::Registered,
+            Some("live") => SizeSource::Live,
             Some(other) => return Err(format!("weights has the bad value '{other}'")),
         },
-        tells_start: flag("familyInfo.tellsStart")?,
-        progress: info.value_or("familyInfo.progress", 0)?,
+        reports_start: flag("familyInfo.tellsStart")?,
+        progress_interval: info.value_or("familyInfo.progress", 0)?,
     };
-    Ok(Decoded {
-        standing,
+    Ok(DecodedSettings {
+        settings,
         operations: names,
         report_fields: info.list("report.fields").map(str::to_owned).collect(),
         dial_timeout: info.value_or("limits.dialTimeout", 250_000)?.clamp(1, SPAN),
--- a/src/actions.rs
+++ b/src/actions.rs
@@ -5,26 +5,26 @@
 pub enum Action {
     /// Not to leave later than that, where the runners' memory of an earlier one ends.
     Forward {
-        inv: Id,
-        tgt: Id,
-        by: Option<Micros>,
+        invocation: Id,
+        runner: Id,
+        latest: Option<Micros>,
     },
     Cancel {
-        inv: Id,
+        invocation: Id,
         forward: u32,
     },
     Throttle {
-        inv: Id,
-        come_back: Option<Micros>,
+        invocation: Id,
+        retry_after: Option<Micros>,
     },
     Error {
-        inv: Id,
+        invocation: Id,
     },
     Probe {
-        tgt: Id,
+        runner: Id,
     },
-    Follow,
-    Tick {
+    Subscribe,
+    SetTimer {
         after: Micros,
     },
     Log(String),
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,76 +1,76 @@
-use crate::{Id, Micros, Portion, Spent, StandingOrders};
+use crate::{Id, Micros, Settings, SlowStartShare, SlowStartUsage};
 
 /// What happened to this dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
     Arrival(Arrival),
     /// The answer has begun to flow: the forward now belongs to the client.
-    Flowing {
-        inv: Id,
+    ResponseStarted {
+        invocation: Id,
         forward: u32,
     },
     /// A forward that is still out has been begun on.
     Started {
-        inv: Id,
+        invocation: Id,
         forward: u32,
     },
     /// A forward that is still out has come further.
     Progress {
-        inv: Id,
+        invocation: Id,
         forward: u32,
     },
     Outcome(Outcome),
     /// The client has left, or its time is over.
-    Gone {
-        inv: Id,
+    ClientLeft {
+        invocation: Id,
     },
     /// It cannot be held any longer: its final answer is owed now.
-    Over {
-        inv: Id,
+    AnswerNow {
+        invocation: Id,
     },
-    Probed {
-        tgt: Id,
+    ProbeEnded {
+        runner: Id,
         alive: bool,
         report: Vec<f64>,
     },
     Roster(Roster),
     /// New standing orders, in which each operation keeps its number.
-    Retuned(Box<StandingOrders>),
+    SettingsChanged(Box<Settings>),
     /// What another process of this dispatcher has sent to cold runners.
-    Spent(Vec<Spent>),
+    SlowStartUsage(Vec<SlowStartUsage>),
     /// Which portions of cold runners' budgets are this dispatcher's own.
-    Portions(Vec<Portion>),
+    SlowStartShares(Vec<SlowStartShare>),
     /// A timer that was armed has gone off.
-    Tick,
+    TimerFired,
 }
 
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    pub inv: Id,
+    pub invocation: Id,
     /// Index into the standing orders' operations.
     pub operation: usize,
-    pub expires_in: Micros,
+    pub time_left: Micros,
     pub slots: f64,
     /// Its work as time on a standard core, where the client can tell.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     pub key: Option<Id>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    pub inv: Id,
+    pub invocation: Id,
     pub forward: u32,
-    pub tgt: Id,
-    pub ending: Ending,
+    pub runner: Id,
+    pub result: ForwardResult,
     /// Whether the invocation has had its final answer.
-    pub finished: bool,
+    pub answered: bool,
     pub elapsed: Micros,
     /// Values in the order of the standing orders' report fields; empty where none came.
     pub report: Vec<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ForwardResult {
     Succeeded,
     Errored,
     Overloaded,
@@ -81,18 +81,18 @@
     Void,
 }
 
-impl Ending {
+impl ForwardResult {
     /// The word for it in a log.
     pub fn code(self) -> &'static str {
         match self {
-            Ending::Succeeded => "succeeded",
-            Ending::Errored => "errored",
-            Ending::Overloaded => "overloaded",
-            Ending::TimedOut => "timed_out",
-            Ending::Unreachable => "unreachable",
-            Ending::Broken => "broken",
-            Ending::Withdrawn => "withdrawn",
-            Ending::Void => "void",
+            ForwardResult::Succeeded => "succeeded",
+            ForwardResult::Errored => "errored",
+            ForwardResult::Overloaded => "overloaded",
+            ForwardResult::TimedOut => "timed_out",
+            ForwardResult::Unreachable => "unreachable",
+            ForwardResult::Broken => "broken",
+            ForwardResult::Withdrawn => "withdrawn",
+            ForwardResult::Void => "void",
         }
     }
 }
@@ -115,11 +115,11 @@
 
 #[derive(Clone, Debug)]
 pub struct RosterEntry {
-    pub tgt: Id,
+    pub runner: Id,
     pub cell: i64,
     /// Registered size against other runners'; 1 where the roster does not tell.
     pub size: f64,
-    pub kind: Id,
+    pub machine_type: Id,
     pub zone: Id,
     pub readiness: Readiness,
     /// When it last started, where that is known and not long ago.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 
 pub use actions::Action;
-pub use events::{Arrival, Ending, Event, Listing, Outcome, Readiness, Roster, RosterEntry};
+pub use events::{Arrival, Event, ForwardResult, Listing, Outcome, Readiness, Roster, RosterEntry};
 pub use random::hash;
-pub use routing_policy::{Brain, Portion, Spent};
-pub use settings::{Budget, Effect, Group, Operation, ReportField, Sizes, StandingOrders};
+pub use routing_policy::{RoutingPolicy, SlowStartShare, SlowStartUsage};
+pub use settings::{DeduplicationScope, Effect, Operation, ReportField, RetryBudget, Settings, SizeSource};
 
 /// Whole microseconds: a moment of the adapter's clock, or a span.
 pub type Micros = i64;
--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -1,6 +1,6 @@
 //! Every decision of one dispatcher.
 //!
-//! An adapter makes a [`Brain`] from the standing orders and a seed, then calls [`Brain::decide`] with the
+//! An adapter makes a [`RoutingPolicy`] from the standing orders and a seed, then calls [`RoutingPolicy::decide`] with the
 //! clock and whatever happened since, in order; it gets back what is to be done, in order. The types on both
 //! sides are in `events.rs`, `actions.rs` and `settings.rs`; what is kept on runners and invocations is in
 //! `state_tables.rs`. The brain knows no clock and no chance but these.
@@ -16,11 +16,11 @@
 use crate::random::{Chance, first, hash};
 use crate::state_tables::{Bond, Due, Forward, Inv, Keys, Place, Pool, Rations, Recent, Runner};
 use crate::{
-    Action, Arrival, Effect, Ending, Event, Group, Id, Listing, Micros, Operation, Outcome, Readiness,
-    ReportField, Roster, RosterEntry, Sizes, StandingOrders,
+    Action, Arrival, DeduplicationScope, Effect, Event, ForwardResult, Id, Listing, Micros, Operation,
+    Outcome, Readiness, ReportField, Roster, RosterEntry, Settings, SizeSource,
 };
 
-pub use slow_start::{Portion, Spent};
+pub use slow_start::{SlowStartShare, SlowStartUsage};
 
 /// Draws for a low and for a high invocation.
 const D1: usize = 3;
@@ -77,8 +77,8 @@
 const BENCH_MOST: Micros = 4_000_000;
 
 #[derive(Default)]
-pub struct Brain {
-    orders: StandingOrders,
+pub struct RoutingPolicy {
+    settings: Settings,
     high: Vec<bool>,
     /// Forwards that an invocation may have, by operation.
     allowance: Vec<u32>,
@@ -131,18 +131,19 @@
     fullest: Vec<Micros>,
 }
 
-impl Brain {
-    pub fn new(orders: StandingOrders, seed: u64) -> Brain {
-        let mut brain = Brain { chance: Chance::new(seed), doubt: -FIRMEST, ..Brain::default() };
-        brain.retune(orders);
-        brain.due(Micros::MIN, Due::Ask);
-        brain
+impl RoutingPolicy {
+    pub fn new(settings: Settings, seed: u64) -> RoutingPolicy {
+        let mut policy =
+            RoutingPolicy { chance: Chance::new(seed), doubt: -FIRMEST, ..RoutingPolicy::default() };
+        policy.retune(settings);
+        policy.due(Micros::MIN, Due::Ask);
+        policy
     }
 
     /// What holds from now on. Operations keep their numbers, those no longer in use too: what is under way
     /// keeps its own, but has no more forwards than are allowed now.
-    fn retune(&mut self, orders: StandingOrders) {
-        let ops = &orders.operations;
+    fn retune(&mut self, settings: Settings) {
+        let ops = &settings.operations;
         let used: Vec<&Operation> = ops.iter().filter(|o| o.in_use).collect();
         let differs = |same: &dyn Fn(&Operation, &Operation) -> bool| used.iter().any(|o| !same(o, used[0]));
         let values = differs(&|a, b| a.billed_value == b.billed_value);
@@ -155,16 +156,16 @@
             false => objectives && o.latency_objective <= tightest,
         };
         // House rule of the operators: further forwards go by billed value.
-        let further = f64::from(orders.most_forwards - 1);
+        let further = f64::from(settings.max_forwards - 1);
         let share = |o: &Operation| if most > 0.0 { (o.billed_value / most).min(1.0) } else { 1.0 };
-        let linked: &[Pool] = match (orders.connecting_costs, orders.sizes) {
-            _ if orders.blind() => &[],
+        let linked: &[Pool] = match (settings.connections_are_priced, settings.size_source) {
+            _ if settings.load_is_unknown() => &[],
             (true, _) => &[Pool::LinkedNear, Pool::Linked],
-            (false, Sizes::Live) => &[Pool::Linked],
+            (false, SizeSource::Live) => &[Pool::Linked],
             _ => &[],
         };
         let mut unkeyed = [linked, &[Pool::Near, Pool::All, Pool::Cold]].concat();
-        if !orders.crossing_costs || orders.blind() {
+        if !settings.cross_zone_is_priced || settings.load_is_unknown() {
             unkeyed.retain(|pool| !matches!(pool, Pool::LinkedNear | Pool::Near));
         }
         self.high = ops.iter().map(high).collect();
@@ -176,7 +177,7 @@
         let guess = |o: &Operation| Recent { value: o.latency_objective as f64, noted_at: None };
         self.pace.extend(ops.iter().skip(self.pace.len()).map(guess));
         self.fullest.resize(ops.len(), 0);
-        self.orders = orders;
+        self.settings = settings;
         self.set_mean_pace();
         self.invs.values_mut().for_each(|inv| inv.pools = 0);
         for id in self.queue.values().cloned().collect::<Vec<Id>>() {
@@ -192,24 +193,28 @@
         for event in happened {
             match event {
                 Event::Arrival(arrival) => self.arrive(arrival),
-                Event::Flowing { inv, forward } => _ = self.sign(&inv, forward).map(|out| out.flowing = true),
-                Event::Started { inv, forward } => self.started(&inv, forward),
-                Event::Progress { inv, forward } => _ = self.sign(&inv, forward),
+                Event::ResponseStarted { invocation: inv, forward } => {
+                    _ = self.sign(&inv, forward).map(|out| out.flowing = true)
+                }
+                Event::Started { invocation: inv, forward } => self.started(&inv, forward),
+                Event::Progress { invocation: inv, forward } => _ = self.sign(&inv, forward),
                 Event::Outcome(outcome) => self.outcome(outcome),
-                Event::Gone { inv } => self.close(&inv),
-                Event::Over { inv } => self.give_up(&inv),
-                Event::Probed { tgt, alive, report } => self.probed(&tgt, alive, &report),
+                Event::ClientLeft { invocation: inv } => self.close(&inv),
+                Event::AnswerNow { invocation: inv } => self.give_up(&inv),
+                Event::ProbeEnded { runner: tgt, alive, report } => self.probed(&tgt, alive, &report),
                 Event::Roster(roster) => self.roster(roster),
-                Event::Retuned(orders) => self.retune(*orders),
-                Event::Spent(spent) => self.inherit(spent),
-                Event::Portions(portions) => self.portions(portions),
-                Event::Tick => self.armed = self.armed.split_off(&(now + 1)),
+                Event::SettingsChanged(settings) => self.retune(*settings),
+                Event::SlowStartUsage(spent) => self.inherit(spent),
+                Event::SlowStartShares(portions) => self.portions(portions),
+                Event::TimerFired => self.armed = self.armed.split_off(&(now + 1)),
             }
         }
         while let Some(entry) = self.dues.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
                 Due::Look(inv) => self.look(&inv),
-                Due::Ask if self.orders.must_subscribe && !self.following => self.todo.push(Action::Follow),
+                Due::Ask if self.settings.must_subscribe && !self.following => {
+                    self.todo.push(Action::Subscribe)
+                }
                 Due::Ask => {}
             }
         }
@@ -219,7 +224,7 @@
         {
             // Armed for the next due only: hundreds of idle dispatchers that wake cost more than all decisions.
             self.armed.insert(at);
-            self.todo.push(Action::Tick { after: (at - now).max(1) });
+            self.todo.push(Action::SetTimer { after: (at - now).max(1) });
         }
         std::mem::take(&mut self.todo)
     }
@@ -278,7 +283,8 @@
                 // spread out and slows down, by a part of the span after which changes count as told (docs/design.md).
                 self.following = false;
                 self.failed_calls += 1;
-                let most = (100_000 << self.failed_calls.min(3)).min(self.orders.ask_within / 4).max(1);
+                let most =
+                    (100_000 << self.failed_calls.min(3)).min(self.settings.notification_deadline / 4).max(1);
                 let after = most / 2 + self.chance.below(most as u64) as Micros;
                 self.due(self.now + after, Due::Ask);
                 return;
@@ -293,7 +299,7 @@
         roster.entries.into_iter().for_each(|entry| self.enter(entry));
         let before = std::mem::take(&mut self.listed);
         self.listed = (0..self.runners.len()).filter(|r| self.runners[*r].listed).collect();
-        if self.orders.lists_load() {
+        if self.settings.roster_reports_load() {
             self.read_loads();
         }
         self.cold = self.listed.iter().copied().filter(|r| self.warmth(*r) < 1.0).collect();
@@ -308,18 +314,19 @@
 
     fn enter(&mut self, entry: RosterEntry) {
         let next = self.runners.len();
-        let index = *self.by_id.entry(entry.tgt.clone()).or_insert(next);
+        let index = *self.by_id.entry(entry.runner.clone()).or_insert(next);
         if index == next {
-            let (id, hash) = (entry.tgt.clone(), hash(entry.tgt.as_bytes()));
+            let (id, hash) = (entry.runner.clone(), hash(entry.runner.as_bytes()));
             self.runners.push(Runner { id, hash, launched: entry.launched, ..Runner::default() });
         }
         let runner = &mut self.runners[index];
         runner.listed = entry.readiness == Readiness::Up;
-        runner.near = entry.zone == self.orders.my_zone;
-        (runner.kind, runner.zone, runner.cell) = (entry.kind, entry.zone, entry.cell);
+        runner.near = entry.zone == self.settings.own_zone;
+        (runner.kind, runner.zone, runner.cell) = (entry.machine_type, entry.zone, entry.cell);
         runner.size_listed = entry.size;
         // Where it moves with load, the greatest seen is the nearest to that at rest.
-        runner.size = if self.orders.lists_load() { runner.size.max(entry.size) } else { entry.size };
+        runner.size =
+            if self.settings.roster_reports_load() { runner.size.max(entry.size) } else { entry.size };
         if runner.launched != entry.launched {
             // Restarted under its own id: what it did before says nothing of it now.
             runner.launched = entry.launched;
@@ -348,29 +355,29 @@
     // Invocations.
 
     fn arrive(&mut self, arrival: Arrival) {
-        if let Some(budget) = &self.orders.budget {
+        if let Some(budget) = &self.settings.retry_budget {
             self.rations.take(budget, self.now);
         }
-        let op = &self.orders.operations[arrival.operation];
-        let deadline = self.now + arrival.expires_in;
+        let op = &self.settings.operations[arrival.operation];
+        let deadline = self.now + arrival.time_left;
         // A client's repeat comes with less time left than a first try; its objective runs from the first.
         let fullest = &mut self.fullest[arrival.operation];
-        *fullest = arrival.expires_in.max(*fullest);
+        *fullest = arrival.time_left.max(*fullest);
         // The objective grows by the stretch, less what running takes on a slow machine: half as long again as hinted.
         let (service, own) =
-            arrival.hint.map_or((self.pace[arrival.operation].value, 1.25), |hint| (hint as f64, 1.5));
-        let slack = ((op.stretch - own).max(0.0) * service) as Micros;
-        let in_time = self.now + op.latency_objective + slack - (*fullest - arrival.expires_in);
+            arrival.work_hint.map_or((self.pace[arrival.operation].value, 1.25), |hint| (hint as f64, 1.5));
+        let slack = ((op.objective_stretch - own).max(0.0) * service) as Micros;
+        let in_time = self.now + op.latency_objective + slack - (*fullest - arrival.time_left);
         let in_time = in_time.min(deadline - MARGIN);
         // Who waits longer than this keeps slots from work that could still be in time.
-        let patience = in_time.max(self.now) + (op.late_share * op.latency_objective as f64) as Micros;
+        let patience = in_time.max(self.now) + (op.late_value_share * op.latency_objective as f64) as Micros;
         let inv = Inv {
             operation: arrival.operation,
             deadline,
             in_time,
             patience: patience.min(deadline - MARGIN),
             slots: arrival.slots,
-            hint: arrival.hint.unwrap_or_default() as f64,
+            hint: arrival.work_hint.unwrap_or_default() as f64,
             key: arrival.key.as_deref().map(|key| hash(key.as_bytes())),
             ..Inv::default()
         };
@@ -378,8 +385,8 @@
             self.keys.note(key, self.now);
         }
         let admitted = self.admits(inv.operation, inv.in_time);
-        self.invs.insert(arrival.inv.clone(), inv);
-        if admitted { self.enqueue(&arrival.inv) } else { self.give_up(&arrival.inv) }
+        self.invs.insert(arrival.invocation.clone(), inv);
+        if admitted { self.enqueue(&arrival.invocation) } else { self.give_up(&arrival.invocation) }
     }
 
     /// Low work is let in by the share of draws that have a slot free. Without this, hundreds of dispatchers'
@@ -390,14 +397,16 @@
             return true;
         }
         let (none, all) = self.let_in();
-        let least = if self.orders.blind() { ADMITTED_LEAST.1 } else { ADMITTED_LEAST.0 };
+        let least = if self.settings.load_is_unknown() { ADMITTED_LEAST.1 } else { ADMITTED_LEAST.0 };
         let share = ((self.free_share.value - none) / (all - none)).clamp(least, 1.0);
         if late { share >= 1.0 } else { self.chance.happens(share) }
     }
 
     /// Whether it is forwards, taken or turned away, that tell of free slots: draws are not probed, or in vain.
     fn forwards_tell(&self) -> bool {
-        self.orders.lists_load() || self.orders.blind() || self.orders.probes() && self.doubt > 0.0
+        self.settings.roster_reports_load()
+            || self.settings.load_is_unknown()
+            || self.settings.can_probe_load() && self.doubt > 0.0
     }
 
     /// The shares at which no low work, and at which all, is let in.
@@ -424,16 +433,16 @@
     /// The last word of an invocation that is not to be forwarded any more.
     fn give_up(&mut self, id: &Id) {
         let Some(inv) = self.invs.get(id).filter(|inv| !inv.answered) else { return };
-        let op = &self.orders.operations[inv.operation];
+        let op = &self.settings.operations[inv.operation];
         let harmless = match op.effect {
-            Effect::Idempotent | Effect::Deduplicated(Group::All) => true,
+            Effect::Idempotent | Effect::Deduplicated(DeduplicationScope::All) => true,
             Effect::Deduplicated(_) | Effect::NonIdempotent => inv.bond.is_none() && inv.out.is_none(),
         };
-        let come_back = self.orders.come_back_max.map(|most| most.min(op.latency_objective));
+        let come_back = self.settings.max_retry_after.map(|most| most.min(op.latency_objective));
         let inv = id.clone();
         self.todo.push(match harmless {
-            true => Action::Throttle { inv, come_back },
-            false => Action::Error { inv },
+            true => Action::Throttle { invocation: inv, retry_after: come_back },
+            false => Action::Error { invocation: inv },
         });
         self.close(id);
     }
@@ -456,9 +465,9 @@
 
     fn cancel(&mut self, id: &Id) {
         let Some(out) = self.invs.get_mut(id).and_then(|inv| inv.out.as_mut()) else { return };
-        if self.orders.may_cancel && !out.cancelled && !out.flowing {
+        if self.settings.may_cancel && !out.cancelled && !out.flowing {
             out.cancelled = true;
-            self.todo.push(Action::Cancel { inv: id.clone(), forward: out.number });
+            self.todo.push(Action::Cancel { invocation: id.clone(), forward: out.number });
         }
     }
 
@@ -471,12 +480,13 @@
         let mut full = false;
         for id in waiting {
             let inv = &self.invs[&id];
-            let bound = inv.bond.is_some() || self.orders.operations[inv.operation].kind.is_some();
+            let bound = inv.bond.is_some() || self.settings.operations[inv.operation].machine_type.is_some();
             if full && !bound || self.now < inv.rests_until && !freed {
                 continue;
             }
             if inv.forwards > 0 && !self.affords(inv.operation) {
-                let eases = self.orders.budget.and_then(|budget| self.rations.eases(&budget, self.now));
+                let eases =
+                    self.settings.retry_budget.and_then(|budget| self.rations.eases(&budget, self.now));
                 self.invs.entry(id.clone()).and_modify(|inv| inv.rests_until = eases.unwrap_or(0));
                 self.watch_queued(&id);
                 continue;
@@ -491,7 +501,7 @@
     /// Whether one more forward beyond an invocation's first is within the budget. The second half of what the
     /// window allows is kept for high work.
     fn affords(&self, operation: usize) -> bool {
-        let Some(budget) = &self.orders.budget else { return true };
+        let Some(budget) = &self.settings.retry_budget else { return true };
         let (spent, allowed) = self.rations.spent(budget, self.now);
         spent + 1.0 <= allowed && (self.high[operation] || spent < allowed / 2.0)
     }
@@ -505,12 +515,12 @@
         }
         let (number, sent) = (inv.forwards, self.now);
         inv.forwards += 1;
-        if let Some(budget) = self.orders.budget.as_ref().filter(|_| number > 0) {
+        if let Some(budget) = self.settings.retry_budget.as_ref().filter(|_| number > 0) {
             self.rations.spend(budget, self.now);
         }
         (inv.pools, inv.heard_by, inv.rests_until) = (0, 0, 0);
         let runner = &mut self.runners[tgt];
-        let dialled = runner.dials(self.now, self.orders.idle_close);
+        let dialled = runner.dials(self.now, self.settings.idle_timeout);
         let high = self.high[inv.operation];
         inv.out = Some(Forward { tgt, number, high, dialled, sent, sign: sent, ..Forward::default() });
         if runner.out == 0 {
@@ -523,11 +533,11 @@
             self.linked.push(tgt);
         }
         runner.spent.push_back((self.now, work));
-        let op = &self.orders.operations[inv.operation];
+        let op = &self.settings.operations[inv.operation];
         let remembered = inv.bond.as_ref().filter(|_| matches!(op.effect, Effect::Deduplicated(_)));
-        let by = remembered.map(|bond| bond.since + op.memory_span - MARGIN);
-        self.todo.push(Action::Forward { inv: id.clone(), tgt: runner.id.clone(), by });
-        if self.orders.lists_load() && self.orders.probes() && runner.slots.is_none() {
+        let by = remembered.map(|bond| bond.since + op.deduplication_window - MARGIN);
+        self.todo.push(Action::Forward { invocation: id.clone(), runner: runner.id.clone(), latest: by });
+        if self.settings.roster_reports_load() && self.settings.can_probe_load() && runner.slots.is_none() {
             // The list tells of load in shares of slots, but not how many these are.
             self.probe(tgt);
         }
@@ -538,7 +548,7 @@
     /// Where runners tell of starts, a forward that has not begun is looked at when it may move, and when it
     /// can no more be in time.
     fn watch_start(&mut self, id: &Id) {
-        let Some(inv) = self.invs.get(id).filter(|_| self.orders.tells_start) else { return };
+        let Some(inv) = self.invs.get(id).filter(|_| self.settings.reports_start) else { return };
         let Some(out) = inv.out.as_ref().filter(|out| !out.started) else { return };
         let moves = out.sent + self.patience_to_start(inv, out);
         let at = if moves > self.now { moves.min(inv.in_time) } else { inv.in_time };
@@ -550,7 +560,7 @@
     /// A forward that has to wait for a new connection is given longer: moves would dial again and again. So is
     /// one where many are turned away: a place in a queue is then worth keeping.
     fn patience_to_start(&self, inv: &Inv, out: &Forward) -> Micros {
-        let objective = self.orders.operations[inv.operation].latency_objective;
+        let objective = self.settings.operations[inv.operation].latency_objective;
         let taken = if self.free_share.noted_at.is_some() { self.free_share.value } else { 1.0 };
         if out.dialled { objective } else { (objective as f64 * (1.0 - taken * 2.0 / 3.0)) as Micros }
     }
@@ -568,9 +578,9 @@
         let Some(out) = self.sign(id, forward).filter(|out| !out.started) else { return };
         out.started = true;
         let (sent, dialled) = (out.sent, out.dialled);
-        if self.orders.lists_load() || self.orders.blind() {
+        if self.settings.roster_reports_load() || self.settings.load_is_unknown() {
             // Where nothing tells of loads, what begins within an objective has found a slot soon enough.
-            let soon = !self.orders.blind() || self.now - sent <= self.tightest;
+            let soon = !self.settings.load_is_unknown() || self.now - sent <= self.tightest;
             self.free_share.note(f64::from(u8::from(soon)), 0.2, self.now);
         }
         self.watch(id, Some(self.now + stall));
@@ -584,49 +594,57 @@
     }
 
     fn outcome(&mut self, outcome: Outcome) {
-        let Some(inv) = self.invs.get_mut(&outcome.inv) else { return };
+        let Some(inv) = self.invs.get_mut(&outcome.invocation) else { return };
         let Some(out) = inv.out.take_if(|out| out.number == outcome.forward) else { return };
         let operation = inv.operation;
-        inv.left = Some(out.tgt).filter(|_| outcome.ending == Ending::Withdrawn);
-        let answered = inv.answered || outcome.finished;
+        inv.left = Some(out.tgt).filter(|_| outcome.result == ForwardResult::Withdrawn);
+        let answered = inv.answered || outcome.answered;
         let runner = &mut self.runners[out.tgt];
         runner.out -= 1;
         runner.out_high -= u32::from(out.high);
         runner.used_at = self.now;
         self.out_all -= 1;
-        if matches!(outcome.ending, Ending::Unreachable | Ending::Broken) {
+        if matches!(outcome.result, ForwardResult::Unreachable | ForwardResult::Broken) {
             runner.links = 0;
             self.linked.retain(|r| *r != out.tgt);
         }
-        let never_ran = matches!(outcome.ending, Ending::Overloaded | Ending::Unreachable | Ending::Void);
+        let never_ran = matches!(
+            outcome.result,
+            ForwardResult::Overloaded | ForwardResult::Unreachable | ForwardResult::Void
+        );
         if !never_ran && inv.bond.is_none() {
             let (zone, cell) = (runner.zone.clone(), runner.cell);
             inv.bond = Some(Bond { zone, cell, since: out.sent });
         }
         self.report(out.tgt, &outcome.report);
         // Where runners tell of starts these have been counted.
-        let taken = outcome.ending == Ending::Succeeded && !self.orders.tells_start;
-        if self.forwards_tell() && !self.orders.blind() && (taken || outcome.ending == Ending::Overloaded) {
+        let taken = outcome.result == ForwardResult::Succeeded && !self.settings.reports_start;
+        if self.forwards_tell()
+            && !self.settings.load_is_unknown()
+            && (taken || outcome.result == ForwardResult::Overloaded)
+        {
             self.free_share.note(f64::from(u8::from(taken)), 0.2, self.now);
         }
-        if outcome.ending == Ending::Overloaded
-            && let Some(free) = self.orders.free_slots(&outcome.report)
+        if outcome.result == ForwardResult::Overloaded
+            && let Some(free) = self.settings.free_slots(&outcome.report)
         {
             // Turned away as full with a report that shows a free slot: the report is late.
             self.weigh(if free > 0.5 { 2.1 } else { -0.14 });
         }
         self.judge(out.tgt, operation, &outcome);
-        if answered { self.close(&outcome.inv) } else { self.again(&outcome.inv) }
+        if answered { self.close(&outcome.invocation) } else { self.again(&outcome.invocation) }
     }
 
     /// Whether the forward that has ended is to be followed by another one.
     fn again(&mut self, id: &Id) {
         let Some(inv) = self.invs.get_mut(id) else { return };
-        let op = &self.orders.operations[inv.operation];
+        let op = &self.settings.operations[inv.operation];
         let mut until = inv.patience.max(self.now + op.latency_objective / 2).min(inv.deadline - MARGIN);
         match (&inv.bond, op.effect) {
             (None, _) | (Some(_), Effect::Idempotent) => {}
-            (Some(bond), Effect::Deduplicated(_)) => until = until.min(bond.since + op.memory_span - MARGIN),
+            (Some(bond), Effect::Deduplicated(_)) => {
+                until = until.min(bond.since + op.deduplication_window - MARGIN)
+            }
             (Some(_), Effect::NonIdempotent) => until = self.now,
         }
         if inv.forwards >= self.allowance[inv.operation] || self.now >= until {
@@ -687,7 +705,7 @@
             Pool::LinkedNear => enough && free,
             Pool::Linked => enough && will_do,
             // Late averages do not tell when a zone of its own runs short.
-            Pool::Near => free && !self.orders.lists_load(),
+            Pool::Near => free && !self.settings.roster_reports_load(),
             Pool::All => free,
             Pool::Cold => will_do,
         }
@@ -696,18 +714,18 @@
     /// Jobs are whole, but reports are noisy: 2.97 of 3 slots taken is a full runner, and by count below slots
     /// every other full one would look free, to all dispatchers at once. What the list tells is an average.
     fn has_slot(&self, r: usize) -> bool {
-        let least = if self.orders.lists_load() { f64::MIN_POSITIVE } else { 0.5 };
+        let least = if self.settings.roster_reports_load() { f64::MIN_POSITIVE } else { 0.5 };
         self.slots(r) - self.count(r) >= least
     }
 
     fn probes_tell(&self) -> bool {
-        self.orders.probes() && !self.orders.lists_load() && self.doubt <= 0.0
+        self.settings.can_probe_load() && !self.settings.roster_reports_load() && self.doubt <= 0.0
     }
 
     /// Whether a new connection is priced, or has been seen to take a good part of an objective.
     fn dialling_costs(&self) -> bool {
         let excess = self.dial_excess.at(self.now, FADES * self.mean_pace);
-        self.orders.connecting_costs || excess > self.tightest as f64 * DIAL_SLOW
+        self.settings.connections_are_priced || excess > self.tightest as f64 * DIAL_SLOW
     }
 
     fn wanted(&self, inv: &Inv) -> usize {
@@ -725,7 +743,7 @@
             (Pool::Homes, Some(key)) => self.homes(key, inv),
             (Pool::LinkedNear | Pool::Linked, _) if !self.dialling_costs() => Vec::new(),
             (Pool::LinkedNear | Pool::Linked, _) => {
-                let used = self.now - self.orders.idle_close;
+                let used = self.now - self.settings.idle_timeout;
                 self.linked.retain(|r| self.runners[*r].out > 0 || self.runners[*r].used_at > used);
                 self.linked.clone()
             }
@@ -745,7 +763,9 @@
             let fits = match pool {
                 Pool::LinkedNear | Pool::Near => self.runners[r].near,
                 // Unpriced, a connection is worth keeping to only if it is free: else it would have to be dialled.
-                Pool::Linked => self.orders.connecting_costs || self.runners[r].links > self.runners[r].out,
+                Pool::Linked => {
+                    self.settings.connections_are_priced || self.runners[r].links > self.runners[r].out
+                }
                 Pool::Homes | Pool::All | Pool::Cold => true,
             };
             // Only fresh word tells against a draw: a runner rejected on old word would not be heard again.
@@ -764,7 +784,7 @@
 
     /// Where sizes move with load, draws go by them: whoever took the least of the late list would meet all others.
     fn pick(&mut self, from: &[usize]) -> usize {
-        if !self.orders.lists_load() && !self.orders.blind() {
+        if !self.settings.roster_reports_load() && !self.settings.load_is_unknown() {
             return self.chance.below(from.len() as u64) as usize;
         }
         let weights: Vec<f64> = from.iter().map(|r| self.capacity(*r).max(1e-6)).collect();
@@ -794,7 +814,7 @@
     fn probe(&mut self, r: usize) {
         let runner = &mut self.runners[r];
         if !std::mem::replace(&mut runner.probing, true) {
-            self.todo.push(Action::Probe { tgt: runner.id.clone() });
+            self.todo.push(Action::Probe { runner: runner.id.clone() });
         }
     }
 
@@ -812,7 +832,7 @@
             let first = if high { f64::from(self.runners[r].out_high) / self.slots(r) } else { 0.0 };
             let fetch = if inv.spare == Some(r) { FETCH } else { 0.0 };
             // Where no load is told the order of chance, which goes by size, decides among equals.
-            let own = if self.orders.blind() { 0.0 } else { 1.0 };
+            let own = if self.settings.load_is_unknown() { 0.0 } else { 1.0 };
             let load = (self.guess(r) + own + fetch) / self.capacity(r);
             if best.is_none_or(|best| (first, load) < (best.0, best.1)) {
                 best = Some((first, load, r));
@@ -867,12 +887,12 @@
     /// Whether a runner may be drawn for this invocation.
     fn open(&self, r: usize, inv: &Inv) -> bool {
         let runner = &self.runners[r];
-        let op = &self.orders.operations[inv.operation];
+        let op = &self.settings.operations[inv.operation];
         let fits = runner.listed
-            && op.kind.as_ref().is_none_or(|kind| *kind == runner.kind)
+            && op.machine_type.as_ref().is_none_or(|kind| *kind == runner.kind)
             && match (&inv.bond, op.effect) {
-                (Some(bond), Effect::Deduplicated(Group::Zone)) => bond.zone == runner.zone,
-                (Some(bond), Effect::Deduplicated(Group::Cell)) => bond.cell == runner.cell,
+                (Some(bond), Effect::Deduplicated(DeduplicationScope::Zone)) => bond.zone == runner.zone,
+                (Some(bond), Effect::Deduplicated(DeduplicationScope::Cell)) => bond.cell == runner.cell,
                 _ => true,
             };
         fits && self.now >= runner.bench_until.max(runner.full_until)
@@ -884,16 +904,16 @@
     /// Where probes keep counts fresh, waiting is done here rather than in a runner's few waiting places.
     /// Where the list tells loads, what it says is too old to bar anybody.
     fn has_room(&self, r: usize, inv: &Inv) -> bool {
-        if self.orders.lists_load() {
+        if self.settings.roster_reports_load() {
             return true;
         }
         let (slots, count) = (self.slots(r), self.count(r));
-        let room = if self.orders.probes() {
+        let room = if self.settings.can_probe_load() {
             // Own forwards tell here when they end, so a job may as well wait here for their slots; where
             // others hold the slots, none would tell, and it waits in the runner.
             let others = 1.0 - f64::from(self.runners[r].out) / count.max(1.0);
             // Counts in doubt are averages: what seems just full may have a slot free, the likelier the more of it is own.
-            let own = 1.0 / f64::from(self.orders.dispatchers.max(1));
+            let own = 1.0 / f64::from(self.settings.dispatchers.max(1));
             let guess = if self.probes_tell() { 0.0 } else { 0.5 + 0.5 * own.powi(4) };
             (slots * (self.warmth(r) + others * PLACES)).round().max(1.0) + guess
         } else {
@@ -913,7 +933,7 @@
         let others = match runner.reported_at {
             None => mean,
             // While reports are late, one runner's say little; the fleet's mean still holds.
-            Some(_) if self.doubt > 0.0 || self.orders.lists_load() => (usual + mean) / 2.0,
+            Some(_) if self.doubt > 0.0 || self.settings.roster_reports_load() => (usual + mean) / 2.0,
             Some(_) => usual + (-age).exp() * (runner.others - usual),
         };
         f64::from(runner.out) + others.max(0.0)
@@ -923,7 +943,7 @@
     /// late list, who went by its figures as they stand would meet all others.
     fn guess(&mut self, r: usize) -> f64 {
         let count = self.count(r);
-        if !self.orders.lists_load() {
+        if !self.settings.roster_reports_load() {
             return count;
         }
         (count + count.max(1.0).sqrt() * self.chance.normal()).max(f64::from(self.runners[r].out))
@@ -938,7 +958,7 @@
     }
 
     fn set_mean_pace(&mut self) {
-        let used = self.orders.operations.iter().zip(&self.pace).filter(|(op, _)| op.in_use);
+        let used = self.settings.operations.iter().zip(&self.pace).filter(|(op, _)| op.in_use);
         let paces: Vec<f64> = used.map(|(_, pace)| pace.value).collect();
         self.mean_pace = (paces.iter().sum::<f64>() / (paces.len() as f64).max(1.0)).max(1.0);
     }
@@ -954,7 +974,7 @@
 
     fn weight(&self, r: usize) -> f64 {
         let size = self.runners[r].size;
-        if self.orders.sizes != Sizes::Untold && size > 0.0 { size } else { self.slots(r) }
+        if self.settings.size_source != SizeSource::Unknown && size > 0.0 { size } else { self.slots(r) }
     }
 
     // Cold runners.
@@ -962,8 +982,8 @@
     /// The share of its full capacity that a runner surely has.
     fn warmth(&self, r: usize) -> f64 {
         let Some(launched) = self.runners[r].launched else { return 1.0 };
-        let age = (self.now - launched).max(0) as f64 / self.orders.warm_within.max(1) as f64;
-        (self.orders.cold_from + (1.0 - self.orders.cold_from) * age).min(1.0)
+        let age = (self.now - launched).max(0) as f64 / self.settings.warm_up_span.max(1) as f64;
+        (self.settings.cold_capacity_share + (1.0 - self.settings.cold_capacity_share) * age).min(1.0)
     }
 
     /// While heavy work fails the pace is that of light work, so what the client tells counts where it is more.
@@ -973,8 +993,8 @@
 
     /// What all dispatchers together may send a cold runner in the span that the rule looks at.
     fn cold_budget(&self, r: usize) -> f64 {
-        let most = self.orders.overload_factor * self.warmth(r) * self.slots(r);
-        most * self.orders.tip_after as f64 * COLD_CAUTION
+        let most = self.settings.overload_factor * self.warmth(r) * self.slots(r);
+        most * self.settings.overload_window as f64 * COLD_CAUTION
     }
 
     /// An even share of it, or the portion agreed on. Where a share is less than one job, dispatchers take turns by
@@ -983,18 +1003,20 @@
         if self.warmth(r) >= 1.0 {
             return true;
         }
-        let (span, budget) = (self.orders.tip_after.max(1), self.cold_budget(r));
+        let (span, budget) = (self.settings.overload_window.max(1), self.cold_budget(r));
         let runner = &self.runners[r];
-        let (by_portions, by_turns) = if self.orders.portioned { PORTIONED } else { (0.0, 1.0) };
-        let portion = runner.portion(self.now, self.orders.dispatchers) * by_portions * budget;
-        let share = by_turns * budget / f64::from(self.orders.dispatchers);
+        let (by_portions, by_turns) = if self.settings.slow_start_is_shared { PORTIONED } else { (0.0, 1.0) };
+        let portion = runner.portion(self.now, self.settings.dispatchers) * by_portions * budget;
+        let share = by_turns * budget / f64::from(self.settings.dispatchers);
         let spent = runner.spent_since(self.now - span) + work;
         if spent <= portion || share >= work {
             return spent <= portion.max(share);
         }
         let slice = self.now.div_euclid(span);
         let turns = (self.mean_pace / (share / 2.0)).ceil();
-        let turn = (slice as u64).wrapping_add(runner.hash >> 32).wrapping_add(self.orders.number.into());
+        let turn = (slice as u64)
+            .wrapping_add(runner.hash >> 32)
+            .wrapping_add(self.settings.dispatcher_index.into());
         let most = portion + turns * share / 2.0;
         turn % (turns as u64).max(1) == 0 && runner.spent_since(slice * span) + work <= most
     }
@@ -1007,17 +1029,18 @@
             return false;
         }
         let held = if self.stale(r) { 0.0 } else { self.count(r) };
-        let most = (self.orders.overload_factor - 1.0) * self.warmth(r) * self.slots(r);
-        (held + MEANWHILE) * self.mean_pace + work <= most * self.orders.tip_after as f64 * COLD_CAUTION
+        let most = (self.settings.overload_factor - 1.0) * self.warmth(r) * self.slots(r);
+        (held + MEANWHILE) * self.mean_pace + work
+            <= most * self.settings.overload_window as f64 * COLD_CAUTION
     }
 
     // What runners show of themselves.
 
     fn report(&mut self, r: usize, values: &[f64]) {
         let of = [ReportField::InFlight, ReportField::FreeSlots, ReportField::Waiting];
-        let [inflight, free, waiting] = of.map(|field| self.orders.field(values, field));
+        let [inflight, free, waiting] = of.map(|field| self.settings.field(values, field));
         let runner = &mut self.runners[r];
-        runner.spent.retain(|(at, _)| *at >= self.now - self.orders.tip_after);
+        runner.spent.retain(|(at, _)| *at >= self.now - self.settings.overload_window);
         let Some(inflight) = inflight else { return };
         if let Some(free) = free.filter(|free| *free > 0.5 || waiting.is_some()) {
             let seen = (free + inflight - waiting.unwrap_or(0.0)).round().max(1.0);
@@ -1025,7 +1048,7 @@
             runner.slots = Some(slots);
             self.least_slots = if self.least_slots > 0.0 { self.least_slots.min(slots) } else { slots };
         }
-        if self.orders.lists_load() {
+        if self.settings.roster_reports_load() {
             return;
         }
         let settled = self.note_load(r, inflight);
@@ -1054,8 +1077,8 @@
         let (mean_pace, slots) = (self.mean_pace, self.slots(r));
         let runner = &mut self.runners[r];
         runner.fade(now, HEALTH_MEMORY);
-        match outcome.ending {
-            Ending::Succeeded => {
+        match outcome.result {
+            ForwardResult::Succeeded => {
                 runner.good += 1.0;
                 runner.silent_since = now;
                 runner.on_trial = false;
@@ -1068,7 +1091,7 @@
                 self.set_mean_pace();
             }
             // A connection that breaks may say nothing of its runner: one that is down refuses the next dial.
-            Ending::Errored | Ending::Broken => {
+            ForwardResult::Errored | ForwardResult::Broken => {
                 runner.bad += 1.0;
                 runner.silent_since = now;
                 if runner.bad <= 1.5 {
@@ -1081,21 +1104,21 @@
                     self.bench(r, "errors");
                 }
             }
-            Ending::Unreachable => {
+            ForwardResult::Unreachable => {
                 // Where all dials are slow, one that took too long says nothing against its runner.
                 let slow = outcome.elapsed as f64 > self.tightest as f64 * DIAL_SLOW;
-                if slow && !self.orders.connecting_costs {
+                if slow && !self.settings.connections_are_priced {
                     self.dial_excess.note(outcome.elapsed as f64, 0.1, now);
                 }
                 if !(slow && self.dialling_costs() && self.runners[r].silent_since > now - outcome.elapsed) {
                     self.bench(r, "no connection");
                 }
             }
-            Ending::Overloaded => {
+            ForwardResult::Overloaded => {
                 runner.silent_since = now;
                 runner.full_until = now + (mean_pace / slots) as Micros;
             }
-            Ending::TimedOut | Ending::Withdrawn | Ending::Void => {}
+            ForwardResult::TimedOut | ForwardResult::Withdrawn | ForwardResult::Void => {}
         }
     }
 
@@ -1119,8 +1142,8 @@
     /// How long a runner may show no sign of life. Progress is told at a known gap, so its lack tells a hang sooner than
     /// any time-out. What has not begun owes none: where no load is told it waits in the runner, and looks like a hang.
     fn silence_allowed(&self, begun: bool) -> Micros {
-        let told = self.orders.progress * 3 / 2;
-        if told > 0 && (begun || !self.orders.blind()) {
+        let told = self.settings.progress_interval * 3 / 2;
+        if told > 0 && (begun || !self.settings.load_is_unknown()) {
             return told;
         }
         told.max(4 * self.pace.iter().map(|pace| pace.value).fold(0.0, f64::max) as Micros)
@@ -1136,19 +1159,19 @@
         let Some(out) = inv.out.as_ref().filter(|out| !out.flowing && !out.cancelled) else { return };
         // Where no load is told a move is a guess as good as the first, and a cancel that stops nothing makes two
         // jobs of one: no setting says whether it does.
-        let unbegun = self.orders.tells_start && !out.started && !self.orders.blind();
-        if unbegun && self.now >= inv.in_time && self.orders.may_cancel {
+        let unbegun = self.settings.reports_start && !out.started && !self.settings.load_is_unknown();
+        if unbegun && self.now >= inv.in_time && self.settings.may_cancel {
             // Not begun, and late whatever comes: to go on would take a slot from what can still be in time.
             return self.give_up(id);
         }
-        let op = &self.orders.operations[inv.operation];
+        let op = &self.settings.operations[inv.operation];
         let since = inv.bond.as_ref().map_or(out.sent, |bond| bond.since);
         let may_go = match op.effect {
             Effect::Idempotent => true,
-            Effect::Deduplicated(_) => self.now < since + op.memory_span - 2 * MARGIN,
+            Effect::Deduplicated(_) => self.now < since + op.deduplication_window - 2 * MARGIN,
             Effect::NonIdempotent => false,
         };
-        if !(may_go && self.orders.may_cancel && inv.forwards < self.allowance[inv.operation]) {
+        if !(may_go && self.settings.may_cancel && inv.forwards < self.allowance[inv.operation]) {
             return self.watch_start(id);
         }
         let (tgt, begun, allowed) = (out.tgt, out.started, self.silence_allowed(out.started));
@@ -1169,11 +1192,11 @@
     fn probed(&mut self, id: &Id, alive: bool, report: &[f64]) {
         let Some(&r) = self.by_id.get(id) else { return };
         self.runners[r].probing = false;
-        if !alive && !self.orders.lists_load() {
+        if !alive && !self.settings.roster_reports_load() {
             return self.bench(r, "no answer to a probe");
         }
         self.report(r, report);
-        if let Some(free) = self.orders.free_slots(report).filter(|_| !self.forwards_tell()) {
+        if let Some(free) = self.settings.free_slots(report).filter(|_| !self.forwards_tell()) {
             self.free_share.note(f64::from(u8::from(free > 0.5)), 0.05, self.now);
         }
     }
--- a/src/routing_policy/slow_start.rs
+++ b/src/routing_policy/slow_start.rs
@@ -3,19 +3,19 @@
 //! along: a module that also took over loads, paces and shares did worse in a shortage than one that begins
 //! anew (docs/operations.md).
 
-use super::Brain;
+use super::RoutingPolicy;
 use crate::{Id, Micros};
 
 /// Work sent to a runner, and when.
-pub type Spent = (Id, Vec<(Micros, f64)>);
+pub type SlowStartUsage = (Id, Vec<(Micros, f64)>);
 
 /// The share of a cold runner's budget that is this dispatcher's own until then; afterwards it is an even one.
-pub type Portion = (Id, f64, Micros);
+pub type SlowStartShare = (Id, f64, Micros);
 
-impl Brain {
+impl RoutingPolicy {
     /// What counts, now or later, against the budgets of cold runners.
-    pub fn spent(&self, now: Micros) -> Vec<Spent> {
-        let counts = |at: Micros| at >= now - self.orders.tip_after;
+    pub fn slow_start_usage(&self, now: Micros) -> Vec<SlowStartUsage> {
+        let counts = |at: Micros| at >= now - self.settings.overload_window;
         let cold = self.cold.iter().map(|r| &self.runners[*r]);
         let spent = cold.map(|runner| {
             let work = runner.spent.iter().copied().filter(|(at, _)| counts(*at));
@@ -24,7 +24,7 @@
         spent.filter(|(_, work)| !work.is_empty()).collect()
     }
 
-    pub(super) fn inherit(&mut self, spent: Vec<Spent>) {
+    pub(super) fn inherit(&mut self, spent: Vec<SlowStartUsage>) {
         for (id, work) in spent {
             if let Some(&r) = self.by_id.get(&id) {
                 self.runners[r].spent.extend(work);
@@ -32,7 +32,7 @@
         }
     }
 
-    pub(super) fn portions(&mut self, portions: Vec<Portion>) {
+    pub(super) fn portions(&mut self, portions: Vec<SlowStartShare>) {
         for (id, share, until) in portions {
             if let Some(&r) = self.by_id.get(&id) {
                 self.runners[r].portion = Some((share, until));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,55 +2,55 @@
 
 /// What a dispatcher is told once, at its start. Only what the brain reads is kept.
 #[derive(Clone, Debug, Default)]
-pub struct StandingOrders {
+pub struct Settings {
     pub operations: Vec<Operation>,
     pub dispatchers: u32,
     /// This one's own number among them.
-    pub number: u32,
-    pub my_zone: Id,
+    pub dispatcher_index: u32,
+    pub own_zone: Id,
     /// Whether a crossing of zones costs something.
-    pub crossing_costs: bool,
+    pub cross_zone_is_priced: bool,
     /// Whether a new connection costs something, or one that is kept.
-    pub connecting_costs: bool,
+    pub connections_are_priced: bool,
     /// Runners close a connection that has been idle for this long.
-    pub idle_close: Micros,
+    pub idle_timeout: Micros,
     pub must_subscribe: bool,
-    pub ask_within: Micros,
-    pub cold_from: f64,
-    pub warm_within: Micros,
+    pub notification_deadline: Micros,
+    pub cold_capacity_share: f64,
+    pub warm_up_span: Micros,
     pub overload_factor: f64,
-    pub tip_after: Micros,
+    pub overload_window: Micros,
     /// Whether dispatchers agree on portions of cold runners' budgets, in place of even shares.
-    pub portioned: bool,
-    pub most_forwards: u32,
-    pub budget: Option<Budget>,
+    pub slow_start_is_shared: bool,
+    pub max_forwards: u32,
+    pub retry_budget: Option<RetryBudget>,
     pub may_cancel: bool,
     pub may_probe: bool,
     /// The longest come-back advice that a client follows; `None` where advice is not handed on.
-    pub come_back_max: Option<Micros>,
+    pub max_retry_after: Option<Micros>,
     pub report_fields: Vec<ReportField>,
-    pub sizes: Sizes,
+    pub size_source: SizeSource,
     /// Whether runners tell when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// The gap between progress notes; 0 where there are none.
-    pub progress: Micros,
+    pub progress_interval: Micros,
 }
 
-impl StandingOrders {
+impl Settings {
     /// Whether a probe may be sent and tells what a runner holds. One that tells only that it lives says nothing
     /// that a forward would not, and costs as much.
-    pub fn probes(&self) -> bool {
+    pub fn can_probe_load(&self) -> bool {
         self.may_probe && self.report_fields.contains(&ReportField::InFlight)
     }
 
     /// Whether nothing tells what runners hold.
-    pub fn blind(&self) -> bool {
-        !self.lists_load() && !self.report_fields.contains(&ReportField::InFlight)
+    pub fn load_is_unknown(&self) -> bool {
+        !self.roster_reports_load() && !self.report_fields.contains(&ReportField::InFlight)
     }
 
     /// Whether the list is where runners' load is told.
-    pub fn lists_load(&self) -> bool {
-        self.sizes == Sizes::Live
+    pub fn roster_reports_load(&self) -> bool {
+        self.size_source == SizeSource::Live
     }
 
     pub fn field(&self, report: &[f64], field: ReportField) -> Option<f64> {
@@ -73,19 +73,19 @@
     pub in_use: bool,
     pub latency_objective: Micros,
     pub effect: Effect,
-    pub memory_span: Micros,
+    pub deduplication_window: Micros,
     pub billed_value: f64,
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// The objective grows by this many times the job's own work.
-    pub stretch: f64,
+    pub objective_stretch: f64,
     /// The one kind of machine that runs it, where only one does.
-    pub kind: Option<Id>,
+    pub machine_type: Option<Id>,
 }
 
 /// What forwards beyond each invocation's first may number in any window: so many, and a share of the
 /// invocations taken in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     pub floor: f64,
     pub share: f64,
     pub window: Micros,
@@ -94,12 +94,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
-    Deduplicated(Group),
+    Deduplicated(DeduplicationScope),
     NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
@@ -107,9 +107,9 @@
 
 /// What the roster's sizes are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Sizes {
+pub enum SizeSource {
     #[default]
-    Untold,
+    Unknown,
     Registered,
     /// The registered size over 1 + jobs held a core, from a while back.
     Live,
--- a/src/state_tables.rs
+++ b/src/state_tables.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::{Budget, Id, Micros};
+use crate::{Id, Micros, RetryBudget};
 
 /// An average that is believed less as time passes with nothing new.
 #[derive(Clone, Default)]
@@ -129,17 +129,17 @@
 }
 
 impl Rations {
-    pub fn take(&mut self, budget: &Budget, now: Micros) {
+    pub fn take(&mut self, budget: &RetryBudget, now: Micros) {
         self.tidy(budget, now);
         self.taken.push_back(now);
     }
 
-    pub fn spend(&mut self, budget: &Budget, now: Micros) {
+    pub fn spend(&mut self, budget: &RetryBudget, now: Micros) {
         self.tidy(budget, now);
         self.further.push_back(now);
     }
 
-    fn tidy(&mut self, budget: &Budget, now: Micros) {
+    fn tidy(&mut self, budget: &RetryBudget, now: Micros) {
         let from = now - budget.window;
         self.taken.drain(..self.taken.partition_point(|at| *at <= from));
         self.further.drain(..self.further.partition_point(|at| *at < from));
@@ -147,7 +147,7 @@
 
     /// Further forwards in the window that ends now, and what it allows. A forward on its edge still counts, an
     /// invocation there does no more: whoever judges may count either way.
-    pub fn spent(&self, budget: &Budget, now: Micros) -> (f64, f64) {
+    pub fn spent(&self, budget: &RetryBudget, now: Micros) -> (f64, f64) {
         let from = now - budget.window;
         let taken = self.taken.len() - self.taken.partition_point(|at| *at <= from);
         let further = self.further.len() - self.further.partition_point(|at| *at < from);
@@ -155,7 +155,7 @@
     }
 
     /// When the oldest forward in the window counts no more.
-    pub fn eases(&self, budget: &Budget, now: Micros) -> Option<Micros> {
+    pub fn eases(&self, budget: &RetryBudget, now: Micros) -> Option<Micros> {
         let from = now - budget.window;
         self.further.get(self.further.partition_point(|at| *at < from)).map(|at| at + budget.window + 1)
     }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -2,8 +2,8 @@
 use topazsail::*;
 
 /// One dispatcher, told what happens in a few words; what it does comes back as lines.
-pub struct Desk {
-    brain: Brain,
+pub struct PolicyHarness {
+    policy: RoutingPolicy,
     now: Micros,
     armed: BTreeSet<Micros>,
     /// Other dispatchers' jobs as runners tell them; those not here do not answer probes.
@@ -18,81 +18,83 @@
         in_use: true,
         latency_objective: 500_000,
         effect,
-        memory_span: 3_000_000,
+        deduplication_window: 3_000_000,
         billed_value: 1.0,
-        late_share: 0.0,
-        stretch: 0.0,
-        kind: None,
+        late_value_share: 0.0,
+        objective_stretch: 0.0,
+        machine_type: None,
     }
 }
 
-pub fn orders(operations: Vec<Operation>) -> StandingOrders {
-    StandingOrders {
+pub fn settings(operations: Vec<Operation>) -> Settings {
+    Settings {
         operations,
         dispatchers: 2,
-        number: 0,
-        my_zone: "east".into(),
-        crossing_costs: false,
-        connecting_costs: false,
-        idle_close: 60_000_000,
+        dispatcher_index: 0,
+        own_zone: "east".into(),
+        cross_zone_is_priced: false,
+        connections_are_priced: false,
+        idle_timeout: 60_000_000,
         must_subscribe: true,
-        ask_within: 10_000_000,
-        cold_from: 0.1,
-        warm_within: 10_000_000,
+        notification_deadline: 10_000_000,
+        cold_capacity_share: 0.1,
+        warm_up_span: 10_000_000,
         overload_factor: 3.0,
-        tip_after: 2_000_000,
-        portioned: false,
-        most_forwards: 3,
-        budget: None,
+        overload_window: 2_000_000,
+        slow_start_is_shared: false,
+        max_forwards: 3,
+        retry_budget: None,
         may_cancel: true,
         may_probe: true,
-        come_back_max: Some(2_000_000),
+        max_retry_after: Some(2_000_000),
         report_fields: vec![ReportField::FreeSlots, ReportField::Waiting, ReportField::InFlight],
-        sizes: Sizes::Untold,
-        tells_start: false,
-        progress: 1_000_000,
+        size_source: SizeSource::Unknown,
+        reports_start: false,
+        progress_interval: 1_000_000,
     }
 }
 
-impl Desk {
+impl PolicyHarness {
     /// Runners `a`, `b`, ... in zone east, then west, turn by turn.
-    pub fn new(orders: StandingOrders, runners: &str) -> Desk {
-        let brain = Brain::new(orders, 7);
+    pub fn new(settings: Settings, runners: &str) -> PolicyHarness {
+        let policy = RoutingPolicy::new(settings, 7);
         let (armed, loads, out) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
-        let mut desk = Desk { brain, now: 1_000_000, armed, loads, out, trace: String::new() };
-        desk.roster(Listing::Remembered, runners, Readiness::Up, None);
-        desk
+        let mut harness = PolicyHarness { policy, now: 1_000_000, armed, loads, out, trace: String::new() };
+        harness.roster(Listing::Remembered, runners, Readiness::Up, None);
+        harness
     }
 
-    pub fn after(&mut self, ms: Micros) -> &mut Desk {
+    pub fn after(&mut self, ms: Micros) -> &mut PolicyHarness {
         self.now += ms * 1000;
         self
     }
 
-    fn tell(&mut self, event: Event) -> &mut Desk {
+    fn tell(&mut self, event: Event) -> &mut PolicyHarness {
         let mut answers = Vec::new();
-        for action in self.brain.decide(self.now, vec![event]) {
+        for action in self.policy.decide(self.now, vec![event]) {
             let line = match action {
                 Action::Log(_) => continue,
-                Action::Tick { after } => {
+                Action::SetTimer { after } => {
                     self.armed.insert(self.now + after);
                     continue;
                 }
-                Action::Forward { inv, tgt, .. } => {
+                Action::Forward { invocation: inv, runner: tgt, .. } => {
                     self.out.insert(inv.to_string(), tgt.to_string());
                     format!("{inv} -> {tgt}")
                 }
-                Action::Cancel { inv, forward } => format!("cancel {inv} #{forward}"),
-                Action::Throttle { inv, come_back } => format!("throttle {inv}, back in {come_back:?}"),
-                Action::Error { inv } => format!("error {inv}"),
-                Action::Probe { tgt } => {
+                Action::Cancel { invocation: inv, forward } => format!("cancel {inv} #{forward}"),
+                Action::Throttle { invocation: inv, retry_after: come_back } => {
+                    format!("throttle {inv}, back in {come_back:?}")
+                }
+                Action::Error { invocation: inv } => format!("error {inv}"),
+                Action::Probe { runner: tgt } => {
                     let line = format!("probe {tgt}");
                     if let Some(report) = self.load(&tgt) {
-                        answers.push(Event::Probed { tgt, alive: true, report });
+                        answers.push(Event::ProbeEnded { runner: tgt, alive: true, report });
                     }
                     line
                 }
-                Action::Follow => "follow".to_owned(),
+                Action::Subscribe => "follow".to_owned(),
             };
             self.trace += &format!("{} {line}\n", self.now / 1000);
         }
@@ -109,7 +111,7 @@
     }
 
     /// A renewed list in which these runners have this size.
-    pub fn sizes(&mut self, runners: &str, size: f64) -> &mut Desk {
+    pub fn sizes(&mut self, runners: &str, size: f64) -> &mut PolicyHarness {
         self.list(Listing::Changes, runners, size, Readiness::Up, None)
     }
 
@@ -130,12 +132,12 @@
         size: f64,
         readiness: Readiness,
         launched: Option<Micros>,
-    ) -> &mut Desk {
+    ) -> &mut PolicyHarness {
         let entries = runners.bytes().map(|name| RosterEntry {
-            tgt: (name as char).to_string().into(),
+            runner: (name as char).to_string().into(),
             cell: 0,
             size,
-            kind: "box".into(),
+            machine_type: "box".into(),
             zone: if name % 2 == 1 { "east" } else { "west" }.into(),
             readiness,
             launched,
@@ -144,21 +146,21 @@
         self.tell(Event::Roster(Roster { listing, entries }))
     }
 
-    pub fn arrives(&mut self, inv: &str, operation: usize) -> &mut Desk {
+    pub fn arrives(&mut self, inv: &str, operation: usize) -> &mut PolicyHarness {
         self.arrives_with(inv, operation, None)
     }
 
-    pub fn arrives_with(&mut self, inv: &str, operation: usize, key: Option<&str>) -> &mut Desk {
+    pub fn arrives_with(&mut self, inv: &str, operation: usize, key: Option<&str>) -> &mut PolicyHarness {
         self.comes(inv, operation, 5_000_000, key, None)
     }
 
     /// A client's repeat, whose first try came one and a half seconds before.
-    pub fn repeats(&mut self, inv: &str, operation: usize) -> &mut Desk {
+    pub fn repeats(&mut self, inv: &str, operation: usize) -> &mut PolicyHarness {
         self.comes(inv, operation, 3_500_000, None, None)
     }
 
     /// An invocation whose client tells its work.
-    pub fn hinted(&mut self, inv: &str, operation: usize, hint: Micros) -> &mut Desk {
+    pub fn hinted(&mut self, inv: &str, operation: usize, hint: Micros) -> &mut PolicyHarness {
         self.comes(inv, operation, 5_000_000, None, Some(hint))
     }
 
@@ -169,28 +171,41 @@
         expires_in: Micros,
         key: Option<&str>,
         hint: Option<Micros>,
-    ) -> &mut Desk {
+    ) -> &mut PolicyHarness {
         let (inv, key) = (inv.into(), key.map(Id::from));
-        self.tell(Event::Arrival(Arrival { inv, operation, expires_in, slots: 1.0, hint, key }))
+        self.tell(Event::Arrival(Arrival {
+            invocation: inv,
+            operation,
+            time_left: expires_in,
+            slots: 1.0,
+            work_hint: hint,
+            key,
+        }))
     }
 
-    pub fn ends(&mut self, inv: &str, forward: u32, ending: Ending, report: &[f64]) -> &mut Desk {
+    pub fn ends(
+        &mut self,
+        inv: &str,
+        forward: u32,
+        ending: ForwardResult,
+        report: &[f64],
+    ) -> &mut PolicyHarness {
         let tgt = self.out.remove(inv).unwrap_or_default().into();
         self.tell(Event::Outcome(Outcome {
-            inv: inv.into(),
+            invocation: inv.into(),
             forward,
-            tgt,
-            ending,
-            finished: ending == Ending::Succeeded,
+            runner: tgt,
+            result: ending,
+            answered: ending == ForwardResult::Succeeded,
             elapsed: 300_000,
             report: report.to_vec(),
         }))
     }
 
     /// Others' jobs in the runner from now on, told at once and with every answer to a probe.
-    pub fn reports(&mut self, tgt: &str, report: &[f64]) -> &mut Desk {
+    pub fn reports(&mut self, tgt: &str, report: &[f64]) -> &mut PolicyHarness {
         self.loads.insert(tgt.to_owned(), report.to_vec());
-        self.tell(Event::Probed { tgt: tgt.into(), alive: true, report: report.to_vec() })
+        self.tell(Event::ProbeEnded { runner: tgt.into(), alive: true, report: report.to_vec() })
     }
 
     /// The number of the latest forward of an invocation that is out.
@@ -212,30 +227,30 @@
     }
 
     /// This share of a cold runner's budget is this dispatcher's for so many milliseconds.
-    pub fn portion(&mut self, tgt: &str, share: f64, ms: Micros) -> &mut Desk {
+    pub fn portion(&mut self, tgt: &str, share: f64, ms: Micros) -> &mut PolicyHarness {
         let until = self.now + ms * 1000;
-        self.tell(Event::Portions(vec![(tgt.into(), share, until)]))
+        self.tell(Event::SlowStartShares(vec![(tgt.into(), share, until)]))
     }
 
-    pub fn retuned(&mut self, orders: StandingOrders) -> &mut Desk {
-        self.tell(Event::Retuned(Box::new(orders)))
+    pub fn retuned(&mut self, settings: Settings) -> &mut PolicyHarness {
+        self.tell(Event::SettingsChanged(Box::new(settings)))
     }
 
-    pub fn gone(&mut self, inv: &str) -> &mut Desk {
-        self.tell(Event::Gone { inv: inv.into() })
+    pub fn gone(&mut self, inv: &str) -> &mut PolicyHarness {
+        self.tell(Event::ClientLeft { invocation: inv.into() })
     }
 
-    pub fn starts(&mut self, inv: &str, forward: u32) -> &mut Desk {
-        self.tell(Event::Started { inv: inv.into(), forward })
+    pub fn starts(&mut self, inv: &str, forward: u32) -> &mut PolicyHarness {
+        self.tell(Event::Started { invocation: inv.into(), forward })
     }
 
     /// Lets time pass; the timer goes off when it was armed for.
-    pub fn passes(&mut self, ms: Micros) -> &mut Desk {
+    pub fn passes(&mut self, ms: Micros) -> &mut PolicyHarness {
         let end = self.now + ms * 1000;
         while let Some(at) = self.armed.first().copied().filter(|at| *at <= end) {
             self.armed.remove(&at);
             self.now = at;
-            self.tell(Event::Tick);
+            self.tell(Event::TimerFired);
         }
         self.now = end;
         self
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -3,32 +3,34 @@
 mod helper;
 
 use expect_test::expect;
-use helper::{Desk, operation, orders};
-use topazsail::{Budget, Effect, Ending, Group, Listing, Readiness, Sizes, StandingOrders};
+use helper::{PolicyHarness, operation, settings};
+use topazsail::{
+    DeduplicationScope, Effect, ForwardResult, Listing, Readiness, RetryBudget, Settings, SizeSource,
+};
 
 const IDLE: [f64; 3] = [2.0, 0.0, 0.0];
 const BUSY: [f64; 3] = [1.0, 0.0, 1.0];
 const FULL: [f64; 3] = [0.0, 2.0, 4.0];
 
-fn desk(effect: Effect, runners: &str) -> Desk {
-    idle(orders(vec![operation(effect)]), runners)
+fn harness(effect: Effect, runners: &str) -> PolicyHarness {
+    idle(settings(vec![operation(effect)]), runners)
 }
 
 /// A dispatcher that has heard from each runner that it holds nothing.
-fn idle(orders: StandingOrders, runners: &str) -> Desk {
-    let mut desk = Desk::new(orders, runners);
+fn idle(settings: Settings, runners: &str) -> PolicyHarness {
+    let mut harness = PolicyHarness::new(settings, runners);
     for tgt in runners.split("").filter(|tgt| !tgt.is_empty()) {
-        desk.reports(tgt, &IDLE);
+        harness.reports(tgt, &IDLE);
     }
-    desk
+    harness
 }
 
 #[test]
 fn a_low_invocation_goes_to_the_least_loaded_and_counts_drop_at_every_outcome() {
-    let mut desk = desk(Effect::Idempotent, "ab");
-    desk.reports("a", &BUSY).arrives("1", 0).arrives("2", 0).arrives("3", 0);
-    desk.after(100).ends("1", 0, Ending::Succeeded, &[]).arrives("4", 0);
-    desk.shows(expect![[r#"
+    let mut harness = harness(Effect::Idempotent, "ab");
+    harness.reports("a", &BUSY).arrives("1", 0).arrives("2", 0).arrives("3", 0);
+    harness.after(100).ends("1", 0, ForwardResult::Succeeded, &[]).arrives("4", 0);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> b
         1000 2 -> a
@@ -43,10 +45,10 @@
 fn a_high_invocation_goes_by_own_high_forwards_first() {
     let mut high = operation(Effect::Idempotent);
     high.billed_value = 5.0;
-    let mut desk = Desk::new(orders(vec![operation(Effect::Idempotent), high]), "ab");
-    desk.reports("a", &[3.0, 0.0, 0.0]).reports("b", &[2.0, 0.0, 1.0]);
-    desk.arrives("high1", 1).arrives("high2", 1).arrives("low", 0);
-    desk.shows(expect![[r#"
+    let mut harness = PolicyHarness::new(settings(vec![operation(Effect::Idempotent), high]), "ab");
+    harness.reports("a", &[3.0, 0.0, 0.0]).reports("b", &[2.0, 0.0, 1.0]);
+    harness.arrives("high1", 1).arrives("high2", 1).arrives("low", 0);
+    harness.shows(expect![[r#"
          1000 follow
          1000 high1 -> a
          1000 high2 -> b
@@ -56,11 +58,11 @@
 
 #[test]
 fn every_invocation_gets_one_answer_in_time() {
-    let mut desk = desk(Effect::NonIdempotent, "a");
-    desk.arrives("1", 0).arrives("2", 0).arrives("waits", 0).arrives("left", 0).gone("left");
-    desk.passes(600);
-    desk.after(4400).ends("1", 0, Ending::TimedOut, &[]);
-    desk.shows(expect![[r#"
+    let mut harness = harness(Effect::NonIdempotent, "a");
+    harness.arrives("1", 0).arrives("2", 0).arrives("waits", 0).arrives("left", 0).gone("left");
+    harness.passes(600);
+    harness.after(4400).ends("1", 0, ForwardResult::TimedOut, &[]);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> a
         1000 2 -> a
@@ -79,10 +81,10 @@
 
 #[test]
 fn a_non_idempotent_goes_again_only_where_nothing_ran() {
-    let mut desk = desk(Effect::NonIdempotent, "ab");
-    desk.reports("b", &BUSY).arrives("1", 0);
-    desk.ends("1", 0, Ending::Overloaded, &FULL).ends("1", 1, Ending::Errored, &IDLE);
-    desk.shows(expect![[r#"
+    let mut harness = harness(Effect::NonIdempotent, "ab");
+    harness.reports("b", &BUSY).arrives("1", 0);
+    harness.ends("1", 0, ForwardResult::Overloaded, &FULL).ends("1", 1, ForwardResult::Errored, &IDLE);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> a
         1000 1 -> b
@@ -92,11 +94,11 @@
 
 #[test]
 fn a_deduplicated_that_may_have_run_stays_in_its_zone_and_span() {
-    let mut desk = desk(Effect::Deduplicated(Group::Zone), "abcd");
-    desk.reports("b", &BUSY).reports("c", &BUSY).reports("d", &BUSY).arrives("1", 0);
-    desk.reports("b", &IDLE).reports("d", &IDLE).ends("1", 0, Ending::Errored, &FULL);
-    desk.after(3100).ends("1", 1, Ending::Errored, &IDLE);
-    desk.shows(expect![[r#"
+    let mut harness = harness(Effect::Deduplicated(DeduplicationScope::Zone), "abcd");
+    harness.reports("b", &BUSY).reports("c", &BUSY).reports("d", &BUSY).arrives("1", 0);
+    harness.reports("b", &IDLE).reports("d", &IDLE).ends("1", 0, ForwardResult::Errored, &FULL);
+    harness.after(3100).ends("1", 1, ForwardResult::Errored, &IDLE);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> a
         1000 1 -> c
@@ -106,14 +108,14 @@
 
 #[test]
 fn nothing_new_goes_to_a_runner_that_drains_or_is_missing() {
-    let mut desk = desk(Effect::Idempotent, "abc");
-    desk.roster(Listing::Changes, "a", Readiness::Draining, None);
-    desk.arrives("1", 0).arrives("2", 0);
-    desk.roster(Listing::All, "b", Readiness::Up, None);
-    desk.arrives("3", 0).arrives("4", 0).arrives("5", 0);
-    desk.roster(Listing::Refused, "", Readiness::Up, None);
-    desk.passes(600);
-    desk.shows(expect![[r#"
+    let mut harness = harness(Effect::Idempotent, "abc");
+    harness.roster(Listing::Changes, "a", Readiness::Draining, None);
+    harness.arrives("1", 0).arrives("2", 0);
+    harness.roster(Listing::All, "b", Readiness::Up, None);
+    harness.arrives("3", 0).arrives("4", 0).arrives("5", 0);
+    harness.roster(Listing::Refused, "", Readiness::Up, None);
+    harness.passes(600);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> b
         1000 2 -> c
@@ -134,13 +136,13 @@
 
 #[test]
 fn a_cold_runner_gets_no_more_than_this_dispatchers_share() {
-    let mut desk = desk(Effect::Idempotent, "ab");
-    desk.roster(Listing::Changes, "a", Readiness::Removed, None);
-    desk.roster(Listing::Changes, "b", Readiness::Up, Some(1_000_000));
-    desk.arrives("1", 0).arrives("2", 0).passes(400);
-    desk.after(2000).ends("1", 0, Ending::Succeeded, &IDLE);
-    desk.after(5000).arrives("3", 0).arrives("4", 0);
-    desk.shows(expect![[r#"
+    let mut harness = harness(Effect::Idempotent, "ab");
+    harness.roster(Listing::Changes, "a", Readiness::Removed, None);
+    harness.roster(Listing::Changes, "b", Readiness::Up, Some(1_000_000));
+    harness.arrives("1", 0).arrives("2", 0).passes(400);
+    harness.after(2000).ends("1", 0, ForwardResult::Succeeded, &IDLE);
+    harness.after(5000).arrives("3", 0).arrives("4", 0);
+    harness.shows(expect![[r#"
         1000 follow
         1000 probe b
         1000 1 -> b
@@ -153,13 +155,13 @@
 
 #[test]
 fn failures_beyond_the_median_set_a_runner_aside() {
-    let mut desk = desk(Effect::NonIdempotent, "ab");
-    desk.reports("b", &FULL);
+    let mut harness = harness(Effect::NonIdempotent, "ab");
+    harness.reports("b", &FULL);
     for inv in ["1", "2", "3"] {
-        desk.arrives(inv, 0).after(10).ends(inv, 0, Ending::Errored, &IDLE);
+        harness.arrives(inv, 0).after(10).ends(inv, 0, ForwardResult::Errored, &IDLE);
     }
-    desk.arrives("waits", 0).after(500).reports("b", &IDLE).arrives("4", 0);
-    desk.shows(expect![[r#"
+    harness.arrives("waits", 0).after(500).reports("b", &IDLE).arrives("4", 0);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> a
         1010 error 1
@@ -174,10 +176,10 @@
 
 #[test]
 fn a_runner_without_progress_is_left_and_its_work_moved() {
-    let mut desk = desk(Effect::Idempotent, "ab");
-    desk.reports("b", &FULL).arrives("1", 0).reports("b", &IDLE).passes(1500);
-    desk.ends("1", 0, Ending::Withdrawn, &[]);
-    desk.shows(expect![[r#"
+    let mut harness = harness(Effect::Idempotent, "ab");
+    harness.reports("b", &FULL).arrives("1", 0).reports("b", &IDLE).passes(1500);
+    harness.ends("1", 0, ForwardResult::Withdrawn, &[]);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> a
         2500 cancel 1 #0
@@ -188,12 +190,12 @@
 
 #[test]
 fn a_runner_once_full_is_tried_again_when_its_report_is_old() {
-    let mut orders = orders(vec![operation(Effect::Idempotent)]);
-    orders.may_probe = false;
-    let mut desk = Desk::new(orders, "a");
-    desk.arrives("0", 0).after(300).ends("0", 0, Ending::Succeeded, &[0.0, 6.0, 8.0]);
-    desk.arrives("soon", 0).passes(60_000).arrives("later", 0);
-    desk.shows(expect![[r#"
+    let mut settings = settings(vec![operation(Effect::Idempotent)]);
+    settings.may_probe = false;
+    let mut harness = PolicyHarness::new(settings, "a");
+    harness.arrives("0", 0).after(300).ends("0", 0, ForwardResult::Succeeded, &[0.0, 6.0, 8.0]);
+    harness.arrives("soon", 0).passes(60_000).arrives("later", 0);
+    harness.shows(expect![[r#"
         1000 follow
         1000 0 -> a
         1800 throttle soon, back in Some(500000)
@@ -204,11 +206,11 @@
 #[test]
 fn late_work_waits_behind_what_can_still_be_in_time() {
     let mut late = operation(Effect::Idempotent);
-    late.late_share = 0.5;
-    let mut desk = Desk::new(orders(vec![late]), "a");
-    desk.reports("a", &IDLE).arrives("1", 0).arrives("2", 0).arrives("old", 0).passes(600);
-    desk.arrives("new", 0).ends("1", 0, Ending::Succeeded, &BUSY);
-    desk.shows(expect![[r#"
+    late.late_value_share = 0.5;
+    let mut harness = PolicyHarness::new(settings(vec![late]), "a");
+    harness.reports("a", &IDLE).arrives("1", 0).arrives("2", 0).arrives("old", 0).passes(600);
+    harness.arrives("new", 0).ends("1", 0, ForwardResult::Succeeded, &BUSY);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> a
         1000 2 -> a
@@ -228,15 +230,15 @@
 
 #[test]
 fn reports_that_come_late_are_doubted_and_probes_given_up() {
-    let mut desk = desk(Effect::Idempotent, "ab");
-    desk.reports("b", &BUSY);
+    let mut harness = harness(Effect::Idempotent, "ab");
+    harness.reports("b", &BUSY);
     for inv in ["1", "2", "3"] {
-        desk.arrives(inv, 0).ends(inv, 0, Ending::Overloaded, &IDLE);
-        desk.ends(inv, 1, Ending::Overloaded, &IDLE);
+        harness.arrives(inv, 0).ends(inv, 0, ForwardResult::Overloaded, &IDLE);
+        harness.ends(inv, 1, ForwardResult::Overloaded, &IDLE);
     }
-    desk.after(400).reports("a", &FULL).reports("b", &BUSY).arrives("4", 0).arrives("5", 0);
-    desk.after(400).arrives("6", 0);
-    desk.shows(expect![[r#"
+    harness.after(400).reports("a", &FULL).reports("b", &BUSY).arrives("4", 0).arrives("5", 0);
+    harness.after(400).arrives("6", 0);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> a
         1000 1 -> b
@@ -249,11 +251,11 @@
 
 #[test]
 fn a_key_stays_with_its_homes_up_to_their_share() {
-    let mut desk = desk(Effect::Idempotent, "abcdef");
+    let mut harness = harness(Effect::Idempotent, "abcdef");
     for inv in ["1", "2", "3", "4", "5", "6"] {
-        desk.arrives_with(inv, 0, Some("catalogue"));
+        harness.arrives_with(inv, 0, Some("catalogue"));
     }
-    desk.shows(expect![[r#"
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> e
         1000 2 -> a
@@ -268,18 +270,18 @@
 fn a_popular_key_has_more_homes() {
     let mut shown = String::new();
     for (key, every) in [("rare", 10), ("popular", 1)] {
-        let mut desk = desk(Effect::Idempotent, "abcdefgh");
+        let mut harness = harness(Effect::Idempotent, "abcdefgh");
         for nth in 0..60 {
             let (inv, other) = (nth.to_string(), format!("other {nth}"));
-            desk.arrives_with(&inv, 0, Some(if nth % every == 0 { key } else { &other }));
-            desk.ends(&inv, 0, Ending::Succeeded, &IDLE);
+            harness.arrives_with(&inv, 0, Some(if nth % every == 0 { key } else { &other }));
+            harness.ends(&inv, 0, ForwardResult::Succeeded, &IDLE);
         }
-        desk.counts();
+        harness.counts();
         for nth in 60..80 {
             let inv = nth.to_string();
-            desk.arrives_with(&inv, 0, Some(key)).ends(&inv, 0, Ending::Succeeded, &IDLE);
+            harness.arrives_with(&inv, 0, Some(key)).ends(&inv, 0, ForwardResult::Succeeded, &IDLE);
         }
-        shown += &format!("{key}: {}\n", desk.counts());
+        shown += &format!("{key}: {}\n", harness.counts());
     }
     expect![[r#"
         rare: a6 c2 g12 
@@ -290,16 +292,16 @@
 
 #[test]
 fn low_work_is_let_in_by_the_share_of_probes_that_find_a_free_slot() {
-    let mut desk = Desk::new(two_tiers(), "ab");
+    let mut harness = PolicyHarness::new(two_tiers(), "ab");
     for _ in 0..80 {
-        desk.reports("a", &FULL);
+        harness.reports("a", &FULL);
     }
-    desk.reports("b", &IDLE).arrives("low1", 0).arrives("low2", 0).arrives("high", 1);
+    harness.reports("b", &IDLE).arrives("low1", 0).arrives("low2", 0).arrives("high", 1);
     for _ in 0..80 {
-        desk.reports("b", &IDLE);
+        harness.reports("b", &IDLE);
     }
-    desk.arrives("low3", 0);
-    desk.shows(expect![[r#"
+    harness.arrives("low3", 0);
+    harness.shows(expect![[r#"
         1000 follow
         1000 throttle low1, back in Some(500000)
         1000 throttle low2, back in Some(500000)
@@ -309,21 +311,21 @@
 }
 
 /// Operation 1 is high.
-fn two_tiers() -> StandingOrders {
+fn two_tiers() -> Settings {
     let mut high = operation(Effect::Idempotent);
     high.billed_value = 5.0;
-    orders(vec![operation(Effect::Idempotent), high])
+    settings(vec![operation(Effect::Idempotent), high])
 }
 
 #[test]
 fn in_a_shortage_cold_runners_come_first_within_their_budget() {
     let mut shown = String::new();
     for word in [IDLE, FULL] {
-        let mut desk = Desk::new(two_tiers(), "abc");
-        desk.roster(Listing::Changes, "d", Readiness::Up, Some(0));
-        (0..40).for_each(|_| _ = desk.reports("b", &word).reports("c", &word));
-        desk.reports("a", &IDLE).reports("d", &IDLE).counts();
-        shown += &format!("{}\n", desk.arrives("high", 1).counts());
+        let mut harness = PolicyHarness::new(two_tiers(), "abc");
+        harness.roster(Listing::Changes, "d", Readiness::Up, Some(0));
+        (0..40).for_each(|_| _ = harness.reports("b", &word).reports("c", &word));
+        harness.reports("a", &IDLE).reports("d", &IDLE).counts();
+        shown += &format!("{}\n", harness.arrives("high", 1).counts());
     }
     expect![[r#"
         a1 
@@ -334,10 +336,10 @@
 
 #[test]
 fn a_full_runner_whose_report_is_noisy_has_no_slot_free() {
-    let mut desk = Desk::new(orders(vec![operation(Effect::Idempotent)]), "a");
-    desk.reports("a", &[3.0, 0.0, 0.0]).after(100).reports("a", &[0.0, 0.0, 2.97]).arrives("low", 0);
-    desk.passes(100).reports("a", &[1.0, 0.0, 1.97]).passes(100);
-    desk.shows(expect![[r#"
+    let mut harness = PolicyHarness::new(settings(vec![operation(Effect::Idempotent)]), "a");
+    harness.reports("a", &[3.0, 0.0, 0.0]).after(100).reports("a", &[0.0, 0.0, 2.97]).arrives("low", 0);
+    harness.passes(100).reports("a", &[1.0, 0.0, 1.97]).passes(100);
+    harness.shows(expect![[r#"
         1000 follow
         1160 probe a
         1220 low -> a
@@ -346,17 +348,17 @@
 
 #[test]
 fn while_reports_are_late_forwards_taken_tell_how_much_low_work_is_let_in() {
-    let mut desk = idle(two_tiers(), "abcdefgh");
+    let mut harness = idle(two_tiers(), "abcdefgh");
     for nth in ["1", "2", "3"] {
-        desk.arrives(nth, 1);
-        (0..3).for_each(|forward| _ = desk.ends(nth, forward, Ending::Overloaded, &IDLE));
+        harness.arrives(nth, 1);
+        (0..3).for_each(|forward| _ = harness.ends(nth, forward, ForwardResult::Overloaded, &IDLE));
     }
-    ["low1", "low2", "low3", "low4"].iter().for_each(|inv| _ = desk.arrives(inv, 0));
+    ["low1", "low2", "low3", "low4"].iter().for_each(|inv| _ = harness.arrives(inv, 0));
     for nth in ["5", "6", "7", "8", "9"] {
-        desk.after(400).arrives(nth, 1).ends(nth, 0, Ending::Succeeded, &IDLE);
+        harness.after(400).arrives(nth, 1).ends(nth, 0, ForwardResult::Succeeded, &IDLE);
     }
-    desk.arrives("low5", 0).arrives("low6", 0);
-    desk.shows(expect![[r#"
+    harness.arrives("low5", 0).arrives("low6", 0);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> h
         1000 1 -> c
@@ -388,12 +390,12 @@
 #[test]
 fn the_objective_of_a_clients_repeat_runs_from_the_first_try() {
     let mut late = operation(Effect::Idempotent);
-    late.late_share = 0.5;
-    let mut desk = Desk::new(orders(vec![late]), "a");
-    desk.reports("a", &BUSY).arrives("first", 0).repeats("repeat", 0).arrives("new", 0);
-    desk.passes(200).reports("a", &IDLE).ends("first", 0, Ending::Succeeded, &BUSY);
-    desk.passes(400);
-    desk.shows(expect![[r#"
+    late.late_value_share = 0.5;
+    let mut harness = PolicyHarness::new(settings(vec![late]), "a");
+    harness.reports("a", &BUSY).arrives("first", 0).repeats("repeat", 0).arrives("new", 0);
+    harness.passes(200).reports("a", &IDLE).ends("first", 0, ForwardResult::Succeeded, &BUSY);
+    harness.passes(400);
+    harness.shows(expect![[r#"
         1000 follow
         1000 first -> a
         1060 probe a
@@ -408,16 +410,16 @@
 fn many_dispatchers_take_turns_at_a_cold_runner_by_whole_jobs() {
     let mut shown = String::new();
     for number in 0..40 {
-        let mut orders = orders(vec![operation(Effect::Idempotent)]);
+        let mut settings = settings(vec![operation(Effect::Idempotent)]);
         // Nobody tells what the runner holds.
-        (orders.dispatchers, orders.number, orders.may_probe) = (40, number, false);
-        let mut desk = Desk::new(orders, "a");
-        desk.roster(Listing::Changes, "a", Readiness::Up, Some(1_000_000));
-        desk.reports("a", &IDLE).passes(3_000);
+        (settings.dispatchers, settings.dispatcher_index, settings.may_probe) = (40, number, false);
+        let mut harness = PolicyHarness::new(settings, "a");
+        harness.roster(Listing::Changes, "a", Readiness::Up, Some(1_000_000));
+        harness.reports("a", &IDLE).passes(3_000);
         for nth in ["1", "2", "3", "4"] {
-            desk.arrives_with(nth, 0, Some(nth));
+            harness.arrives_with(nth, 0, Some(nth));
         }
-        let counts = desk.counts();
+        let counts = harness.counts();
         if !counts.is_empty() {
             shown += &format!("dispatcher {number}: {counts}\n");
         }
@@ -436,20 +438,20 @@
     // With 40 dispatchers an even share is 0.04 s of work; none of them is a job's.
     for (told, after) in [(None, 0), (Some(0.0), 0), (Some(0.9), 0), (Some(0.9), 600)] {
         for number in [0, 5] {
-            let mut orders = orders(vec![operation(Effect::Idempotent)]);
-            (orders.dispatchers, orders.number, orders.may_probe) = (40, number, false);
-            orders.portioned = true;
-            let mut desk = Desk::new(orders, "a");
-            desk.roster(Listing::Changes, "a", Readiness::Up, Some(1_000_000));
-            desk.reports("a", &IDLE).passes(3_000);
+            let mut settings = settings(vec![operation(Effect::Idempotent)]);
+            (settings.dispatchers, settings.dispatcher_index, settings.may_probe) = (40, number, false);
+            settings.slow_start_is_shared = true;
+            let mut harness = PolicyHarness::new(settings, "a");
+            harness.roster(Listing::Changes, "a", Readiness::Up, Some(1_000_000));
+            harness.reports("a", &IDLE).passes(3_000);
             if let Some(share) = told {
-                desk.portion("a", share, 500);
+                harness.portion("a", share, 500);
             }
-            desk.after(after);
+            harness.after(after);
             for nth in ["1", "2", "3", "4"] {
-                desk.arrives_with(nth, 0, Some(nth));
+                harness.arrives_with(nth, 0, Some(nth));
             }
-            shown += &format!("{told:?} after {after} ms, dispatcher {number}: {}\n", desk.counts());
+            shown += &format!("{told:?} after {after} ms, dispatcher {number}: {}\n", harness.counts());
         }
     }
     expect![[r#"
@@ -466,13 +468,13 @@
 }
 
 /// A warm runner's word counts a forward of ours so many times in a row, then it is gone.
-fn proves(desk: &mut Desk, times: u32) {
-    desk.roster(Listing::Changes, "z", Readiness::Up, None);
-    desk.reports("z", &IDLE).arrives("p", 0).after(200);
-    (0..times).for_each(|_| _ = desk.reports("z", &[1.0, 0.0, 1.0]));
-    desk.gone("p");
-    desk.roster(Listing::Changes, "z", Readiness::Removed, None);
-    desk.counts();
+fn proves(harness: &mut PolicyHarness, times: u32) {
+    harness.roster(Listing::Changes, "z", Readiness::Up, None);
+    harness.reports("z", &IDLE).arrives("p", 0).after(200);
+    (0..times).for_each(|_| _ = harness.reports("z", &[1.0, 0.0, 1.0]));
+    harness.gone("p");
+    harness.roster(Listing::Changes, "z", Readiness::Removed, None);
+    harness.counts();
 }
 
 /// Unproven it was the fall of a runner: all of a fleet's new processes heard of it what it had held a second before.
@@ -488,13 +490,13 @@
         (IDLE, 900_000, 5),
         (IDLE, -1_000_000, 4),
     ] {
-        let mut orders = orders(vec![operation(Effect::Idempotent)]);
-        (orders.dispatchers, orders.number) = (40, 0);
-        let mut desk = Desk::new(orders, "");
-        proves(&mut desk, proofs);
-        desk.roster(Listing::Changes, "a", Readiness::Up, Some(launched));
-        desk.reports("a", &word).after(200).arrives("1", 0).arrives("2", 0);
-        shown += &format!("{}\n", desk.counts());
+        let mut settings = settings(vec![operation(Effect::Idempotent)]);
+        (settings.dispatchers, settings.dispatcher_index) = (40, 0);
+        let mut harness = PolicyHarness::new(settings, "");
+        proves(&mut harness, proofs);
+        harness.roster(Listing::Changes, "a", Readiness::Up, Some(launched));
+        harness.reports("a", &word).after(200).arrives("1", 0).arrives("2", 0);
+        shown += &format!("{}\n", harness.counts());
     }
     expect![[r#"
         a1 
@@ -510,14 +512,14 @@
 fn runners_with_a_connection_come_first_where_a_new_one_is_priced() {
     let mut shown = String::new();
     for connecting_costs in [true, false] {
-        let mut orders = orders(vec![operation(Effect::Idempotent)]);
-        orders.connecting_costs = connecting_costs;
-        let mut desk = idle(orders, "abcdefgh");
+        let mut settings = settings(vec![operation(Effect::Idempotent)]);
+        settings.connections_are_priced = connecting_costs;
+        let mut harness = idle(settings, "abcdefgh");
         for nth in 0..40 {
             let inv = nth.to_string();
-            desk.arrives(&inv, 0).ends(&inv, 0, Ending::Succeeded, &IDLE);
+            harness.arrives(&inv, 0).ends(&inv, 0, ForwardResult::Succeeded, &IDLE);
         }
-        shown += &format!("{}\n", desk.counts());
+        shown += &format!("{}\n", harness.counts());
     }
     expect![[r#"
         a40 
@@ -528,16 +530,16 @@
 
 #[test]
 fn a_runner_of_the_own_zone_comes_first_where_a_crossing_is_priced() {
-    let mut orders = orders(vec![operation(Effect::Idempotent)]);
-    orders.crossing_costs = true;
-    let mut desk = Desk::new(orders, "abcd");
+    let mut settings = settings(vec![operation(Effect::Idempotent)]);
+    settings.cross_zone_is_priced = true;
+    let mut harness = PolicyHarness::new(settings, "abcd");
     for tgt in ["a", "b", "c", "d"] {
-        desk.reports(tgt, if tgt == "a" { &BUSY } else { &IDLE });
+        harness.reports(tgt, if tgt == "a" { &BUSY } else { &IDLE });
     }
     for inv in ["1", "2", "3", "4"] {
-        desk.arrives(inv, 0);
+        harness.arrives(inv, 0);
     }
-    desk.shows(expect![[r#"
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> c
         1000 2 -> c
@@ -548,9 +550,9 @@
 
 #[test]
 fn a_draw_that_does_not_answer_its_probe_is_passed_over() {
-    let mut desk = Desk::new(orders(vec![operation(Effect::Idempotent)]), "ab");
-    desk.reports("a", &BUSY).after(100).arrives("1", 0).passes(40);
-    desk.shows(expect![[r#"
+    let mut harness = PolicyHarness::new(settings(vec![operation(Effect::Idempotent)]), "ab");
+    harness.reports("a", &BUSY).after(100).arrives("1", 0).passes(40);
+    harness.shows(expect![[r#"
         1000 follow
         1100 probe a
         1100 probe b
@@ -561,13 +563,13 @@
 #[test]
 fn a_free_slot_behind_a_waiting_job_is_no_sign_of_late_reports() {
     let blocked = [1.0, 1.0, 2.0];
-    let mut desk = desk(Effect::Idempotent, "ab");
+    let mut harness = harness(Effect::Idempotent, "ab");
     for inv in ["1", "2", "3"] {
-        desk.arrives(inv, 0).ends(inv, 0, Ending::Overloaded, &blocked);
-        desk.ends(inv, 1, Ending::Overloaded, &blocked);
+        harness.arrives(inv, 0).ends(inv, 0, ForwardResult::Overloaded, &blocked);
+        harness.ends(inv, 1, ForwardResult::Overloaded, &blocked);
     }
-    desk.after(600).arrives("4", 0);
-    desk.shows(expect![[r#"
+    harness.after(600).arrives("4", 0);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> a
         1000 1 -> b
@@ -584,11 +586,11 @@
 /// after forward is another matter.
 #[test]
 fn a_broken_connection_sets_no_runner_aside_by_itself() {
-    let mut desk = desk(Effect::Idempotent, "ab");
-    desk.reports("b", &FULL).arrives("1", 0).after(5).ends("1", 0, Ending::Broken, &[]);
-    desk.after(5).ends("1", 1, Ending::Succeeded, &[]);
-    desk.after(5).arrives("2", 0).after(5).ends("2", 0, Ending::Broken, &[]);
-    desk.shows(expect![[r#"
+    let mut harness = harness(Effect::Idempotent, "ab");
+    harness.reports("b", &FULL).arrives("1", 0).after(5).ends("1", 0, ForwardResult::Broken, &[]);
+    harness.after(5).ends("1", 1, ForwardResult::Succeeded, &[]);
+    harness.after(5).arrives("2", 0).after(5).ends("2", 0, ForwardResult::Broken, &[]);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> a
         1005 1 -> a
@@ -597,41 +599,41 @@
 }
 
 /// Runners that tell of starts, in a list whose sizes move with load.
-fn listed(mut orders: StandingOrders, runners: &str) -> Desk {
-    (orders.sizes, orders.tells_start) = (Sizes::Live, true);
-    idle(orders, runners)
+fn listed(mut settings: Settings, runners: &str) -> PolicyHarness {
+    (settings.size_source, settings.reports_start) = (SizeSource::Live, true);
+    idle(settings, runners)
 }
 
 /// Four runners of one kind, at rest first; `d` is listed as full.
-fn live(orders: StandingOrders) -> Desk {
-    let mut desk = listed(orders, "abcd");
-    desk.sizes("abc", 2.0);
-    desk.sizes("d", 0.2);
-    desk
+fn live(settings: Settings) -> PolicyHarness {
+    let mut harness = listed(settings, "abcd");
+    harness.sizes("abc", 2.0);
+    harness.sizes("d", 0.2);
+    harness
 }
 
 #[test]
 fn sizes_that_move_with_load_are_the_reports_and_nobody_is_probed_for_load() {
-    let mut desk = live(orders(vec![operation(Effect::Idempotent)]));
+    let mut harness = live(settings(vec![operation(Effect::Idempotent)]));
     for _ in 0..30 {
-        desk.sizes("abc", 1.9);
-        desk.sizes("d", 0.2);
+        harness.sizes("abc", 1.9);
+        harness.sizes("d", 0.2);
     }
     (0..200).for_each(|nth| {
         let inv = nth.to_string();
-        desk.arrives(&inv, 0).starts(&inv, 0).ends(&inv, 0, Ending::Succeeded, &[]);
+        harness.arrives(&inv, 0).starts(&inv, 0).ends(&inv, 0, ForwardResult::Succeeded, &[]);
     });
     // Seldom, but not never: what is listed is old.
-    desk.shows_counts(expect!["a63 b64 c73 probes 0"]);
+    harness.shows_counts(expect!["a63 b64 c73 probes 0"]);
 }
 
 #[test]
 fn what_has_not_begun_moves_unless_it_may_have_to_run_once() {
-    let mut desk = live(orders(vec![operation(Effect::Idempotent), operation(Effect::NonIdempotent)]));
-    desk.arrives("free", 0).arrives("once", 1).arrives("begun", 0).starts("begun", 0);
+    let mut harness = live(settings(vec![operation(Effect::Idempotent), operation(Effect::NonIdempotent)]));
+    harness.arrives("free", 0).arrives("once", 1).arrives("begun", 0).starts("begun", 0);
     // Longer for the first forwards, which open connections; by then both have been on their way in time.
-    desk.passes(450).ends("free", 0, Ending::Withdrawn, &[]).passes(200);
-    desk.shows(expect![[r#"
+    harness.passes(450).ends("free", 0, ForwardResult::Withdrawn, &[]).passes(200);
+    harness.shows(expect![[r#"
         1000 follow
         1000 free -> a
         1000 once -> c
@@ -646,14 +648,14 @@
 
 #[test]
 fn a_forward_on_a_kept_connection_moves_after_a_third_of_its_objective() {
-    let mut desk = live(orders(vec![operation(Effect::Idempotent)]));
+    let mut harness = live(settings(vec![operation(Effect::Idempotent)]));
     let invs = ["1", "2", "3", "4", "5", "6", "7", "8"];
-    invs.iter().for_each(|inv| _ = desk.arrives(inv, 0).starts(inv, 0));
-    invs.iter().for_each(|inv| _ = desk.ends(inv, 0, Ending::Succeeded, &[]));
-    desk.after(10);
-    desk.shows_counts(expect!["a3 b2 c2 d1 probes 0"]);
-    desk.arrives("moves", 0).passes(200).ends("moves", 0, Ending::Withdrawn, &[]);
-    desk.shows(expect![[r#"
+    invs.iter().for_each(|inv| _ = harness.arrives(inv, 0).starts(inv, 0));
+    invs.iter().for_each(|inv| _ = harness.ends(inv, 0, ForwardResult::Succeeded, &[]));
+    harness.after(10);
+    harness.shows_counts(expect!["a3 b2 c2 d1 probes 0"]);
+    harness.arrives("moves", 0).passes(200).ends("moves", 0, ForwardResult::Withdrawn, &[]);
+    harness.shows(expect![[r#"
         1010 moves -> c
         1176 cancel moves #0
         1210 moves -> a
@@ -664,13 +666,13 @@
 fn billed_value_says_who_is_high_before_objectives_do() {
     let (mut dear, mut tight) = (operation(Effect::Idempotent), operation(Effect::Idempotent));
     (dear.billed_value, tight.latency_objective) = (12.0, 250_000);
-    let mut desk = live(orders(vec![dear, tight]));
+    let mut harness = live(settings(vec![dear, tight]));
     // A forward is turned away, so low work is let in by a small chance only: the dear one is high.
-    desk.arrives("full", 0).ends("full", 0, Ending::Overloaded, &[]).gone("full");
+    harness.arrives("full", 0).ends("full", 0, ForwardResult::Overloaded, &[]).gone("full");
     for nth in 0..5 {
-        desk.arrives(&format!("dear{nth}"), 0).arrives(&format!("tight{nth}"), 1);
+        harness.arrives(&format!("dear{nth}"), 0).arrives(&format!("tight{nth}"), 1);
     }
-    desk.shows(expect![[r#"
+    harness.shows(expect![[r#"
         1000 follow
         1000 full -> b
         1000 full -> c
@@ -690,11 +692,11 @@
 
 #[test]
 fn a_heavy_job_counts_by_its_hint_at_a_cold_runner() {
-    let mut desk = idle(orders(vec![operation(Effect::Idempotent)]), "a");
-    desk.after(1).roster(Listing::Changes, "a", Readiness::Up, Some(0));
-    desk.hinted("light", 0, 100_000).hinted("heavy", 0, 20_000_000);
-    desk.passes(100);
-    desk.shows(expect![[r#"
+    let mut harness = idle(settings(vec![operation(Effect::Idempotent)]), "a");
+    harness.after(1).roster(Listing::Changes, "a", Readiness::Up, Some(0));
+    harness.hinted("light", 0, 100_000).hinted("heavy", 0, 20_000_000);
+    harness.passes(100);
+    harness.shows(expect![[r#"
         1000 follow
         1001 probe a
         1001 light -> a
@@ -704,11 +706,11 @@
 #[test]
 fn an_objective_grows_by_what_the_stretch_leaves_beyond_the_work() {
     let mut op = operation(Effect::NonIdempotent);
-    op.stretch = 2.5;
-    let mut desk = Desk::new(orders(vec![op]), "");
-    desk.hinted("light", 0, 1_000).hinted("heavy", 0, 1_000_000);
-    desk.passes(2_000);
-    desk.shows(expect![[r#"
+    op.objective_stretch = 2.5;
+    let mut harness = PolicyHarness::new(settings(vec![op]), "");
+    harness.hinted("light", 0, 1_000).hinted("heavy", 0, 1_000_000);
+    harness.passes(2_000);
+    harness.shows(expect![[r#"
         1000 follow
         1501 throttle light, back in Some(500000)
         2500 throttle heavy, back in Some(500000)
@@ -717,28 +719,28 @@
 
 #[test]
 fn slow_dials_bring_connections_first() {
-    let mut desk = listed(orders(vec![operation(Effect::Idempotent)]), "abcdefghijkl");
-    desk.sizes("abcdefghijkl", 2.0);
+    let mut harness = listed(settings(vec![operation(Effect::Idempotent)]), "abcdefghijkl");
+    harness.sizes("abcdefghijkl", 2.0);
     // All of these open connections, and take long to.
     let invs = ["1", "2", "3", "4", "5", "6"];
-    invs.iter().for_each(|inv| _ = desk.arrives(inv, 0));
-    desk.after(300);
-    invs.iter().for_each(|inv| _ = desk.starts(inv, 0).ends(inv, 0, Ending::Succeeded, &[]));
-    desk.shows_counts(expect!["d1 f1 g1 i1 j1 l1 probes 0"]);
+    invs.iter().for_each(|inv| _ = harness.arrives(inv, 0));
+    harness.after(300);
+    invs.iter().for_each(|inv| _ = harness.starts(inv, 0).ends(inv, 0, ForwardResult::Succeeded, &[]));
+    harness.shows_counts(expect!["d1 f1 g1 i1 j1 l1 probes 0"]);
     for nth in 0..20 {
         let inv = format!("kept{nth}");
-        desk.arrives(&inv, 0).starts(&inv, 0).ends(&inv, 0, Ending::Succeeded, &[]);
+        harness.arrives(&inv, 0).starts(&inv, 0).ends(&inv, 0, ForwardResult::Succeeded, &[]);
     }
-    desk.shows_counts(expect!["d3 f4 g3 i8 j2 probes 0"]);
+    harness.shows_counts(expect!["d3 f4 g3 i8 j2 probes 0"]);
 }
 
 #[test]
 fn a_slow_dial_sets_no_runner_aside_that_has_shown_life_since() {
-    let mut desk = listed(orders(vec![operation(Effect::Idempotent)]), "a");
-    desk.sizes("a", 2.0);
-    desk.arrives("first", 0).after(300).starts("first", 0).ends("first", 0, Ending::Succeeded, &[]);
-    desk.after(100).arrives("slow", 0).ends("slow", 0, Ending::Unreachable, &[]);
-    desk.shows(expect![[r#"
+    let mut harness = listed(settings(vec![operation(Effect::Idempotent)]), "a");
+    harness.sizes("a", 2.0);
+    harness.arrives("first", 0).after(300).starts("first", 0).ends("first", 0, ForwardResult::Succeeded, &[]);
+    harness.after(100).arrives("slow", 0).ends("slow", 0, ForwardResult::Unreachable, &[]);
+    harness.shows(expect![[r#"
         1000 follow
         1000 first -> a
         1400 slow -> a
@@ -750,10 +752,10 @@
 fn low_work_that_was_turned_away_is_let_in_again_by_the_same_share() {
     let mut dear = operation(Effect::Idempotent);
     dear.billed_value = 12.0;
-    let mut desk = live(orders(vec![dear, operation(Effect::Idempotent)]));
-    desk.arrives("low", 1).ends("low", 0, Ending::Overloaded, &[]);
-    desk.arrives("high", 0).ends("high", 0, Ending::Overloaded, &[]);
-    desk.shows(expect![[r#"
+    let mut harness = live(settings(vec![dear, operation(Effect::Idempotent)]));
+    harness.arrives("low", 1).ends("low", 0, ForwardResult::Overloaded, &[]);
+    harness.arrives("high", 0).ends("high", 0, ForwardResult::Overloaded, &[]);
+    harness.shows(expect![[r#"
         1000 follow
         1000 low -> a
         1000 throttle low, back in Some(500000)
@@ -765,15 +767,15 @@
 /// Under way an invocation keeps its operation, effect and all, but gets no forward that is no longer allowed.
 #[test]
 fn new_orders_leave_what_is_under_way_its_operation_and_allow_it_no_more_forwards() {
-    let mut desk = desk(Effect::Idempotent, "a");
-    desk.arrives("under way", 0).arrives("waits", 0).ends("waits", 0, Ending::Overloaded, &FULL);
+    let mut harness = harness(Effect::Idempotent, "a");
+    harness.arrives("under way", 0).arrives("waits", 0).ends("waits", 0, ForwardResult::Overloaded, &FULL);
     let was = topazsail::Operation { in_use: false, ..operation(Effect::Idempotent) };
-    let mut stricter = orders(vec![was, operation(Effect::NonIdempotent)]);
-    stricter.most_forwards = 1;
-    desk.after(10).retuned(stricter);
-    desk.after(10).ends("under way", 0, Ending::Errored, &[]);
-    desk.after(1000).arrives("new", 1).ends("new", 0, Ending::Errored, &[]);
-    desk.shows(expect![[r#"
+    let mut stricter = settings(vec![was, operation(Effect::NonIdempotent)]);
+    stricter.max_forwards = 1;
+    harness.after(10).retuned(stricter);
+    harness.after(10).ends("under way", 0, ForwardResult::Errored, &[]);
+    harness.after(1000).arrives("new", 1).ends("new", 0, ForwardResult::Errored, &[]);
+    harness.shows(expect![[r#"
         1000 follow
         1000 under way -> a
         1000 waits -> a
@@ -790,12 +792,12 @@
 fn new_orders_may_change_tiers_under_way() {
     let mut low = operation(Effect::Idempotent);
     low.billed_value = 0.5;
-    let mut desk = idle(orders(vec![operation(Effect::Idempotent), low.clone()]), "a");
-    desk.arrives("low", 1);
+    let mut harness = idle(settings(vec![operation(Effect::Idempotent), low.clone()]), "a");
+    harness.arrives("low", 1);
     low.billed_value = 5.0;
-    desk.retuned(orders(vec![operation(Effect::Idempotent), low]));
-    desk.ends("low", 0, Ending::Succeeded, &[]).arrives("next", 1);
-    desk.shows(expect![[r#"
+    harness.retuned(settings(vec![operation(Effect::Idempotent), low]));
+    harness.ends("low", 0, ForwardResult::Succeeded, &[]).arrives("next", 1);
+    harness.shows(expect![[r#"
         1000 follow
         1000 low -> a
         1000 next -> a
@@ -807,15 +809,15 @@
 fn new_orders_may_change_pools_under_way() {
     let mut low = operation(Effect::Idempotent);
     low.billed_value = 0.5;
-    let mut first = orders(vec![operation(Effect::Idempotent), low.clone()]);
-    (first.crossing_costs, first.connecting_costs) = (true, true);
-    let mut desk = Desk::new(first, "ab");
+    let mut first = settings(vec![operation(Effect::Idempotent), low.clone()]);
+    (first.cross_zone_is_priced, first.connections_are_priced) = (true, true);
+    let mut harness = PolicyHarness::new(first, "ab");
     // Its draws do not answer their probes, so it waits between two pools.
-    desk.arrives("low", 1).after(40).arrives("waits", 0);
-    let mut then = orders(vec![operation(Effect::Idempotent), low]);
+    harness.arrives("low", 1).after(40).arrives("waits", 0);
+    let mut then = settings(vec![operation(Effect::Idempotent), low]);
     then.may_probe = false;
-    desk.after(1).retuned(then).after(1).arrives("next", 1);
-    desk.shows(expect![[r#"
+    harness.after(1).retuned(then).after(1).arrives("next", 1);
+    harness.shows(expect![[r#"
         1000 follow
         1000 probe a
         1040 probe b
@@ -828,11 +830,11 @@
 /// Staff who take a runner out while the watch is lost must not be taken for word from the roster.
 #[test]
 fn own_changes_of_standing_leave_a_lost_watch_to_be_asked_for_again() {
-    let mut desk = desk(Effect::Idempotent, "ab");
-    desk.roster(Listing::Refused, "", Readiness::Up, None);
-    desk.roster(Listing::Own, "a", Readiness::Draining, None);
-    desk.after(700).arrives("1", 0);
-    desk.shows(expect![[r#"
+    let mut harness = harness(Effect::Idempotent, "ab");
+    harness.roster(Listing::Refused, "", Readiness::Up, None);
+    harness.roster(Listing::Own, "a", Readiness::Draining, None);
+    harness.after(700).arrives("1", 0);
+    harness.shows(expect![[r#"
         1000 follow
         1700 follow
         1700 probe b
@@ -845,15 +847,15 @@
 fn further_forwards_stay_within_the_budget() {
     let mut low = operation(Effect::Idempotent);
     low.billed_value = 0.5;
-    let mut orders = orders(vec![operation(Effect::Idempotent), low]);
-    orders.budget = Some(Budget { floor: 2.0, share: 0.0, window: 300_000 });
-    let mut desk = Desk::new(orders, "a");
-    desk.reports("a", &[9.0, 0.0, 0.0]);
+    let mut settings = settings(vec![operation(Effect::Idempotent), low]);
+    settings.retry_budget = Some(RetryBudget { floor: 2.0, share: 0.0, window: 300_000 });
+    let mut harness = PolicyHarness::new(settings, "a");
+    harness.reports("a", &[9.0, 0.0, 0.0]);
     for (inv, op) in [("low1", 1), ("low2", 1), ("high1", 0), ("high2", 0)] {
-        desk.arrives(inv, op).ends(inv, 0, Ending::Errored, &[]);
+        harness.arrives(inv, op).ends(inv, 0, ForwardResult::Errored, &[]);
     }
-    desk.after(300).gone("").after(1).gone("");
-    desk.shows(expect![[r#"
+    harness.after(300).gone("").after(1).gone("");
+    harness.shows(expect![[r#"
         1000 follow
         1000 low1 -> a
         1000 low1 -> a
@@ -875,29 +877,32 @@
         (drawn >> 33) % below
     };
     let (window, floor, share) = (400, 3.0, 0.25);
-    let mut orders = orders(vec![operation(Effect::Idempotent), operation(Effect::Idempotent)]);
-    orders.operations[0].billed_value = 2.0;
-    orders.most_forwards = 5;
-    orders.budget = Some(Budget { floor, share, window: window * 1000 });
-    let mut desk = Desk::new(orders, "abcdef");
-    "abcdef".split("").filter(|tgt| !tgt.is_empty()).for_each(|tgt| _ = desk.reports(tgt, &[30.0, 0.0, 0.0]));
+    let mut settings = settings(vec![operation(Effect::Idempotent), operation(Effect::Idempotent)]);
+    settings.operations[0].billed_value = 2.0;
+    settings.max_forwards = 5;
+    settings.retry_budget = Some(RetryBudget { floor, share, window: window * 1000 });
+    let mut harness = PolicyHarness::new(settings, "abcdef");
+    "abcdef"
+        .split("")
+        .filter(|tgt| !tgt.is_empty())
+        .for_each(|tgt| _ = harness.reports(tgt, &[30.0, 0.0, 0.0]));
     let (mut now, mut taken) = (1000i64, Vec::new());
     for nth in 0..3000 {
         let pause = if chance(100) == 0 { 900 } else { chance(12) as i64 };
         now += pause;
-        desk.after(pause).arrives(&nth.to_string(), chance(2) as usize);
+        harness.after(pause).arrives(&nth.to_string(), chance(2) as usize);
         taken.push(now);
         for past in nth - nth.min(6)..=nth {
             if chance(3) > 0 {
-                let forward = desk.forwards(&past.to_string());
-                let ending = if chance(2) == 0 { Ending::Succeeded } else { Ending::Void };
+                let forward = harness.forwards(&past.to_string());
+                let ending = if chance(2) == 0 { ForwardResult::Succeeded } else { ForwardResult::Void };
                 if let Some(forward) = forward {
-                    desk.ends(&past.to_string(), forward, ending, &[]);
+                    harness.ends(&past.to_string(), forward, ending, &[]);
                 }
             }
         }
     }
-    let further = desk.further();
+    let further = harness.further();
     assert!(further.len() > 100, "{} forwards beyond the first", further.len());
     for at in &further {
         let spent = further.iter().filter(|other| (at - window..=*at).contains(*other)).count();
@@ -910,24 +915,24 @@
 /// all runners were set aside for slow probes, and moves doubled the work until nothing was in time.
 #[test]
 fn where_no_load_is_told_nothing_is_probed_or_moved_and_draws_go_by_size() {
-    let mut orders = orders(vec![operation(Effect::Idempotent)]);
-    orders.report_fields.clear();
-    (orders.sizes, orders.tells_start) = (Sizes::Registered, true);
-    (orders.crossing_costs, orders.connecting_costs) = (true, true);
-    let mut desk = Desk::new(orders, "abcd");
-    desk.arrives("1", 0).passes(900);
-    desk.shows(expect![[r#"
+    let mut settings = settings(vec![operation(Effect::Idempotent)]);
+    settings.report_fields.clear();
+    (settings.size_source, settings.reports_start) = (SizeSource::Registered, true);
+    (settings.cross_zone_is_priced, settings.connections_are_priced) = (true, true);
+    let mut harness = PolicyHarness::new(settings, "abcd");
+    harness.arrives("1", 0).passes(900);
+    harness.shows(expect![[r#"
         1000 follow
         1000 1 -> d
     "#]]);
-    desk.sizes("a", 8.0);
-    desk.sizes("b", 4.0);
-    desk.sizes("cd", 2.0);
+    harness.sizes("a", 8.0);
+    harness.sizes("b", 4.0);
+    harness.sizes("cd", 2.0);
     for nth in 0..160 {
         let inv = format!("i{nth}");
-        desk.arrives(&inv, 0).starts(&inv, 0).ends(&inv, 0, Ending::Succeeded, &[]);
+        harness.arrives(&inv, 0).starts(&inv, 0).ends(&inv, 0, ForwardResult::Succeeded, &[]);
     }
-    desk.shows_counts(expect!["a93 b35 c32 probes 0"]);
+    harness.shows_counts(expect!["a93 b35 c32 probes 0"]);
 }
 
 /// Work that has not begun owes no progress where it waits unseen in a runner's queue: a long queue looked like a hang,
@@ -935,20 +940,21 @@
 #[test]
 fn where_no_load_is_told_only_what_has_begun_can_fall_silent() {
     for begins in [false, true] {
-        let mut orders = orders(vec![operation(Effect::Idempotent)]);
-        orders.report_fields.clear();
-        (orders.sizes, orders.tells_start, orders.progress) = (Sizes::Registered, true, 400_000);
-        let mut desk = Desk::new(orders, "abcd");
+        let mut settings = settings(vec![operation(Effect::Idempotent)]);
+        settings.report_fields.clear();
+        (settings.size_source, settings.reports_start, settings.progress_interval) =
+            (SizeSource::Registered, true, 400_000);
+        let mut harness = PolicyHarness::new(settings, "abcd");
         // Jobs take 0.3 s here; four times as long without a word is a hang whatever it waits for.
-        desk.arrives("1", 0).starts("1", 0).ends("1", 0, Ending::Succeeded, &[]);
-        desk.arrives("2", 0);
+        harness.arrives("1", 0).starts("1", 0).ends("1", 0, ForwardResult::Succeeded, &[]);
+        harness.arrives("2", 0);
         if begins {
-            desk.starts("2", 0);
+            harness.starts("2", 0);
         }
-        desk.passes(900);
-        assert_eq!(desk.trace().contains("cancel 2 #0"), begins, "{}", desk.trace());
-        desk.passes(600);
-        assert!(desk.trace().contains("cancel 2 #0"));
+        harness.passes(900);
+        assert_eq!(harness.trace().contains("cancel 2 #0"), begins, "{}", harness.trace());
+        harness.passes(600);
+        assert!(harness.trace().contains("cancel 2 #0"));
     }
 }
 
@@ -956,18 +962,18 @@
 #[test]
 fn where_no_load_is_told_late_beginnings_tell_a_shortage() {
     for (waits, let_in) in [(100, 40), (900, 17)] {
-        let mut orders = orders(vec![operation(Effect::Idempotent), operation(Effect::Idempotent)]);
-        orders.report_fields.clear();
-        (orders.sizes, orders.tells_start) = (Sizes::Registered, true);
-        orders.operations[0].billed_value = 8.0;
-        let mut desk = Desk::new(orders, "abcd");
+        let mut settings = settings(vec![operation(Effect::Idempotent), operation(Effect::Idempotent)]);
+        settings.report_fields.clear();
+        (settings.size_source, settings.reports_start) = (SizeSource::Registered, true);
+        settings.operations[0].billed_value = 8.0;
+        let mut harness = PolicyHarness::new(settings, "abcd");
         let mut taken = 0;
         for nth in 0..60 {
             let (high, low) = (format!("h{nth}"), format!("l{nth}"));
-            desk.arrives(&high, 0).arrives(&low, 1).after(waits);
+            harness.arrives(&high, 0).arrives(&low, 1).after(waits);
             for inv in [high, low] {
-                if desk.forwards(&inv).is_some() {
-                    desk.starts(&inv, 0).ends(&inv, 0, Ending::Succeeded, &[]);
+                if harness.forwards(&inv).is_some() {
+                    harness.starts(&inv, 0).ends(&inv, 0, ForwardResult::Succeeded, &[]);
                     taken += u32::from(nth >= 20 && inv.starts_with('l'));
                 }
             }
