--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -6,9 +6,9 @@
 use std::process::ExitCode;
 
 use crate::config;
-use crate::lifecycle::migrate::{self, Place};
-use crate::lifecycle::start::{self, DiskAt};
-use crate::lifecycle::store_report::shown;
+use crate::lifecycle::migrate::{self, MigrationTarget};
+use crate::lifecycle::start::{self, OpenDisk};
+use crate::lifecycle::store_report::report_store;
 use crate::net::log::log;
 use topazsail_store::DirectoryDisk;
 
@@ -30,7 +30,7 @@
 Without --config the file is the one that RELAY_CONFIG names.
 ";
 
-fn run(disk_at: DiskAt) -> Result<(), String> {
+fn run(open_disk: OpenDisk) -> Result<(), String> {
     let mut words = pico_args::Arguments::from_env();
     if words.contains(["-h", "--help"]) {
         print!("{HELP}");
@@ -48,7 +48,7 @@
         return Err(format!("unexpected {more:?}; see --help"));
     }
     match command.as_deref() {
-        Some("serve") => start::serve(&config::path(path)?, disk_at),
+        Some("serve") => start::serve(&config::path(path)?, open_disk),
         Some("check") => {
             let told = config::load(&config::path(path)?)?;
             let operations = told.decoded.operations.join(", ");
@@ -94,9 +94,9 @@
         _ => return Err("store wants show or verify; see --help".to_owned()),
     };
     let folder = folder.ok_or("--folder is missing; see --help")?;
-    let shown = shown(&folder, all, json)?;
-    print!("{}", shown.text);
-    if shown.well { Ok(()) } else { Err(format!("--folder {}: spoilt", folder.display())) }
+    let report = report_store(&folder, all, json)?;
+    print!("{}", report.text);
+    if report.well { Ok(()) } else { Err(format!("--folder {}: spoilt", folder.display())) }
 }
 
 fn run_migrate(mut words: pico_args::Arguments, path: Option<String>) -> Result<(), String> {
@@ -113,15 +113,15 @@
     }
     let to = to.ok_or("--to is missing; see --help")?;
     let zones = zones.iter().flat_map(|zones| zones.split(',')).map(str::to_owned).collect();
-    let place = Place { zones, my_zone, dispatchers, number };
-    let moved = config::read(&config::path(path)?, |text| migrate::moved(text, &place))?;
+    let target = MigrationTarget { zones, my_zone, dispatchers, number };
+    let migration = config::read(&config::path(path)?, |text| migrate::migrate(text, &target))?;
     if dry {
-        print!("{}", moved.text);
+        print!("{}", migration.text);
     } else {
-        migrate::write(&moved.text, &to)?;
+        migrate::write(&migration.text, &to)?;
     }
-    moved.changed.iter().for_each(|line| eprintln!("changed: {line}"));
-    moved.left.iter().for_each(|line| eprintln!("not carried over: {line}"));
+    migration.changed.iter().for_each(|line| eprintln!("changed: {line}"));
+    migration.left.iter().for_each(|line| eprintln!("not carried over: {line}"));
     eprintln!("{}", if dry { "nothing was written".to_owned() } else { format!("written: {to}") });
     Ok(())
 }
@@ -132,10 +132,10 @@
 }
 
 /// The same over another disk, for trials.
-pub fn main_on(disk_at: DiskAt) -> ExitCode {
+pub fn main_on(open_disk: OpenDisk) -> ExitCode {
     // A fault of our own is seen at once: where and why, and then the process ends with a code of its own.
     std::panic::set_hook(Box::new(|fault| log!("panic", "{fault}")));
-    match run(disk_at) {
+    match run(open_disk) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("topazsail: {error}");
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -15,13 +15,13 @@
 use topazsail_settings::DecodedSettings;
 
 use crate::net::errno;
-use crate::upstream::roster::Listed;
+use crate::upstream::roster::RosterSnapshot;
 
 /// Other dispatchers that there may be.
 const PEERS_MOST: usize = 4_096;
 
 #[derive(Debug)]
-pub struct Dispatcher {
+pub struct Configuration {
     pub name: String,
     pub listen: SocketAddr,
     /// Where operators call, if anywhere.
@@ -31,25 +31,25 @@
     pub memory: usize,
     pub sockets: usize,
     /// Where to keep what outlives the process, if anything is to.
-    pub store: Option<StoreAt>,
+    pub store: Option<StoreConfiguration>,
     /// The other dispatchers, where they may talk.
-    pub peers: Option<PeersAt>,
+    pub peers: Option<PeersConfiguration>,
     /// The whole file, by which a key that is gone is known.
     pub file: Value,
     pub decoded: DecodedSettings,
     /// The list of runners as this dispatcher last had it.
-    pub known: Listed,
+    pub known: RosterSnapshot,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StoreAt {
+pub struct StoreConfiguration {
     pub folder: PathBuf,
     /// Without it there is no service.
     pub require: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeersAt {
+pub struct PeersConfiguration {
     pub listen: SocketAddr,
     pub members: Vec<Member>,
 }
@@ -116,16 +116,16 @@
     }
 }
 
-pub fn load(path: &str) -> Result<Dispatcher, LoadError> {
+pub fn load(path: &str) -> Result<Configuration, LoadError> {
     with_admin(read(path, decode)?).map_err(LoadError::Bad)
 }
 
 /// The configuration that another process of this dispatcher goes by.
-pub fn in_force(text: &str) -> Result<Dispatcher, String> {
+pub fn in_force(text: &str) -> Result<Configuration, String> {
     with_admin(decode(text)?)
 }
 
-fn with_admin(mut told: Dispatcher) -> Result<Dispatcher, String> {
+fn with_admin(mut told: Configuration) -> Result<Configuration, String> {
     if let Some(text) = env::var(ADMIN).ok().filter(|text| !text.is_empty()) {
         told.admin = Some(text.parse().map_err(|_| format!("{ADMIN} has the bad address '{text}'"))?);
     }
@@ -139,7 +139,7 @@
     make(&text).map_err(|fault| LoadError::Bad(format!("configuration {path}: {fault}")))
 }
 
-pub fn decode(text: &str) -> Result<Dispatcher, String> {
+pub fn decode(text: &str) -> Result<Configuration, String> {
     let json: Value = serde_json::from_str(text).map_err(|error| format!("no JSON: {error}"))?;
     let field = |name: &str| json.get(name).ok_or_else(|| format!("{name} is missing"));
     let string = |name: &str| {
@@ -163,7 +163,7 @@
     let decoded =
         topazsail_settings::decode(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())))
             .map_err(|fault| format!("settings: {fault}"))?;
-    Ok(Dispatcher {
+    Ok(Configuration {
         name: string("name")?,
         listen: address("listen")?,
         admin: match json.get("admin_addr") {
@@ -178,14 +178,16 @@
         sockets: (limit("sockets", 1024)? as usize).max(64).min(descriptors().max(SOCKETS_LEAST)),
         decoded,
         known: match json.get("known") {
-            None | Some(Value::Null) => Listed::default(),
-            Some(known) => Listed::from_value(known.clone()).map_err(|fault| format!("known: {fault}"))?,
+            None | Some(Value::Null) => RosterSnapshot::default(),
+            Some(known) => {
+                RosterSnapshot::from_value(known.clone()).map_err(|fault| format!("known: {fault}"))?
+            }
         },
         file: json,
     })
 }
 
-fn store_at(told: Option<&Value>) -> Result<Option<StoreAt>, String> {
+fn store_at(told: Option<&Value>) -> Result<Option<StoreConfiguration>, String> {
     let Some(told) = told.filter(|told| !told.is_null()) else { return Ok(None) };
     let fields = told.as_object().ok_or_else(|| format!("store has the bad value {told}"))?;
     if let Some(unknown) = fields.keys().find(|key| !["folder", "require"].contains(&key.as_str())) {
@@ -201,10 +203,10 @@
         Some(Value::Bool(require)) => *require,
         Some(other) => return Err(format!("store.require has the bad value {other}")),
     };
-    Ok(Some(StoreAt { folder, require }))
+    Ok(Some(StoreConfiguration { folder, require }))
 }
 
-fn peers_at(json: &Value, own: &str) -> Result<Option<PeersAt>, String> {
+fn peers_at(json: &Value, own: &str) -> Result<Option<PeersConfiguration>, String> {
     let Some(told) = json.get("peers").filter(|told| !told.is_null()) else { return Ok(None) };
     let fields = told.as_object().ok_or_else(|| format!("peers has the bad value {told}"))?;
     if let Some(unknown) = fields.keys().find(|key| !["listen", "members"].contains(&key.as_str())) {
@@ -235,7 +237,7 @@
         }
         members.push(Member { name: name.to_owned(), address: at });
     }
-    Ok(Some(PeersAt { listen, members }))
+    Ok(Some(PeersConfiguration { listen, members }))
 }
 
 /// Client timeouts and the number of forwards are numbers above 0 and nothing that only reads like one: what
--- a/node/src/ingress/clients.rs
+++ b/node/src/ingress/clients.rs
@@ -9,8 +9,8 @@
 use topazsail::{Id, Micros, hash};
 
 use crate::ingress::operations::Operations;
-use crate::net::connection::{Callbacks, End, Link, Timer, Wires};
-use crate::net::http::{self, Fault, MESSAGE_MOST, Request, encode_answer};
+use crate::net::connection::{CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, Timer};
+use crate::net::http::{self, HttpError, MESSAGE_MOST, Request, encode_answer};
 use crate::net::log::log;
 
 const READY: &str = "/healthz";
@@ -28,7 +28,7 @@
 
 #[derive(Debug)]
 pub struct Invocation {
-    pub link: Link,
+    pub connection: ConnectionId,
     pub id: Id,
     pub operation: usize,
     /// When the client gives up, less the way back.
@@ -55,7 +55,7 @@
 
 /// What a runner tells of a job.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct CallBack {
+pub struct RunnerCallback {
     pub id: String,
     pub from: String,
     pub state: State,
@@ -64,11 +64,11 @@
 }
 
 #[derive(Debug)]
-pub enum Heard {
+pub enum ClientEvent {
     Invocation(Invocation),
     /// With a hash of its bytes, by which a repeat may be known.
-    CallBack(CallBack, u64),
-    Gone(Link, Id),
+    RunnerCallback(RunnerCallback, u64),
+    Gone(ConnectionId, Id),
 }
 
 enum Phase {
@@ -93,7 +93,7 @@
 }
 
 pub struct Clients {
-    conns: BTreeMap<Link, Client>,
+    conns: BTreeMap<ConnectionId, Client>,
     pub operations: Operations,
     /// Nobody new is told that this dispatcher is ready, and then no connection is kept.
     draining: bool,
@@ -101,7 +101,7 @@
     /// Connections of all sides beyond these cost an idle client its place; beyond the second figure nobody
     /// is let in. The rest is kept back for runners and the watch.
     most: (usize, usize),
-    pub heard: Vec<Heard>,
+    pub heard: Vec<ClientEvent>,
 }
 
 impl Clients {
@@ -123,67 +123,72 @@
     /// Whether one more can be let in. Room is made by ending one that only lingers, one that has not come to
     /// ask anything yet, or the one that has been idle longest; those that have brought invocations go last,
     /// as they will bring more.
-    pub fn room(&mut self, wires: &mut dyn Wires) -> bool {
-        wires.connections() < self.most.0 || self.make_room(wires) || wires.connections() < self.most.1
+    pub fn room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
+        driver.connections() < self.most.0 || self.make_room(driver) || driver.connections() < self.most.1
     }
 
     /// Ends one connection that nothing is owed on, if there is any.
-    pub fn make_room(&mut self, wires: &mut dyn Wires) -> bool {
-        if wires.end_lingering() {
+    pub fn make_room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
+        if driver.end_lingering() {
             return true;
         }
-        let now = wires.now();
-        let rank = |(link, client): (&Link, &Client)| match (&client.phase, client.newcomer) {
-            (Phase::Idle | Phase::Reading, Some(at)) => (now >= at + NEWCOMER_KEPT).then_some((0, at, *link)),
-            (Phase::Idle, None) => Some((1 + u8::from(client.invokes), client.since, *link)),
+        let now = driver.now();
+        let rank = |(connection, client): (&ConnectionId, &Client)| match (&client.phase, client.newcomer) {
+            (Phase::Idle | Phase::Reading, Some(at)) => {
+                (now >= at + NEWCOMER_KEPT).then_some((0, at, *connection))
+            }
+            (Phase::Idle, None) => Some((1 + u8::from(client.invokes), client.since, *connection)),
             _ => None,
         };
-        let mut idle: Vec<(u8, Micros, Link)> = self.conns.iter().filter_map(rank).collect();
+        let mut idle: Vec<(u8, Micros, ConnectionId)> = self.conns.iter().filter_map(rank).collect();
         idle.sort_unstable();
-        idle.iter().any(|(_, _, link)| self.end_idle(*link, End::MadeRoom, wires))
+        idle.iter().any(|(_, _, connection)| self.end_idle(*connection, CloseReason::MadeRoom, driver))
     }
 
-    pub fn accepted(&mut self, link: Link, wires: &mut dyn Wires) {
-        let since = wires.now();
+    pub fn accepted(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        let since = driver.now();
         let (phase, newcomer) = (Phase::Idle, Some(since));
         let client =
             Client { phase, since, began: since, newcomer, keep: true, invokes: false, caller: false };
-        self.conns.insert(link, client);
-        wires.wake(Timer::Link(link), since + REQUEST_WITHIN);
+        self.conns.insert(connection, client);
+        driver.set_timer(Timer::Connection(connection), since + REQUEST_WITHIN);
     }
 
     /// The one final answer of an invocation.
     pub fn answer(
         &mut self,
-        link: Link,
+        connection: ConnectionId,
         status: u16,
         come_back: Option<Micros>,
         body: &[u8],
-        wires: &mut dyn Wires,
+        driver: &mut dyn ConnectionDriver,
     ) {
         let more = come_back.map(|after| format!("Retry-After: {:.3}\r\n", after as f64 / 1e6));
-        self.reply(link, status, more.as_deref().unwrap_or_default(), body, !self.letting_go, wires);
+        self.reply(connection, status, more.as_deref().unwrap_or_default(), body, !self.letting_go, driver);
     }
 
     fn reply(
         &mut self,
-        link: Link,
+        connection: ConnectionId,
         status: u16,
         more: &str,
         body: &[u8],
         may_keep: bool,
-        wires: &mut dyn Wires,
+        driver: &mut dyn ConnectionDriver,
     ) {
-        let Some(client) = self.conns.get_mut(&link) else { return };
-        let keep = client.keep && may_keep && !wires.spilt(link);
-        wires.send(link, &encode_answer(status, more, body, keep));
+        let Some(client) = self.conns.get_mut(&connection) else { return };
+        let keep = client.keep && may_keep && !driver.has_overflowed(connection);
+        driver.send(connection, &encode_answer(status, more, body, keep));
         client.phase = Phase::Idle;
-        client.since = wires.now();
+        client.since = driver.now();
         if keep {
-            wires.revisit(link);
+            driver.process_again(connection);
         } else {
-            self.conns.remove(&link);
-            wires.finish(link, if may_keep { End::AnsweredLast } else { End::Terminated });
+            self.conns.remove(&connection);
+            driver.finish(
+                connection,
+                if may_keep { CloseReason::AnsweredLast } else { CloseReason::Terminated },
+            );
         }
     }
 
@@ -199,23 +204,29 @@
 
     /// From now on clients' connections are not kept, and idle ones end; runners may still have something to
     /// tell on theirs.
-    pub fn let_go(&mut self, wires: &mut dyn Wires) {
+    pub fn let_go(&mut self, driver: &mut dyn ConnectionDriver) {
         self.letting_go = true;
         let idle = |client: &Client| matches!(client.phase, Phase::Idle) && !client.caller;
-        let links: Vec<Link> = self.conns.iter().filter(|(_, c)| idle(c)).map(|(link, _)| *link).collect();
-        for link in links {
-            self.end_idle(link, End::Terminated, wires);
+        let links: Vec<ConnectionId> =
+            self.conns.iter().filter(|(_, c)| idle(c)).map(|(connection, _)| *connection).collect();
+        for connection in links {
+            self.end_idle(connection, CloseReason::Terminated, driver);
         }
     }
 
     /// Ends a connection between requests. Where one has just come it is read first: to end the connection
     /// would be to lose what was taken.
-    fn end_idle(&mut self, link: Link, end: End, wires: &mut dyn Wires) -> bool {
-        if wires.unsent(link) || !wires.fresh(link) {
+    fn end_idle(
+        &mut self,
+        connection: ConnectionId,
+        end: CloseReason,
+        driver: &mut dyn ConnectionDriver,
+    ) -> bool {
+        if driver.unsent(connection) || !driver.is_reusable(connection) {
             return false;
         }
-        self.conns.remove(&link);
-        wires.cut(link, end);
+        self.conns.remove(&connection);
+        driver.abort(connection, end);
         true
     }
 
@@ -224,61 +235,77 @@
         self.conns.values().any(|client| !client.caller || !matches!(client.phase, Phase::Idle))
     }
 
-    pub fn reject(&mut self, link: Link, Fault(status, why): Fault, wires: &mut dyn Wires) {
-        log!("bad-request", "link={link} status={status} reason={why}");
-        wires.send(link, &encode_answer(status, "", why.as_bytes(), false));
-        self.conns.remove(&link);
-        wires.finish(link, End::BadInput);
+    pub fn reject(
+        &mut self,
+        connection: ConnectionId,
+        HttpError(status, why): HttpError,
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        log!("bad-request", "link={connection} status={status} reason={why}");
+        driver.send(connection, &encode_answer(status, "", why.as_bytes(), false));
+        self.conns.remove(&connection);
+        driver.finish(connection, CloseReason::BadInput);
     }
 
-    fn take(&mut self, link: Link, request: Request, wires: &mut dyn Wires) -> Result<(), Fault> {
-        let Some(client) = self.conns.get_mut(&link) else { return Ok(()) };
+    fn take(
+        &mut self,
+        connection: ConnectionId,
+        request: Request,
+        driver: &mut dyn ConnectionDriver,
+    ) -> Result<(), HttpError> {
+        let Some(client) = self.conns.get_mut(&connection) else { return Ok(()) };
         (client.keep, client.newcomer) = (request.keep, None);
         match (request.path(), request.method) {
             (READY, "GET") => {
                 let status = if self.draining { 503 } else { 200 };
-                self.answer(link, status, None, b"", wires);
+                self.answer(connection, status, None, b"", driver);
             }
             (CALL_BACKS, "POST") => {
-                let told = serde_json::from_slice(&request.body).map_err(|_| Fault(400, "bad_call_back"))?;
+                let told =
+                    serde_json::from_slice(&request.body).map_err(|_| HttpError(400, "bad_call_back"))?;
                 client.caller = true;
-                self.heard.push(Heard::CallBack(told, hash(&request.body)));
+                self.heard.push(ClientEvent::RunnerCallback(told, hash(&request.body)));
                 // Its runner needs the connection for the calls to come, also while we go down.
-                self.reply(link, 200, "", b"", true, wires);
+                self.reply(connection, 200, "", b"", true, driver);
             }
-            (READY | CALL_BACKS, _) => return Err(Fault(405, "wrong_method")),
+            (READY | CALL_BACKS, _) => return Err(HttpError(405, "wrong_method")),
             (path, method) => {
                 // One slash and the operation: a runner may read other forms otherwise than we do.
                 let name = path.strip_prefix('/').and_then(|path| path.split('/').next()).unwrap_or_default();
-                let operation = self.operations.number(name, wires.now());
-                let operation = operation.ok_or(Fault(404, "unknown_operation"))?;
+                let operation = self.operations.number(name, driver.now());
+                let operation = operation.ok_or(HttpError(404, "unknown_operation"))?;
                 if method != "POST" {
-                    return Err(Fault(405, "wrong_method"));
+                    return Err(HttpError(405, "wrong_method"));
                 }
-                let invocation = invocation(link, operation, client.began, request)?;
+                let invocation = invocation(connection, operation, client.began, request)?;
                 client.phase = Phase::Owed(invocation.id.clone());
                 client.invokes = true;
-                self.heard.push(Heard::Invocation(invocation));
+                self.heard.push(ClientEvent::Invocation(invocation));
             }
         }
         Ok(())
     }
 }
 
-fn invocation(link: Link, operation: usize, began: Micros, request: Request) -> Result<Invocation, Fault> {
-    let id = request.only("x-request-id")?.ok_or(Fault(400, "missing_id"))?;
+fn invocation(
+    connection: ConnectionId,
+    operation: usize,
+    began: Micros,
+    request: Request,
+) -> Result<Invocation, HttpError> {
+    let id = request.only("x-request-id")?.ok_or(HttpError(400, "missing_id"))?;
     // It stands in the path of a cancel, so that nothing may need escaping there.
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:~".contains(&byte);
     if id.is_empty() || id.len() > ID_MOST || !id.bytes().all(plain) {
-        return Err(Fault(400, "bad_id"));
+        return Err(HttpError(400, "bad_id"));
     }
-    let timeout = request.only("x-deadline-ms")?.ok_or(Fault(400, "missing_timeout"))?;
+    let timeout = request.only("x-deadline-ms")?.ok_or(HttpError(400, "missing_timeout"))?;
     let digits = timeout.bytes().all(|byte| byte.is_ascii_digit());
     let timeout = timeout.parse().ok().filter(|_| digits).and_then(|ms: Micros| ms.checked_mul(1000));
-    let timeout = timeout.filter(|timeout| *timeout <= TIMEOUT_MOST).ok_or(Fault(400, "bad_timeout"))?;
+    let timeout = timeout.filter(|timeout| *timeout <= TIMEOUT_MOST).ok_or(HttpError(400, "bad_timeout"))?;
     request.only("idempotency-key")?;
     if request.target.bytes().any(|byte| byte == b'#' || !byte.is_ascii_graphic()) {
-        return Err(Fault(400, "bad_target"));
+        return Err(HttpError(400, "bad_target"));
     }
     let extras = request.only("x-extras")?.unwrap_or_default();
     let slots = named(extras, ',', &["slots", "width"]).find_map(|value| value.parse::<f64>().ok());
@@ -287,7 +314,7 @@
     let mut cookies = cookies.filter_map(|(_, value)| std::str::from_utf8(value).ok());
     let key = cookies.find_map(|value| named(value, ';', &["sid"]).next());
     Ok(Invocation {
-        link,
+        connection,
         id: id.into(),
         operation,
         expires_at: began + timeout - WAY_BACK,
@@ -331,62 +358,69 @@
     head
 }
 
-impl Callbacks for Clients {
-    fn up(&mut self, _: Link, _: &mut dyn Wires) {}
+impl ConnectionHandler for Clients {
+    fn up(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 
-    fn bytes(&mut self, link: Link, input: &mut Vec<u8>, wires: &mut dyn Wires) {
-        while let Some(client) = self.conns.get_mut(&link) {
+    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
+        while let Some(client) = self.conns.get_mut(&connection) {
             // Whoever does not read what it is owed is read no further: answers would pile up.
-            if input.is_empty() || matches!(client.phase, Phase::Owed(_)) || wires.unsent(link) {
+            if input.is_empty() || matches!(client.phase, Phase::Owed(_)) || driver.unsent(connection) {
                 return;
             }
-            if wires.spilt(link) {
-                return self.reject(link, Fault(413, "message_too_long"), wires);
+            if driver.has_overflowed(connection) {
+                return self.reject(connection, HttpError(413, "message_too_long"), driver);
             }
             if matches!(client.phase, Phase::Idle) {
                 client.phase = Phase::Reading;
-                client.since = wires.now();
+                client.since = driver.now();
                 // Its time runs from when it came, however long it has waited to be read or looked at.
-                client.began = wires.arrived(link);
+                client.began = driver.arrived(connection);
             }
             let used = match http::request(input) {
-                Ok(None) if input.len() >= MESSAGE_MOST => Err(Fault(413, "message_too_long")),
+                Ok(None) if input.len() >= MESSAGE_MOST => Err(HttpError(413, "message_too_long")),
                 Ok(None) => return,
-                Ok(Some((request, used))) => self.take(link, request, wires).map(|()| used),
+                Ok(Some((request, used))) => self.take(connection, request, driver).map(|()| used),
                 Err(fault) => Err(fault),
             };
             match used {
                 Ok(used) => drop(input.drain(..used)),
-                Err(fault) => return self.reject(link, fault, wires),
+                Err(fault) => return self.reject(connection, fault, driver),
             }
         }
     }
 
-    fn ended(&mut self, link: Link, _: End, _: bool, _: &[u8], _: &mut dyn Wires) {
-        if let Some(Client { phase: Phase::Owed(id), .. }) = self.conns.remove(&link) {
-            self.heard.push(Heard::Gone(link, id));
+    fn ended(
+        &mut self,
+        connection: ConnectionId,
+        _: CloseReason,
+        _: bool,
+        _: &[u8],
+        _: &mut dyn ConnectionDriver,
+    ) {
+        if let Some(Client { phase: Phase::Owed(id), .. }) = self.conns.remove(&connection) {
+            self.heard.push(ClientEvent::Gone(connection, id));
         }
     }
 
-    fn due(&mut self, link: Link, wires: &mut dyn Wires) {
-        let Some(client) = self.conns.get(&link) else { return };
-        let now = wires.now();
+    fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        let Some(client) = self.conns.get(&connection) else { return };
+        let now = driver.now();
         let whole_by = client.newcomer.unwrap_or(client.since) + REQUEST_WITHIN;
         let overdue = now >= whole_by;
         let end = match client.phase {
-            Phase::Reading if overdue => End::SlowRequest,
-            Phase::Idle if overdue && wires.unsent(link) => End::SlowReader,
-            Phase::Idle if overdue && client.newcomer.is_some() => End::Silent,
-            Phase::Idle if now >= client.since + IDLE_MOST => End::Idle,
+            Phase::Reading if overdue => CloseReason::SlowRequest,
+            Phase::Idle if overdue && driver.unsent(connection) => CloseReason::SlowReader,
+            Phase::Idle if overdue && client.newcomer.is_some() => CloseReason::Silent,
+            Phase::Idle if now >= client.since + IDLE_MOST => CloseReason::Idle,
             // One look at a time is asked for: a request that has begun since the last one is in time for it.
-            Phase::Reading => return wires.wake(Timer::Link(link), whole_by),
-            _ => return wires.wake(Timer::Link(link), now + REQUEST_WITHIN),
+            Phase::Reading => return driver.set_timer(Timer::Connection(connection), whole_by),
+            _ => return driver.set_timer(Timer::Connection(connection), now + REQUEST_WITHIN),
         };
-        if !matches!(end, End::Idle | End::Silent) {
-            self.conns.remove(&link);
-            wires.cut(link, end);
-        } else if !self.end_idle(link, end, wires) {
-            wires.wake(Timer::Link(link), now + REQUEST_WITHIN);
+        if !matches!(end, CloseReason::Idle | CloseReason::Silent) {
+            self.conns.remove(&connection);
+            driver.abort(connection, end);
+        } else if !self.end_idle(connection, end, driver) {
+            driver.set_timer(Timer::Connection(connection), now + REQUEST_WITHIN);
         }
     }
 }
--- a/node/src/ingress/operators.rs
+++ b/node/src/ingress/operators.rs
@@ -7,7 +7,7 @@
 
 use topazsail::Micros;
 
-use crate::net::connection::{Callbacks, End, Link, Timer, Wires};
+use crate::net::connection::{CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, Timer};
 use crate::net::log::log;
 
 /// A call must be whole by then; some callers send half of one and stay.
@@ -44,9 +44,9 @@
 #[derive(Default)]
 pub struct Operators {
     /// Those who have not yet made a whole call.
-    calling: BTreeSet<Link>,
+    calling: BTreeSet<ConnectionId>,
     most: usize,
-    pub heard: Vec<(Link, Call)>,
+    pub heard: Vec<(ConnectionId, Call)>,
 }
 
 impl Operators {
@@ -55,41 +55,41 @@
     }
 
     /// Sees that one more can be let in: whoever has been here longest without a whole call goes.
-    pub fn make_room(&mut self, wires: &mut dyn Wires) {
+    pub fn make_room(&mut self, driver: &mut dyn ConnectionDriver) {
         while self.calling.len() >= self.most {
-            let Some(link) = self.calling.pop_first() else { return };
-            wires.cut(link, End::MadeRoom);
+            let Some(connection) = self.calling.pop_first() else { return };
+            driver.abort(connection, CloseReason::MadeRoom);
         }
     }
 
-    pub fn accepted(&mut self, link: Link, wires: &mut dyn Wires) {
-        self.calling.insert(link);
-        wires.wake(Timer::Link(link), wires.now() + CALL_WITHIN);
+    pub fn accepted(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        self.calling.insert(connection);
+        driver.set_timer(Timer::Connection(connection), driver.now() + CALL_WITHIN);
     }
 
-    pub fn answer(&mut self, link: Link, text: &str, wires: &mut dyn Wires) {
-        wires.send(link, text.as_bytes());
-        wires.finish(link, End::AnsweredLast);
+    pub fn answer(&mut self, connection: ConnectionId, text: &str, driver: &mut dyn ConnectionDriver) {
+        driver.send(connection, text.as_bytes());
+        driver.finish(connection, CloseReason::AnsweredLast);
     }
 
-    fn refuse(&mut self, link: Link, why: &str, wires: &mut dyn Wires) {
-        log!("bad-call", "link={link} reason={why:?}");
-        self.answer(link, &format!("NO {why}\n"), wires);
+    fn refuse(&mut self, connection: ConnectionId, why: &str, driver: &mut dyn ConnectionDriver) {
+        log!("bad-call", "link={connection} reason={why:?}");
+        self.answer(connection, &format!("NO {why}\n"), driver);
     }
 }
 
-impl Callbacks for Operators {
-    fn up(&mut self, _: Link, _: &mut dyn Wires) {}
+impl ConnectionHandler for Operators {
+    fn up(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 
-    fn bytes(&mut self, link: Link, input: &mut Vec<u8>, wires: &mut dyn Wires) {
-        if !self.calling.contains(&link) {
+    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
+        if !self.calling.contains(&connection) {
             return input.clear();
         }
         let end = input.iter().position(|byte| *byte == b'\n');
         if end.is_none() && input.len() <= LINE_MOST {
             return;
         }
-        self.calling.remove(&link);
+        self.calling.remove(&connection);
         let line = end.filter(|end| *end <= LINE_MOST).map(|end| std::str::from_utf8(&input[..end]));
         let call = match line {
             Some(Ok(line)) => call(line),
@@ -98,18 +98,25 @@
         };
         input.clear();
         match call {
-            Ok(call) => self.heard.push((link, call)),
-            Err(why) => self.refuse(link, why, wires),
+            Ok(call) => self.heard.push((connection, call)),
+            Err(why) => self.refuse(connection, why, driver),
         }
     }
 
-    fn ended(&mut self, link: Link, _: End, _: bool, _: &[u8], _: &mut dyn Wires) {
-        self.calling.remove(&link);
+    fn ended(
+        &mut self,
+        connection: ConnectionId,
+        _: CloseReason,
+        _: bool,
+        _: &[u8],
+        _: &mut dyn ConnectionDriver,
+    ) {
+        self.calling.remove(&connection);
     }
 
-    fn due(&mut self, link: Link, wires: &mut dyn Wires) {
-        if self.calling.remove(&link) {
-            wires.cut(link, End::SlowRequest);
+    fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        if self.calling.remove(&connection) {
+            driver.abort(connection, CloseReason::SlowRequest);
         }
     }
 }
--- a/node/src/lifecycle/handover.rs
+++ b/node/src/lifecycle/handover.rs
@@ -22,8 +22,8 @@
 use serde_json::Value;
 use topazsail::Micros;
 
-use crate::ingress::clients::CallBack;
-use crate::net::connection::{Callbacks, End, Link, Wires};
+use crate::ingress::clients::RunnerCallback;
+use crate::net::connection::{CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId};
 use crate::net::log::log;
 
 /// How long a starting process waits for the one that serves.
@@ -35,7 +35,7 @@
 
 /// What the process that serves knows and its successor must know as well.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct State {
+pub struct HandoverState {
     /// Where the list comes from, and the list in discovery's own form.
     pub discovery: String,
     pub list: Value,
@@ -62,9 +62,9 @@
 /// What the two processes tell each other while both serve.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum HandoverMessage {
     /// A call-back for an invocation that is not open here, with the hash of its bytes.
-    Told(CallBack, u64),
+    Told(RunnerCallback, u64),
     /// An operator took a runner out, or back in.
     Hand { id: String, out: bool },
     /// An id that has been taken.
@@ -78,22 +78,22 @@
 }
 
 /// What a starting process is given.
-pub struct Given {
+pub struct Inherited {
     pub listener: TcpListener,
     pub stream: UnixStream,
-    pub state: State,
+    pub state: HandoverState,
     /// What the other process has said since: it goes on speaking as soon as it has handed over.
     pub since: Vec<u8>,
 }
 
 /// Asks the process that serves, if there is one.
-pub fn ask(place: &Path) -> Option<Given> {
+pub fn ask(place: &Path) -> Option<Inherited> {
     let stream = UnixStream::connect(place).ok()?;
     let given = take(stream);
     given.inspect_err(|fault| log!("handover-failed", "reason={:?}", fault.to_string())).ok()
 }
 
-fn take(mut stream: UnixStream) -> io::Result<Given> {
+fn take(mut stream: UnixStream) -> io::Result<Inherited> {
     let until = Instant::now() + ASK_WITHIN;
     let patience = |stream: &UnixStream| {
         let left = until.saturating_duration_since(Instant::now());
@@ -126,7 +126,7 @@
     let since = text.split_off(length + 1);
     let state = serde_json::from_slice(&text)?;
     stream.set_nonblocking(true)?;
-    Ok(Given { listener, stream, state, since })
+    Ok(Inherited { listener, stream, state, since })
 }
 
 /// Waits for a successor here; whoever was here before has left, or will not be asked at this place again.
@@ -154,41 +154,41 @@
 
 /// The connection to the other process.
 #[derive(Default)]
-pub struct Peer {
-    link: Option<Link>,
+pub struct HandoverPeer {
+    connection: Option<ConnectionId>,
     text: Vec<u8>,
-    pub heard: Vec<Word>,
+    pub heard: Vec<HandoverMessage>,
     /// It has ended since this was last looked at.
     pub ended: bool,
 }
 
-impl Peer {
+impl HandoverPeer {
     pub fn is_there(&self) -> bool {
-        self.link.is_some()
+        self.connection.is_some()
     }
 
-    pub fn meet(&mut self, link: Link) {
-        self.link = Some(link);
+    pub fn meet(&mut self, connection: ConnectionId) {
+        self.connection = Some(connection);
         self.text.clear();
     }
 
-    pub fn say(&self, word: &impl Serialize, wires: &mut dyn Wires) {
-        let Some(link) = self.link else { return };
+    pub fn say(&self, word: &impl Serialize, driver: &mut dyn ConnectionDriver) {
+        let Some(connection) = self.connection else { return };
         let Ok(mut line) = serde_json::to_vec(word) else { return };
         line.push(b'\n');
-        wires.send(link, &line);
+        driver.send(connection, &line);
     }
 
     fn lose(&mut self, why: &str) {
         log!("handover-ended", "reason={why}");
-        (self.link, self.ended) = (None, true);
+        (self.connection, self.ended) = (None, true);
     }
 }
 
-impl Callbacks for Peer {
-    fn up(&mut self, _: Link, _: &mut dyn Wires) {}
+impl ConnectionHandler for HandoverPeer {
+    fn up(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 
-    fn bytes(&mut self, link: Link, input: &mut Vec<u8>, wires: &mut dyn Wires) {
+    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
         self.text.append(input);
         let mut read = 0;
         while let Some(length) = self.text[read..].iter().position(|byte| *byte == b'\n') {
@@ -201,16 +201,23 @@
         }
         drop(self.text.drain(..read));
         if self.text.len() > LINE_MOST {
-            wires.cut(link, End::BadInput);
+            driver.abort(connection, CloseReason::BadInput);
             self.lose("line_too_long");
         }
     }
 
-    fn ended(&mut self, link: Link, end: End, _: bool, _: &[u8], _: &mut dyn Wires) {
-        if self.link == Some(link) {
+    fn ended(
+        &mut self,
+        connection: ConnectionId,
+        end: CloseReason,
+        _: bool,
+        _: &[u8],
+        _: &mut dyn ConnectionDriver,
+    ) {
+        if self.connection == Some(connection) {
             self.lose(end.code());
         }
     }
 
-    fn due(&mut self, _: Link, _: &mut dyn Wires) {}
+    fn timer_fired(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 }
--- a/node/src/lifecycle/migrate.rs
+++ b/node/src/lifecycle/migrate.rs
@@ -13,7 +13,7 @@
 use crate::config;
 
 /// What the operator says of the new deployment.
-pub struct Place {
+pub struct MigrationTarget {
     pub zones: Vec<String>,
     pub my_zone: Option<String>,
     pub dispatchers: Option<u32>,
@@ -21,7 +21,7 @@
 }
 
 #[derive(Debug)]
-pub struct Moved {
+pub struct Migration {
     pub text: String,
     /// What is otherwise than it was, and what could not be carried over.
     pub changed: Vec<String>,
@@ -38,7 +38,7 @@
     ]
 }
 
-pub fn moved(text: &str, place: &Place) -> Result<Moved, String> {
+pub fn migrate(text: &str, target: &MigrationTarget) -> Result<Migration, String> {
     let told = config::decode(text)?;
     let mut json: Value = serde_json::from_str(text).map_err(|error| format!("no JSON: {error}"))?;
     let (mut changed, mut left) = (Vec::new(), Vec::new());
@@ -47,16 +47,16 @@
     for (path, value) in shape() {
         set(path, value)?;
     }
-    if let Some(dispatchers) = place.dispatchers {
+    if let Some(dispatchers) = target.dispatchers {
         set("balancers", json!(dispatchers))?;
     }
-    if let Some(number) = place.number {
+    if let Some(number) = target.number {
         set("selfIndex", json!(number))?;
     }
-    if !place.zones.is_empty() {
-        set("localities", json!(place.zones))?;
+    if !target.zones.is_empty() {
+        set("localities", json!(target.zones))?;
     }
-    if let Some(zone) = &place.my_zone {
+    if let Some(zone) = &target.my_zone {
         set("myZone", json!(zone))?;
     }
     let at = |path: &str| settings.pointer(&format!("/{}", path.replace('.', "/")));
@@ -69,7 +69,7 @@
             "settings.selfIndex {nth} is not below settings.balancers {dispatchers}: --number"
         ));
     }
-    if place.dispatchers.is_none() {
+    if target.dispatchers.is_none() {
         leave(format!("settings.balancers stays {dispatchers}: --dispatchers tells the new number"));
     }
     let zones: Vec<&str> =
@@ -104,7 +104,7 @@
     }
     let text = serde_json::to_string_pretty(&json).map_err(|error| error.to_string())? + "\n";
     config::decode(&text).map_err(|fault| format!("the result could not be served: {fault}"))?;
-    Ok(Moved { text, changed, left })
+    Ok(Migration { text, changed, left })
 }
 
 /// Sets one setting by its path, with what lies between made where it is missing.
--- a/node/src/lifecycle/signals.rs
+++ b/node/src/lifecycle/signals.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use crate::lifecycle::transient_retry::patiently;
+use crate::lifecycle::transient_retry::retry_while;
 use crate::net::errno;
 
 /// One signal. Where the write to its pipe fails, the loop finds the flag at its next turn.
@@ -21,7 +21,7 @@
     ///
     /// The pipe or the handler is not to be had.
     pub fn new(signal: i32) -> io::Result<Signal> {
-        let (wakes, writes) = patiently(|error| errno::open(error).passes(), UnixStream::pair)?;
+        let (wakes, writes) = retry_while(|error| errno::open(error).passes(), UnixStream::pair)?;
         wakes.set_nonblocking(true)?;
         let raised = Arc::new(AtomicBool::new(false));
         // Handlers run in this order: who is woken finds the flag.
--- a/node/src/lifecycle/start.rs
+++ b/node/src/lifecycle/start.rs
@@ -13,33 +13,33 @@
 use crate::config::{self, LoadError};
 use crate::lifecycle::handover;
 use crate::lifecycle::signals::Signal;
-use crate::lifecycle::store_thread::Keeper;
-use crate::lifecycle::transient_retry::patiently;
-use crate::net::connection::{Side, Wires};
+use crate::lifecycle::store_thread::StoreThread;
+use crate::lifecycle::transient_retry::retry_while;
+use crate::net::connection::{ConnectionDriver, ConnectionRole};
 use crate::net::errno;
 use crate::net::log::log;
 use crate::net::reactor::{LISTENERS, Listener, PEERS, RELOAD, Reactor, SIGNAL, SUCCESSOR};
 use crate::net::sockets::{listen, talk};
-use crate::request_table::Desk;
+use crate::request_table::RequestTable;
 
 /// How long a process that ends waits for its disk.
 const CLOSED_WITHIN: Duration = Duration::from_millis(500);
 
 /// Makes the disk below a store's folder: the real one, or one that fails on purpose.
-pub type DiskAt = fn(&Path) -> io::Result<Box<dyn Disk>>;
+pub type OpenDisk = fn(&Path) -> io::Result<Box<dyn Disk>>;
 
 /// Nobody else has the folder of the store: known before anything listens. A disk on which nothing can be written
 /// now is no fault of the configuration.
-fn locked(told: &config::Dispatcher, disk_at: DiskAt) -> Result<Option<Box<dyn Disk>>, String> {
+fn locked(told: &config::Configuration, open_disk: OpenDisk) -> Result<Option<Box<dyn Disk>>, String> {
     let Some(store) = &told.store else { return Ok(None) };
     let fault = |error: io::Error| format!("store.folder {}: {error}", store.folder.display());
     if !store.folder.is_dir() {
         return Err(fault(io::Error::new(io::ErrorKind::NotADirectory, "no such folder")));
     }
-    let locked = patiently(
+    let locked = retry_while(
         |error| errno::file(error).passes(),
         || {
-            let mut disk = disk_at(&store.folder)?;
+            let mut disk = open_disk(&store.folder)?;
             disk.lock().map(|()| disk)
         },
     );
@@ -52,7 +52,7 @@
 }
 
 /// Serves by the configuration in `path`, which is read again at each SIGHUP.
-pub fn serve(path: &str, disk_at: DiskAt) -> Result<(), String> {
+pub fn serve(path: &str, open_disk: OpenDisk) -> Result<(), String> {
     let fault = |what: &'static str| move |error: io::Error| format!("{what}: {error}");
     let terminate = Signal::new(signal_hook::consts::SIGTERM).map_err(fault("signal"))?;
     let reload = Signal::new(signal_hook::consts::SIGHUP).map_err(fault("signal"))?;
@@ -60,18 +60,19 @@
     let ignored = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(libc::SIGXFSZ, ignored).map_err(fault("signal"))?;
     let (told, given) = begin(path)?;
-    let locked = if given.is_none() { locked(&told, disk_at)? } else { None };
-    let addresses = [(Side::Client, Some(told.listen)), (Side::Operator, told.admin)];
+    let locked = if given.is_none() { locked(&told, open_disk)? } else { None };
+    let addresses = [(ConnectionRole::Client, Some(told.listen)), (ConnectionRole::Operator, told.admin)];
     let mut listeners = Vec::new();
-    for (side, address) in addresses {
+    for (role, address) in addresses {
         let Some(address) = address else { continue };
-        let given = given.as_ref().filter(|_| side == Side::Client).map(|given| given.listener.try_clone());
+        let given =
+            given.as_ref().filter(|_| role == ConnectionRole::Client).map(|given| given.listener.try_clone());
         let socket = given
-            .unwrap_or_else(|| patiently(opens_later, || listen(address)))
+            .unwrap_or_else(|| retry_while(opens_later, || listen(address)))
             .map_err(|error| format!("listen {address}: {error}"))?;
-        listeners.push(Listener { socket, side, key: LISTENERS + listeners.len() });
+        listeners.push(Listener { socket, role, key: LISTENERS + listeners.len() });
     }
-    let mut reactor = patiently(opens_later, Reactor::new).map_err(fault("poller"))?;
+    let mut reactor = retry_while(opens_later, Reactor::new).map_err(fault("poller"))?;
     // SAFETY: all outlive the poller's use of them: they are dropped after the loop has ended.
     unsafe {
         let mut added = reactor
@@ -88,7 +89,7 @@
         added.map_err(fault("poller"))?;
     }
     if let Some(peers) = &told.peers {
-        let socket = patiently(opens_later, || talk(peers.listen))
+        let socket = retry_while(opens_later, || talk(peers.listen))
             .map_err(|error| format!("peers.listen {}: {error}", peers.listen))?;
         // SAFETY: it is kept beside the poller and never closed before it.
         unsafe {
@@ -112,27 +113,27 @@
             added.map_err(fault("poller"))?;
         }
     }
-    let keeper = match &told.store {
+    let store_thread = match &told.store {
         None => None,
         Some(store) => {
             let (folder, poller) = (store.folder.clone(), reactor.poller.clone());
             let id = topazsail::hash(format!("{} {} {}", told.name, told.seed, reactor.now()).as_bytes());
-            let disks = Box::new(move || disk_at(&folder));
+            let disks = Box::new(move || open_disk(&folder));
             let wake = move || drop(poller.notify());
-            let kept = Keeper::start(locked, disks, told.name.clone(), id, wake);
+            let kept = StoreThread::start(locked, disks, told.name.clone(), id, wake);
             Some(kept.map_err(fault("store"))?)
         }
     };
     let (other, state) = given.map(|given| ((given.stream, given.since), given.state)).unzip();
-    let mut desk = Desk::new(told, state, keeper, &mut reactor);
+    let mut table = RequestTable::new(told, state, store_thread, &mut reactor);
     if let Some((stream, since)) = other {
-        let link = reactor.meet(stream, listen);
-        desk.takes_over(link, since, &mut reactor);
+        let connection = reactor.meet(stream, listen);
+        table.takes_over(connection, since, &mut reactor);
     }
-    let run = reactor.run(&mut desk, &listeners, successor.as_ref(), (&terminate, &reload, path));
+    let run = reactor.run(&mut table, &listeners, successor.as_ref(), (&terminate, &reload, path));
     run.map_err(fault("poller"))?;
-    let fatal = desk.fatal();
-    desk.leave(reactor.clock(), CLOSED_WITHIN);
+    let fatal = table.fatal();
+    table.leave(reactor.clock(), CLOSED_WITHIN);
     if let Some(why) = fatal {
         return Err(why);
     }
@@ -147,8 +148,8 @@
 
 /// The configuration, and what a process that serves at this address hands over. A file that is no good now
 /// does not keep a new process from going on with the one in force.
-fn begin(path: &str) -> Result<(config::Dispatcher, Option<handover::Given>), String> {
-    let told = patiently(LoadError::passes, || config::load(path));
+fn begin(path: &str) -> Result<(config::Configuration, Option<handover::Inherited>), String> {
+    let told = retry_while(LoadError::passes, || config::load(path));
     let listen = told.as_ref().map_or_else(|_| config::listen(), |told| Some(told.listen));
     let given = listen.and_then(handover::place).and_then(|place| handover::ask(&place));
     let given = given.filter(|given| given.listener.local_addr().ok() == listen);
--- a/node/src/lifecycle/store_report.rs
+++ b/node/src/lifecycle/store_report.rs
@@ -12,7 +12,7 @@
 use topazsail_store::{DirectoryDisk, IntegrityWarning, Record, WriteError, inspect};
 
 /// What is said, and whether all is well.
-pub struct Shown {
+pub struct StoreReport {
     pub text: String,
     pub well: bool,
 }
@@ -72,7 +72,7 @@
 }
 
 /// What `folder` holds; with `all`, each record as well.
-pub fn shown(folder: &Path, all: bool, as_json: bool) -> Result<Shown, String> {
+pub fn report_store(folder: &Path, all: bool, as_json: bool) -> Result<StoreReport, String> {
     let fault = |why: String| format!("--folder {}: {why}", folder.display());
     if !folder.is_dir() {
         return Err(fault("no such folder".to_owned()));
@@ -95,13 +95,13 @@
             "files": inspection.files.iter().map(|(name, bytes)| json!({"name": name, "bytes": bytes})).collect::<Vec<_>>(),
             "records": records.collect::<Vec<_>>(),
         });
-        return Ok(Shown { text: format!("{whole:#}\n"), well });
+        return Ok(StoreReport { text: format!("{whole:#}\n"), well });
     }
     let mut text = String::new();
     let mut line = |name: &str, value: &dyn std::fmt::Display| _ = writeln!(text, "{name:<9} {value}");
     if found.fresh {
         line("state", &"empty: no dispatcher has kept anything here");
-        return Ok(Shown { text, well });
+        return Ok(StoreReport { text, well });
     }
     line("owner", &inspection.owner.as_deref().unwrap_or("not known"));
     line("boot", &found.boot);
@@ -124,7 +124,7 @@
             let _ = writeln!(text, "{table:<9} {key:<20} {:>5} {at:>17} {short}", record.boot);
         }
     }
-    Ok(Shown { text, well })
+    Ok(StoreReport { text, well })
 }
 
 #[cfg(test)]
--- a/node/src/lifecycle/store_report/tests.rs
+++ b/node/src/lifecycle/store_report/tests.rs
@@ -24,7 +24,7 @@
 #[test]
 fn a_folder_is_told_whole_and_spoilt() {
     let folder = folder();
-    let whole = shown(folder.path(), true, false).unwrap();
+    let whole = report_store(folder.path(), true, false).unwrap();
     assert!(whole.well);
     expect![[r#"
             owner     d0
@@ -38,20 +38,20 @@
             hand      s-a                      1    1700000001.000 out since 1700000000.500
             table-40  x                        1    1700000001.000 {"bytes":2}
         "#]].assert_eq(&whole.text);
-    let json: Value = serde_json::from_str(&shown(folder.path(), true, true).unwrap().text).unwrap();
+    let json: Value = serde_json::from_str(&report_store(folder.path(), true, true).unwrap().text).unwrap();
     assert_eq!((&json["clean"], &json["records"][1]["key"]), (&json!(true), &json!("s-a")));
     let log = folder.path().join("log-0000000000000001");
     let mut bytes = std::fs::read(&log).unwrap();
     bytes[30] ^= 1;
     std::fs::write(&log, &bytes).unwrap();
-    let spoilt = shown(folder.path(), false, false).unwrap();
+    let spoilt = report_store(folder.path(), false, false).unwrap();
     assert!(!spoilt.well && spoilt.text.contains("doubt     spoilt in 1 places"), "{}", spoilt.text);
     assert_eq!(std::fs::read(&log).unwrap(), bytes, "nothing was changed");
 }
 
 #[test]
 fn no_folder_and_an_empty_one() {
-    assert!(shown(Path::new("/nowhere/at/all"), true, false).is_err());
+    assert!(report_store(Path::new("/nowhere/at/all"), true, false).is_err());
     let folder = tempfile::tempdir().unwrap();
-    assert!(shown(folder.path(), true, false).unwrap().text.starts_with("state     empty"));
+    assert!(report_store(folder.path(), true, false).unwrap().text.starts_with("state     empty"));
 }
--- a/node/src/lifecycle/store_thread.rs
+++ b/node/src/lifecycle/store_thread.rs
@@ -28,9 +28,9 @@
 const LOCK_AGAIN: Duration = Duration::from_millis(50);
 
 /// Opens the folder's disk anew.
-pub type Disks = Box<dyn FnMut() -> io::Result<Box<dyn Disk>> + Send>;
+pub type DiskFactory = Box<dyn FnMut() -> io::Result<Box<dyn Disk>> + Send>;
 
-enum Ask {
+enum StoreRequest {
     Open,
     Put {
         table: Table,
@@ -48,7 +48,7 @@
 
 /// What the last life has left.
 #[derive(Debug, Default)]
-pub struct Left {
+pub struct LoadedStore {
     pub found: LoadSummary,
     pub boot: Option<u64>,
     pub list: Option<StoredRoster>,
@@ -58,8 +58,8 @@
 }
 
 #[derive(Debug)]
-pub enum Told {
-    Opened(Box<Left>),
+pub enum StoreEvent {
+    Opened(Box<LoadedStore>),
     /// There is no store to be had, and why.
     Unopened(String),
     /// All that was asked before this number is on the disk, or why it is not.
@@ -69,9 +69,9 @@
     Closed,
 }
 
-pub struct Keeper {
-    to: SyncSender<Ask>,
-    from: Receiver<Told>,
+pub struct StoreThread {
+    to: SyncSender<StoreRequest>,
+    from: Receiver<StoreEvent>,
     tickets: u64,
     /// Tickets that the queue had no room for.
     refused: Vec<u64>,
@@ -79,16 +79,16 @@
     pub dropped: u64,
 }
 
-impl Keeper {
+impl StoreThread {
     /// Starts the thread; `disk` is one that is locked already, else `disks` is asked for one until it can be locked.
     /// `wake` is called whenever there is something to hear.
     pub fn start(
         disk: Option<Box<dyn Disk>>,
-        disks: Disks,
+        disks: DiskFactory,
         owner: String,
         id: u64,
         wake: impl Fn() + Send + 'static,
-    ) -> io::Result<Keeper> {
+    ) -> io::Result<StoreThread> {
         let (to, asks) = sync_channel(QUEUE);
         let (tells, from) = channel();
         let away = (ALIVE_EVERY, Instant::now());
@@ -107,10 +107,10 @@
         };
         let run = move || shell.run(disk, &asks, &wake);
         thread::Builder::new().name("keeper".to_owned()).spawn(run)?;
-        Ok(Keeper { to, from, tickets: 0, refused: Vec::new(), dropped: 0 })
+        Ok(StoreThread { to, from, tickets: 0, refused: Vec::new(), dropped: 0 })
     }
 
-    fn ask(&mut self, ask: Ask) -> bool {
+    fn ask(&mut self, ask: StoreRequest) -> bool {
         let taken = self.to.try_send(ask).is_ok();
         self.dropped += u64::from(!taken);
         taken
@@ -118,46 +118,47 @@
 
     pub fn keep<T: Storable>(&mut self, key: &str, kept: Option<&T>) {
         let (key, value) = (key.to_owned(), kept.map(bytes));
-        self.ask(Ask::Put { table: T::TABLE, key, form: T::FORMAT, value });
+        self.ask(StoreRequest::Put { table: T::TABLE, key, form: T::FORMAT, value });
     }
 
     /// The same, and a number under which it is told when this is on the disk.
     pub fn keep_now<T: Storable>(&mut self, key: &str, kept: Option<&T>) -> u64 {
         let (key, value) = (key.to_owned(), kept.map(bytes));
         self.tickets += 1;
-        let put = self.ask(Ask::Put { table: T::TABLE, key, form: T::FORMAT, value });
-        if !put || !self.ask(Ask::Sync(self.tickets)) {
+        let put = self.ask(StoreRequest::Put { table: T::TABLE, key, form: T::FORMAT, value });
+        if !put || !self.ask(StoreRequest::Sync(self.tickets)) {
             self.refused.push(self.tickets);
         }
         self.tickets
     }
 
     pub fn above(&mut self, heard: u64) {
-        self.ask(Ask::Above(heard));
+        self.ask(StoreRequest::Above(heard));
     }
 
     /// Lets go of the folder; another process may have it then.
     pub fn close(&mut self) {
-        self.ask(Ask::Close);
+        self.ask(StoreRequest::Close);
     }
 
     pub fn open(&mut self) {
-        self.ask(Ask::Open);
+        self.ask(StoreRequest::Open);
     }
 
-    pub fn heard(&mut self) -> Vec<Told> {
-        let refused = self.refused.drain(..).map(|ticket| Told::Synced(ticket, Err("too much waits".into())));
+    pub fn heard(&mut self) -> Vec<StoreEvent> {
+        let refused =
+            self.refused.drain(..).map(|ticket| StoreEvent::Synced(ticket, Err("too much waits".into())));
         refused.chain(self.from.try_iter()).collect()
     }
 
     /// The process is about to end: waits for the last of it, no longer than this.
     pub fn finish(mut self, within: Duration) -> bool {
         let until = Instant::now() + within;
-        if !self.ask(Ask::Close) {
+        if !self.ask(StoreRequest::Close) {
             return false;
         }
         while let Ok(told) = self.from.recv_timeout(until.saturating_duration_since(Instant::now())) {
-            if matches!(told, Told::Closed) {
+            if matches!(told, StoreEvent::Closed) {
                 return true;
             }
         }
@@ -170,10 +171,10 @@
 }
 
 struct Shell {
-    disks: Disks,
+    disks: DiskFactory,
     owner: String,
     id: u64,
-    tells: Sender<Told>,
+    tells: Sender<StoreEvent>,
     store: Option<Store>,
     /// Who waits for a sync.
     waiting: Vec<u64>,
@@ -187,7 +188,7 @@
 }
 
 impl Shell {
-    fn run(&mut self, disk: Option<Box<dyn Disk>>, asks: &Receiver<Ask>, wake: &dyn Fn()) {
+    fn run(&mut self, disk: Option<Box<dyn Disk>>, asks: &Receiver<StoreRequest>, wake: &dyn Fn()) {
         self.open(disk);
         wake();
         // When what is not waited for is to be synced, and how long after a fault.
@@ -200,35 +201,35 @@
             }
             for ask in first.into_iter().chain(asks.try_iter().take(QUEUE)) {
                 match ask {
-                    Ask::Put { table, key, form, value } => {
+                    StoreRequest::Put { table, key, form, value } => {
                         if let Some(store) = &mut self.store {
                             store.put(table, &key, form, value, now());
                             due = due.or(Some(Instant::now() + SYNC_AFTER));
                         }
                     }
-                    Ask::Sync(ticket) => self.waiting.push(ticket),
-                    Ask::Above(heard) => {
+                    StoreRequest::Sync(ticket) => self.waiting.push(ticket),
+                    StoreRequest::Above(heard) => {
                         if let Some(store) = &mut self.store {
                             let kept = store.raise_boot_above(heard).map_err(|stale| stale.to_string());
                             self.well = kept.is_ok();
                             let boot = store.boot();
-                            self.tell(Told::Health(kept.map(|()| boot)));
+                            self.tell(StoreEvent::Health(kept.map(|()| boot)));
                             due = due.or_else(|| self.later());
                         }
                     }
-                    Ask::Open => {
+                    StoreRequest::Open => {
                         self.released = false;
                         if self.store.is_none() {
                             self.open(None);
                         }
                     }
-                    Ask::Close => {
+                    StoreRequest::Close => {
                         self.sync();
                         if let Some(mut store) = self.store.take() {
                             let _ = store.close(now());
                         }
                         self.released = true;
-                        self.tell(Told::Closed);
+                        self.tell(StoreEvent::Closed);
                     }
                 }
             }
@@ -259,7 +260,7 @@
         }
     }
 
-    fn tell(&mut self, told: Told) {
+    fn tell(&mut self, told: StoreEvent) {
         self.spoke = true;
         let _ = self.tells.send(told);
     }
@@ -270,7 +271,7 @@
 
     fn answer(&mut self, how: &Result<(), String>) {
         for ticket in std::mem::take(&mut self.waiting) {
-            self.tell(Told::Synced(ticket, how.clone()));
+            self.tell(StoreEvent::Synced(ticket, how.clone()));
         }
     }
 
@@ -283,7 +284,7 @@
         let well = synced.is_ok();
         if well != std::mem::replace(&mut self.well, well) {
             let health = synced.clone().map(|()| boot);
-            self.tell(Told::Health(health));
+            self.tell(StoreEvent::Health(health));
         }
         self.answer(&synced);
         well
@@ -303,7 +304,7 @@
                 Ok(Ok((store, found))) => {
                     self.well = found.unwritten.is_none();
                     let records = store.records();
-                    let left = Left {
+                    let left = LoadedStore {
                         boot: store.boot(),
                         list: all::<StoredRoster>(records).pop().map(|(_, list, _)| list),
                         hands: all::<StoredOverride>(records)
@@ -315,12 +316,12 @@
                         found,
                     };
                     self.store = Some(store);
-                    break Told::Opened(Box::new(left));
+                    break StoreEvent::Opened(Box::new(left));
                 }
                 Ok(Err(_)) => thread::sleep(LOCK_AGAIN),
                 Err(why) => {
                     self.well = false;
-                    break Told::Unopened(why);
+                    break StoreEvent::Unopened(why);
                 }
             }
         };
--- a/node/src/lifecycle/transient_retry.rs
+++ b/node/src/lifecycle/transient_retry.rs
@@ -13,7 +13,10 @@
 /// # Errors
 ///
 /// The last failure of the call.
-pub fn patiently<T, E>(passes: impl Fn(&E) -> bool, mut call: impl FnMut() -> Result<T, E>) -> Result<T, E> {
+pub fn retry_while<T, E>(
+    passes: impl Fn(&E) -> bool,
+    mut call: impl FnMut() -> Result<T, E>,
+) -> Result<T, E> {
     let until = Instant::now() + START_WITHIN;
     loop {
         match call() {
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -12,29 +12,32 @@
 
 /// How an invocation ended, as operators know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum FinalStatus {
     Passed,
     Dropped,
     BadGateway,
 }
 
-impl Verdict {
+impl FinalStatus {
     /// By what the client was answered.
-    pub fn of(status: u16) -> Verdict {
+    pub fn of(status: u16) -> FinalStatus {
         match status {
-            200 => Verdict::Passed,
-            429 | 503 => Verdict::Dropped,
-            _ => Verdict::BadGateway,
+            200 => FinalStatus::Passed,
+            429 | 503 => FinalStatus::Dropped,
+            _ => FinalStatus::BadGateway,
         }
     }
 }
 
-const VERDICTS: [(Verdict, &str); 3] =
-    [(Verdict::Passed, "passed"), (Verdict::Dropped, "dropped"), (Verdict::BadGateway, "bad_gateway")];
+const FINAL_STATUSES: [(FinalStatus, &str); 3] = [
+    (FinalStatus::Passed, "passed"),
+    (FinalStatus::Dropped, "dropped"),
+    (FinalStatus::BadGateway, "bad_gateway"),
+];
 
 /// What stands at the moment of the call.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Now {
+pub struct Gauges {
     pub in_progress: usize,
     pub known_runners: usize,
     pub skipped_runners: usize,
@@ -48,8 +51,8 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Figures {
-    /// By operation, in the order of [`VERDICTS`]. One that is no longer set keeps its counts: they run from
+pub struct Metrics {
+    /// By operation, in the order of [`FINAL_STATUSES`]. One that is no longer set keeps its counts: they run from
     /// the start of the process.
     ended: BTreeMap<String, [u64; 3]>,
     /// Configurations taken and turned down at SIGHUP.
@@ -57,22 +60,22 @@
     pub load_errors: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// An operation that is in use from now on: it is told of before anything of it has ended.
     pub fn uses(&mut self, operation: &str) {
         self.ended.entry(operation.to_owned()).or_default();
     }
 
-    pub fn ended(&mut self, operation: &str, verdict: Verdict) {
+    pub fn ended(&mut self, operation: &str, verdict: FinalStatus) {
         if let Some(counts) = self.ended.get_mut(operation) {
             counts[verdict as usize] += 1;
         }
     }
 
     /// One `name=value` a line.
-    pub fn text(&self, now: &Now) -> String {
+    pub fn text(&self, now: &Gauges) -> String {
         let mut text = String::new();
-        for (verdict, name) in VERDICTS {
+        for (verdict, name) in FINAL_STATUSES {
             for (operation, counts) in &self.ended {
                 let _ = writeln!(text, "{PREFIX}.{name}.{operation}={}", counts[verdict as usize]);
             }
--- a/node/src/net/connection.rs
+++ b/node/src/net/connection.rs
@@ -1,7 +1,7 @@
 //! One connection: its socket, its buffers, and the reason why it ended.
 //!
 //! It owns reading, writing and their bounds. It must never look into the bytes; what they mean is for the
-//! owner, who is called back through [`Callbacks`] and acts through [`Wires`].
+//! owner, who is called back through [`ConnectionHandler`] and acts through [`ConnectionDriver`].
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::mem::MaybeUninit;
@@ -12,14 +12,14 @@
 
 use crate::net::errno;
 use crate::net::http::MESSAGE_MOST;
-use crate::net::receive_times::Arrivals;
+use crate::net::receive_times::ReceiveTimes;
 
 /// A connection's number; none is used twice.
-pub type Link = u64;
+pub type ConnectionId = u64;
 
 /// Whose connection it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum ConnectionRole {
     Client,
     Runner,
     Roster,
@@ -29,21 +29,21 @@
     Peer,
 }
 
-impl Side {
+impl ConnectionRole {
     pub fn code(self) -> &'static str {
         match self {
-            Side::Client => "client",
-            Side::Runner => "runner",
-            Side::Roster => "roster",
-            Side::Operator => "operator",
-            Side::Peer => "peer",
+            ConnectionRole::Client => "client",
+            ConnectionRole::Runner => "runner",
+            ConnectionRole::Roster => "roster",
+            ConnectionRole::Operator => "operator",
+            ConnectionRole::Peer => "peer",
         }
     }
 }
 
 /// Why a connection ended; each has its code in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CloseReason {
     PeerClosed,
     Reset,
     /// The network has lost it: the other end may be well, and know nothing of that.
@@ -74,29 +74,29 @@
     Terminated,
 }
 
-impl End {
+impl CloseReason {
     pub fn code(self) -> &'static str {
         match self {
-            End::PeerClosed => "peer_closed",
-            End::Reset => "reset",
-            End::PathLost => "path_lost",
-            End::Refused => "refused",
-            End::DialTimeout => "dial_timeout",
-            End::Silent => "silent",
-            End::Idle => "idle",
-            End::MadeRoom => "made_room",
-            End::AnsweredLast => "answered_last",
-            End::BadInput => "bad_input",
-            End::SlowRequest => "slow_request",
-            End::SlowReader => "slow_reader",
-            End::GivenUp => "given_up",
-            End::NoAnswer => "no_answer",
-            End::BadAnswer => "bad_answer",
-            End::Stale => "stale",
-            End::Unlisted => "unlisted",
-            End::WatchSilent => "watch_silent",
-            End::WatchReplaced => "watch_replaced",
-            End::Terminated => "terminated",
+            CloseReason::PeerClosed => "peer_closed",
+            CloseReason::Reset => "reset",
+            CloseReason::PathLost => "path_lost",
+            CloseReason::Refused => "refused",
+            CloseReason::DialTimeout => "dial_timeout",
+            CloseReason::Silent => "silent",
+            CloseReason::Idle => "idle",
+            CloseReason::MadeRoom => "made_room",
+            CloseReason::AnsweredLast => "answered_last",
+            CloseReason::BadInput => "bad_input",
+            CloseReason::SlowRequest => "slow_request",
+            CloseReason::SlowReader => "slow_reader",
+            CloseReason::GivenUp => "given_up",
+            CloseReason::NoAnswer => "no_answer",
+            CloseReason::BadAnswer => "bad_answer",
+            CloseReason::Stale => "stale",
+            CloseReason::Unlisted => "unlisted",
+            CloseReason::WatchSilent => "watch_silent",
+            CloseReason::WatchReplaced => "watch_replaced",
+            CloseReason::Terminated => "terminated",
         }
     }
 }
@@ -105,9 +105,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// The owner of a connection wants to look at it.
-    Link(Link),
+    Connection(ConnectionId),
     /// A connection that is being finished has had its time.
-    Finish(Link),
+    Finish(ConnectionId),
     /// An invocation's client gives up.
     Inv(Id),
     /// A cancel is to be tried again.
@@ -117,11 +117,11 @@
     /// The configuration, which the host could not read, is read again.
     Reload,
     /// What the poller could not be told of a connection is told again.
-    Watch(Link),
+    Watch(ConnectionId),
     /// A dial that the host kept from beginning is made again.
-    Dial(Link),
+    Dial(ConnectionId),
     /// Accepting, after it could not go on, those who come to this side.
-    Accept(Side),
+    Accept(ConnectionRole),
     /// A step of going down.
     Down,
     /// Cold runners may have rested for long enough.
@@ -141,16 +141,23 @@
 }
 
 /// What the owner of connections is called back for.
-pub trait Callbacks {
+pub trait ConnectionHandler {
     /// A dialled connection is up.
-    fn up(&mut self, link: Link, wires: &mut dyn Wires);
+    fn up(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver);
     /// Bytes have come; what is understood is taken out of `input`, the rest stays there.
-    fn bytes(&mut self, link: Link, input: &mut Vec<u8>, wires: &mut dyn Wires);
+    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver);
     /// The other side has ended it, or it never came up: `unsent` says that not all was written, `input`
     /// holds what was not taken out. An end of the owner's own making is not told.
-    fn ended(&mut self, link: Link, end: End, unsent: bool, input: &[u8], wires: &mut dyn Wires);
-    /// A time asked for by [`Wires::wake`] has come.
-    fn due(&mut self, link: Link, wires: &mut dyn Wires);
+    fn ended(
+        &mut self,
+        connection: ConnectionId,
+        end: CloseReason,
+        unsent: bool,
+        input: &[u8],
+        driver: &mut dyn ConnectionDriver,
+    );
+    /// A time asked for by [`ConnectionDriver::set_timer`] has come.
+    fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver);
 }
 
 /// System calls that the host failed for a reason that passes, since the start; each was made again.
@@ -163,7 +170,7 @@
 
 impl HostFailures {
     /// By their names among the figures.
-    pub fn figures(self) -> [(&'static str, u64); 3] {
+    pub fn metrics(self) -> [(&'static str, u64); 3] {
         [
             ("host_failed_accepts", self.accepts),
             ("host_failed_dials", self.dials),
@@ -173,9 +180,9 @@
 }
 
 /// What owners of connections may do.
-pub trait Wires {
+pub trait ConnectionDriver {
     fn now(&self) -> Micros;
-    /// The time at this very moment, where [`Wires::now`] is the time at which this turn of the loop began.
+    /// The time at this very moment, where [`ConnectionDriver::now`] is the time at which this turn of the loop began.
     fn clock(&self) -> Micros {
         self.now()
     }
@@ -184,58 +191,58 @@
         HostFailures::default()
     }
     /// Since when what is read now may have been there: long, where this process was not let run meanwhile.
-    fn came_since(&self) -> Micros {
+    fn readable_since(&self) -> Micros {
         self.now()
     }
     /// Since when the first byte that the owner of this connection has not taken may have been there.
-    fn arrived(&self, _link: Link) -> Micros {
-        self.came_since()
+    fn arrived(&self, _connection: ConnectionId) -> Micros {
+        self.readable_since()
     }
     /// How many connections there are, of all sides.
     fn connections(&self) -> usize;
     /// Ends the oldest client's connection that only waits for the other side's end, its last answer written.
     fn end_lingering(&mut self) -> bool;
     /// A new connection, not yet up.
-    fn dial(&mut self, to: SocketAddr, side: Side) -> Link;
+    fn dial(&mut self, to: SocketAddr, role: ConnectionRole) -> ConnectionId;
     /// Whether the host has kept a dial from beginning so far: nothing is known of the other end.
-    fn postponed(&self, _link: Link) -> bool {
+    fn postponed(&self, _connection: ConnectionId) -> bool {
         false
     }
-    fn send(&mut self, link: Link, bytes: &[u8]);
+    fn send(&mut self, connection: ConnectionId, bytes: &[u8]);
     /// Whether a connection at rest can be used: not ended, and with nothing to read.
-    fn fresh(&mut self, link: Link) -> bool;
+    fn is_reusable(&mut self, connection: ConnectionId) -> bool;
     /// Whether the other side has ended it, though that has not been read yet.
-    fn left(&self, _link: Link) -> bool {
+    fn peer_has_closed(&self, _connection: ConnectionId) -> bool {
         false
     }
     /// Whether something sent has not yet been written.
-    fn unsent(&self, link: Link) -> bool;
+    fn unsent(&self, connection: ConnectionId) -> bool;
     /// Whether so much has come that some of it was thrown away: what follows makes no sense.
-    fn spilt(&self, _link: Link) -> bool {
+    fn has_overflowed(&self, _connection: ConnectionId) -> bool {
         false
     }
     /// Calls the owner back with what has been read, even if nothing more comes.
-    fn revisit(&mut self, link: Link);
+    fn process_again(&mut self, connection: ConnectionId);
     /// Ends it as soon as all is written.
-    fn finish(&mut self, link: Link, end: End);
-    fn cut(&mut self, link: Link, end: End);
-    fn wake(&mut self, due: Timer, at: Micros);
+    fn finish(&mut self, connection: ConnectionId, end: CloseReason);
+    fn abort(&mut self, connection: ConnectionId, end: CloseReason);
+    fn set_timer(&mut self, due: Timer, at: Micros);
     /// To another dispatcher; it may get lost.
     fn datagram(&mut self, _to: SocketAddr, _bytes: &[u8]) {}
 }
 
 /// Why a connection never came up. Only a refusal says that no process listens there.
-pub fn never_up(error: &io::Error) -> End {
+pub fn never_up(error: &io::Error) -> CloseReason {
     match error.kind() {
-        ErrorKind::ConnectionRefused => End::Refused,
-        ErrorKind::TimedOut => End::DialTimeout,
-        _ => End::Reset,
+        ErrorKind::ConnectionRefused => CloseReason::Refused,
+        ErrorKind::TimedOut => CloseReason::DialTimeout,
+        _ => CloseReason::Reset,
     }
 }
 
 /// How a connection that was up has broken.
-fn broken(error: &io::Error) -> End {
-    if errno::is_path_lost(error) { End::PathLost } else { End::Reset }
+fn broken(error: &io::Error) -> CloseReason {
+    if errno::is_path_lost(error) { CloseReason::PathLost } else { CloseReason::Reset }
 }
 
 /// Tries to see what the next read would find, while the host fails them.
@@ -250,13 +257,13 @@
     Unknown,
 }
 
-pub struct Conn {
+pub struct Connection {
     pub stream: Socket,
-    pub side: Side,
+    pub role: ConnectionRole,
     pub peer: SocketAddr,
     pub dialling: bool,
     /// Why it ends once all is written.
-    pub finishing: Option<End>,
+    pub finishing: Option<CloseReason>,
     /// Our side is shut; only the other side's end is waited for, so that the last answer is not reset away.
     pub lingering: bool,
     pub since: Micros,
@@ -266,7 +273,7 @@
     /// Since when reading has failed, if the last try did.
     unread_since: Option<Micros>,
     /// When what is in `input` came.
-    pub arrivals: Arrivals,
+    pub receive_times: ReceiveTimes,
     output: Vec<u8>,
     written: usize,
     /// Bytes were thrown away, as nobody took those before them.
@@ -275,11 +282,17 @@
     pub watched: Option<(bool, bool)>,
 }
 
-impl Conn {
-    pub fn new(stream: Socket, side: Side, peer: SocketAddr, dialling: bool, since: Micros) -> Conn {
-        Conn {
+impl Connection {
+    pub fn new(
+        stream: Socket,
+        role: ConnectionRole,
+        peer: SocketAddr,
+        dialling: bool,
+        since: Micros,
+    ) -> Connection {
+        Connection {
             stream,
-            side,
+            role,
             peer,
             dialling,
             finishing: None,
@@ -288,7 +301,7 @@
             input: Vec::new(),
             failed_reads: 0,
             unread_since: None,
-            arrivals: Arrivals::default(),
+            receive_times: ReceiveTimes::default(),
             output: Vec::new(),
             written: 0,
             spilt: false,
@@ -298,11 +311,11 @@
 
     pub fn wants(&self) -> (bool, bool) {
         // A client is read on whatever it sends, or its end would not be seen: what is beyond the bound is thrown away.
-        let room = self.input.len() < MESSAGE_MOST || self.side == Side::Client;
+        let room = self.input.len() < MESSAGE_MOST || self.role == ConnectionRole::Client;
         (!self.dialling && (self.lingering || room), self.dialling || self.unsent())
     }
 
-    pub fn spilt(&self) -> bool {
+    pub fn has_overflowed(&self) -> bool {
         self.spilt
     }
 
@@ -315,10 +328,10 @@
     }
 
     /// Writes what the socket takes.
-    pub fn flush(&mut self) -> Result<(), End> {
+    pub fn flush(&mut self) -> Result<(), CloseReason> {
         while self.unsent() && !self.dialling {
             match self.stream.write(&self.output[self.written..]) {
-                Ok(0) => return Err(End::Reset),
+                Ok(0) => return Err(CloseReason::Reset),
                 Ok(written) => self.written += written,
                 // The poller tells when it may be tried again.
                 Err(error) if errno::transfer(&error).passes() => return Ok(()),
@@ -335,7 +348,7 @@
 
     /// Reads what there is, up to one buffer's worth, which may have been there since then; the poller tells if there is
     /// more. Says how much there was.
-    pub fn read(&mut self, scratch: &mut [u8], since: Micros) -> Result<usize, End> {
+    pub fn read(&mut self, scratch: &mut [u8], since: Micros) -> Result<usize, CloseReason> {
         let read = self.stream.read(scratch);
         let passes =
             |error: &io::Error| error.kind() != ErrorKind::WouldBlock && errno::transfer(error).passes();
@@ -345,7 +358,7 @@
         let since = self.unread_since.map_or(since, |unread| unread.min(since));
         self.unread_since = failed.then_some(since);
         match read {
-            Ok(0) => Err(End::PeerClosed),
+            Ok(0) => Err(CloseReason::PeerClosed),
             Ok(read) if self.lingering => Ok(read),
             Ok(read) if self.input.len() >= MESSAGE_MOST => {
                 self.spilt = true;
@@ -353,7 +366,7 @@
             }
             Ok(read) => {
                 self.input.extend_from_slice(&scratch[..read]);
-                self.arrivals.note(read, since);
+                self.receive_times.note(read, since);
                 Ok(read)
             }
             Err(error) if errno::transfer(&error).passes() => Ok(0),
@@ -362,7 +375,7 @@
     }
 
     /// Whether a dial has come to its end, and how.
-    pub fn dialled(&self) -> Result<(), End> {
+    pub fn dialled(&self) -> Result<(), CloseReason> {
         match self.stream.take_error() {
             Ok(None) => Ok(()),
             Ok(Some(error)) | Err(error) => Err(never_up(&error)),
@@ -370,12 +383,12 @@
     }
 
     /// Whether nothing has been read or waits to be read, and the other side has not ended it.
-    pub fn fresh(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         self.input.is_empty() && self.peek() == Peeked::Nothing
     }
 
     /// Whether the other side has ended it. Behind bytes that have not been read its end does not show.
-    pub fn left(&self) -> bool {
+    pub fn peer_has_closed(&self) -> bool {
         self.peek() == Peeked::Ended
     }
 
--- a/node/src/net/dials.rs
+++ b/node/src/net/dials.rs
@@ -10,7 +10,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use topazsail::Micros;
 
-use crate::net::connection::{Link, Side};
+use crate::net::connection::{ConnectionId, ConnectionRole};
 use crate::net::errno::{self, Scope};
 
 /// How long until a dial is made again.
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct Dial {
     pub to: SocketAddr,
-    pub side: Side,
+    pub role: ConnectionRole,
     pub output: Vec<u8>,
 }
 
@@ -37,30 +37,30 @@
 /// The dials that are to be made again.
 #[derive(Default)]
 pub struct Dials {
-    postponed: BTreeMap<Link, Dial>,
+    postponed: BTreeMap<ConnectionId, Dial>,
     /// How often a dial has been postponed since the start.
     pub count: u64,
 }
 
 impl Dials {
-    pub fn postpone(&mut self, link: Link, dial: Dial) {
+    pub fn postpone(&mut self, id: ConnectionId, dial: Dial) {
         self.count += 1;
-        self.postponed.insert(link, dial);
+        self.postponed.insert(id, dial);
     }
 
     /// The dial of this connection, which is to be made now or has been given up.
-    pub fn take(&mut self, link: Link) -> Option<Dial> {
-        self.postponed.remove(&link)
+    pub fn take(&mut self, id: ConnectionId) -> Option<Dial> {
+        self.postponed.remove(&id)
     }
 
     /// A dial that is to be made again.
-    pub fn get(&self, link: Link) -> Option<&Dial> {
-        self.postponed.get(&link)
+    pub fn get(&self, id: ConnectionId) -> Option<&Dial> {
+        self.postponed.get(&id)
     }
 
     /// The same, to add to what is to be sent.
-    pub fn get_mut(&mut self, link: Link) -> Option<&mut Dial> {
-        self.postponed.get_mut(&link)
+    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Dial> {
+        self.postponed.get_mut(&id)
     }
 }
 
--- a/node/src/net/http.rs
+++ b/node/src/net/http.rs
@@ -13,7 +13,7 @@
 
 /// Why bytes are no message: the status to answer with, and a code for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fault(pub u16, pub &'static str);
+pub struct HttpError(pub u16, pub &'static str);
 
 #[derive(Debug)]
 pub struct Request<'b> {
@@ -27,7 +27,7 @@
 }
 
 #[derive(Debug)]
-pub struct Answer<'b> {
+pub struct Response<'b> {
     pub status: u16,
     pub headers: Vec<(&'b str, &'b [u8])>,
     pub body: Vec<u8>,
@@ -36,7 +36,7 @@
 
 impl<'b> Request<'b> {
     /// The one value of a header; a second value is a fault.
-    pub fn only(&self, name: &str) -> Result<Option<&'b str>, Fault> {
+    pub fn only(&self, name: &str) -> Result<Option<&'b str>, HttpError> {
         only(&self.headers, name)
     }
 
@@ -45,19 +45,19 @@
     }
 }
 
-impl<'b> Answer<'b> {
+impl<'b> Response<'b> {
     pub fn header(&self, name: &str) -> Option<&'b str> {
         only(&self.headers, name).ok().flatten()
     }
 }
 
-fn only<'b>(headers: &[(&'b str, &'b [u8])], name: &str) -> Result<Option<&'b str>, Fault> {
+fn only<'b>(headers: &[(&'b str, &'b [u8])], name: &str) -> Result<Option<&'b str>, HttpError> {
     let mut values = headers.iter().filter(|(known, _)| known.eq_ignore_ascii_case(name));
     let Some((_, value)) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(Fault(400, "repeated_header"));
+        return Err(HttpError(400, "repeated_header"));
     }
-    str::from_utf8(value).map(|value| Some(value.trim())).map_err(|_| Fault(400, "bad_header"))
+    str::from_utf8(value).map(|value| Some(value.trim())).map_err(|_| HttpError(400, "bad_header"))
 }
 
 /// How the end of a body is known.
@@ -68,18 +68,18 @@
     UntilEnd,
 }
 
-fn framing(headers: &[(&str, &[u8])], absent: Framing) -> Result<Framing, Fault> {
-    let length = only(headers, "content-length").map_err(|_| Fault(400, "bad_length"))?;
-    let coding = only(headers, "transfer-encoding").map_err(|_| Fault(400, "bad_coding"))?;
+fn framing(headers: &[(&str, &[u8])], absent: Framing) -> Result<Framing, HttpError> {
+    let length = only(headers, "content-length").map_err(|_| HttpError(400, "bad_length"))?;
+    let coding = only(headers, "transfer-encoding").map_err(|_| HttpError(400, "bad_coding"))?;
     match (length, coding) {
-        (Some(_), Some(_)) => Err(Fault(400, "length_and_coding")),
+        (Some(_), Some(_)) => Err(HttpError(400, "length_and_coding")),
         (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
-        (None, Some(_)) => Err(Fault(400, "bad_coding")),
+        (None, Some(_)) => Err(HttpError(400, "bad_coding")),
         (Some(length), None) if !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit()) => {
             // All digits, so that what does not parse is merely too long.
             Ok(Framing::Length(length.parse().unwrap_or(usize::MAX)))
         }
-        (Some(_), None) => Err(Fault(400, "bad_length")),
+        (Some(_), None) => Err(HttpError(400, "bad_length")),
         (None, None) => Ok(absent),
     }
 }
@@ -94,41 +94,43 @@
     if version == 0 { says("keep-alive") } else { !says("close") }
 }
 
-fn malformed(error: httparse::Error) -> Fault {
+fn malformed(error: httparse::Error) -> HttpError {
     match error {
-        httparse::Error::TooManyHeaders => Fault(431, "too_many_headers"),
-        _ => Fault(400, "malformed"),
+        httparse::Error::TooManyHeaders => HttpError(431, "too_many_headers"),
+        _ => HttpError(400, "malformed"),
     }
 }
 
 /// The body that begins `input`, with the bytes that it takes there; `None` while it is not whole.
-fn body(input: &[u8], framing: Framing, ended: bool) -> Result<Option<(Vec<u8>, usize)>, Fault> {
+fn body(input: &[u8], framing: Framing, ended: bool) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
     let whole = match framing {
-        Framing::Length(length) if length > BODY_MOST => return Err(Fault(413, "body_too_large")),
+        Framing::Length(length) if length > BODY_MOST => return Err(HttpError(413, "body_too_large")),
         Framing::Length(length) => input.get(..length).map(|body| (body.to_vec(), length)),
         Framing::UntilEnd => ended.then(|| (input.to_vec(), input.len())),
         Framing::Chunked => {
             let (mut chunks, mut body) = (Chunks::default(), Vec::new());
             let used = chunks.feed(input, &mut body)?;
             if body.len() > BODY_MOST {
-                return Err(Fault(413, "body_too_large"));
+                return Err(HttpError(413, "body_too_large"));
             }
             chunks.done().then_some((body, used))
         }
     };
     if whole.as_ref().is_some_and(|(body, _)| body.len() > BODY_MOST) {
-        return Err(Fault(413, "body_too_large"));
+        return Err(HttpError(413, "body_too_large"));
     }
     Ok(whole)
 }
 
 /// The request that begins `input` and how many bytes it takes there; `None` while it is not whole.
-pub fn request(input: &[u8]) -> Result<Option<(Request<'_>, usize)>, Fault> {
+pub fn request(input: &[u8]) -> Result<Option<(Request<'_>, usize)>, HttpError> {
     let mut room = [httparse::EMPTY_HEADER; HEADERS_MOST];
     let mut parsed = httparse::Request::new(&mut room);
     let head = match parsed.parse(&input[..input.len().min(HEAD_MOST)]).map_err(malformed)? {
         httparse::Status::Complete(head) => head,
-        httparse::Status::Partial if input.len() >= HEAD_MOST => return Err(Fault(431, "head_too_large")),
+        httparse::Status::Partial if input.len() >= HEAD_MOST => {
+            return Err(HttpError(431, "head_too_large"));
+        }
         httparse::Status::Partial => return Ok(None),
     };
     let headers: Vec<_> = parsed.headers.iter().map(|header| (header.name, header.value)).collect();
@@ -140,7 +142,7 @@
 }
 
 /// The head of the answer that begins `input`, passing over those that only say that one will come.
-pub fn answer_head(mut input: &[u8]) -> Result<Option<(Answer<'_>, Framing, usize)>, Fault> {
+pub fn answer_head(mut input: &[u8]) -> Result<Option<(Response<'_>, Framing, usize)>, HttpError> {
     let mut passed = 0;
     loop {
         let mut room = [httparse::EMPTY_HEADER; HEADERS_MOST];
@@ -148,7 +150,7 @@
         let head = match parsed.parse(&input[..input.len().min(HEAD_MOST)]).map_err(malformed)? {
             httparse::Status::Complete(head) => head,
             httparse::Status::Partial if input.len() >= HEAD_MOST => {
-                return Err(Fault(431, "head_too_large"));
+                return Err(HttpError(431, "head_too_large"));
             }
             httparse::Status::Partial => return Ok(None),
         };
@@ -164,12 +166,12 @@
             _ => framing(&headers, Framing::UntilEnd)?,
         };
         let keep = framing != Framing::UntilEnd && keeps(&headers, parsed.version.unwrap_or(1));
-        return Ok(Some((Answer { status, headers, body: Vec::new(), keep }, framing, passed)));
+        return Ok(Some((Response { status, headers, body: Vec::new(), keep }, framing, passed)));
     }
 }
 
 /// The answer that begins `input` and how many bytes it takes there; `ended` says that no more will come.
-pub fn answer(input: &[u8], ended: bool) -> Result<Option<(Answer<'_>, usize)>, Fault> {
+pub fn answer(input: &[u8], ended: bool) -> Result<Option<(Response<'_>, usize)>, HttpError> {
     let Some((mut answer, framing, head)) = answer_head(input)? else { return Ok(None) };
     let Some((body, used)) = body(&input[head..], framing, ended)? else { return Ok(None) };
     answer.body = body;
@@ -199,8 +201,8 @@
     }
 
     /// Takes what it can of `input`, appends what was in the chunks, and returns how much was taken.
-    pub fn feed(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, Fault> {
-        let bad = Fault(400, "bad_chunk");
+    pub fn feed(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
+        let bad = HttpError(400, "bad_chunk");
         let mut used = 0;
         loop {
             let rest = &input[used..];
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -17,11 +17,13 @@
 use crate::config;
 use crate::lifecycle::handover;
 use crate::lifecycle::signals::Signal;
-use crate::net::connection::{Conn, End, HostFailures, Link, Side, Timer, Wires, never_up};
+use crate::net::connection::{
+    CloseReason, Connection, ConnectionDriver, ConnectionId, ConnectionRole, HostFailures, Timer, never_up,
+};
 use crate::net::dials::{self, DIAL_AGAIN, Dial, Dialled, Dials};
 use crate::net::errno::{self, Scope};
 use crate::net::log::log;
-use crate::request_table::Desk;
+use crate::request_table::RequestTable;
 
 pub const SIGNAL: usize = 0;
 pub const RELOAD: usize = 1;
@@ -31,7 +33,7 @@
 pub const PEERS: usize = 3;
 /// The keys of the listeners, in their order.
 pub const LISTENERS: usize = 4;
-const FIRST_LINK: Link = 6;
+const FIRST_LINK: ConnectionId = 6;
 /// Buffers read from one client in a turn, while they come full: its end may be behind them.
 const READS_ON: usize = 16;
 /// Datagrams read in one turn: clients come first.
@@ -80,13 +82,13 @@
 /// Where connections come in, and whose they are.
 pub struct Listener {
     pub socket: TcpListener,
-    pub side: Side,
+    pub role: ConnectionRole,
     /// What the poller knows it by.
     pub key: usize,
 }
 
-fn listener_of(listeners: &[Listener], side: Side) -> Option<&Listener> {
-    listeners.iter().find(|listener| listener.side == side)
+fn listener_of(listeners: &[Listener], role: ConnectionRole) -> Option<&Listener> {
+    listeners.iter().find(|listener| listener.role == role)
 }
 
 pub struct Reactor {
@@ -101,13 +103,13 @@
     queued: BTreeMap<usize, Micros>,
     /// While a newcomer that has waited at its listener is read: since when it may have.
     queued_since: Option<Micros>,
-    conns: HashMap<Link, Conn>,
-    next: Link,
+    conns: HashMap<ConnectionId, Connection>,
+    next: ConnectionId,
     dues: BTreeMap<(Micros, u64), Timer>,
     serial: u64,
     /// Connections that broke under a write: their owners are called back in the next turn.
-    broken: Vec<(Link, End)>,
-    revisits: Vec<Link>,
+    broken: Vec<(ConnectionId, CloseReason)>,
+    revisits: Vec<ConnectionId>,
     scratch: Vec<u8>,
     dials: Dials,
     failed: HostFailures,
@@ -147,7 +149,7 @@
 
     pub fn run(
         &mut self,
-        desk: &mut Desk,
+        table: &mut RequestTable,
         listeners: &[Listener],
         successor: Option<&UnixListener>,
         (terminate, reload, path): (&Signal, &Signal, &str),
@@ -155,11 +157,11 @@
         let mut events = Events::new();
         // What the start took is no standing still.
         self.now = self.clock.now();
-        desk.settle(self);
+        table.decide(self);
         loop {
             // The last look before the end: what has come meanwhile has been taken, and is still answered.
-            let last = (desk.is_down(self.now) || desk.must_end(self.now)) && self.all_told();
-            let patience = if last { Some(LAST_LOOK) } else { self.patience(desk) };
+            let last = (table.is_down(self.now) || table.must_end(self.now)) && self.all_told();
+            let patience = if last { Some(LAST_LOOK) } else { self.patience(table) };
             events.clear();
             let interrupted = match self.poller.wait(&mut events, patience) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => true,
@@ -167,24 +169,26 @@
             };
             self.look_up(patience);
             if terminate.take() {
-                desk.go_down(self);
+                table.go_down(self);
             }
             if reload.take() {
                 self.reload_until = self.now + RELOAD_WITHIN;
-                self.read_configuration(desk, path);
+                self.read_configuration(table, path);
             }
-            if desk.fatal().is_some() {
+            if table.fatal().is_some() {
                 return Ok(());
             }
             // A wait that a signal has cut short has not looked.
             let quiet = last && !interrupted && events.is_empty();
-            if quiet && (desk.must_end(self.now) || self.nobody_queues(desk, listeners)) {
+            if quiet && (table.must_end(self.now) || self.nobody_queues(table, listeners)) {
                 return Ok(());
             }
             // Clients first: what waits for a connection to its runner is not written once its client has left, though
             // both are heard of in one turn.
             let of_client = |event: &Event| {
-                self.conns.get(&(event.key as Link)).is_some_and(|conn| conn.side == Side::Client)
+                self.conns
+                    .get(&(event.key as ConnectionId))
+                    .is_some_and(|connection| connection.role == ConnectionRole::Client)
             };
             let (clients, others): (Vec<Event>, Vec<Event>) = events.iter().partition(of_client);
             for event in clients.into_iter().chain(others) {
@@ -192,36 +196,36 @@
                     // Their flags are looked at in each turn.
                     SIGNAL => terminate.drain(),
                     RELOAD => reload.drain(),
-                    PEERS => self.hear(desk),
-                    SUCCESSOR => self.hand_over(desk, successor, listeners),
+                    PEERS => self.hear(table),
+                    SUCCESSOR => self.hand_over(table, successor, listeners),
                     key => match listeners.iter().find(|listener| listener.key == key) {
-                        Some(listener) => self.accept(desk, listener),
-                        None => self.ready(key as Link, event, desk),
+                        Some(listener) => self.accept(table, listener),
+                        None => self.ready(key as ConnectionId, event, table),
                     },
                 }
             }
-            self.call_back(desk);
+            self.call_back(table);
             while let Some(entry) = self.dues.first_entry().filter(|entry| entry.key().0 <= self.now) {
                 let due = entry.remove();
-                self.fall_due(due, desk, (listeners, path));
+                self.fall_due(due, table, (listeners, path));
             }
             if std::mem::take(&mut self.short) {
-                desk.out_of_descriptors(self);
+                table.out_of_descriptors(self);
             }
-            desk.settle(self);
-            if desk.accepts() != self.accepting {
-                self.accepting = desk.accepts();
-                self.open(listener_of(listeners, Side::Client), self.accepting);
+            table.decide(self);
+            if table.accepts() != self.accepting {
+                self.accepting = table.accepts();
+                self.open(listener_of(listeners, ConnectionRole::Client), self.accepting);
             }
         }
     }
 
     /// Whether no newcomer waits to be accepted, as the listener ends with this process; whoever does is accepted now.
-    fn nobody_queues(&mut self, desk: &mut Desk, listeners: &[Listener]) -> bool {
-        let listener = listener_of(listeners, Side::Client).filter(|_| self.accepting);
+    fn nobody_queues(&mut self, table: &mut RequestTable, listeners: &[Listener]) -> bool {
+        let listener = listener_of(listeners, ConnectionRole::Client).filter(|_| self.accepting);
         let Some(listener) = listener else { return true };
         let before = self.next;
-        self.accept(desk, listener);
+        self.accept(table, listener);
         self.next == before && !self.queued.contains_key(&listener.key)
     }
 
@@ -241,24 +245,24 @@
 
     /// SIGHUP: the configuration is read, and again while the host fails that for a moment. What is running goes on
     /// whatever the file holds; a signal that comes after this has it read once more.
-    fn read_configuration(&mut self, desk: &mut Desk, path: &str) {
+    fn read_configuration(&mut self, table: &mut RequestTable, path: &str) {
         match config::load(path) {
-            Ok(told) => desk.reload(told, self),
+            Ok(told) => table.reload(told, self),
             Err(error) if error.passes() && self.now < self.reload_until => {
                 log!("configuration-delayed", "reason={:?}", error.to_string());
-                self.wake(Timer::Reload, self.now + RELOAD_AGAIN);
+                self.set_timer(Timer::Reload, self.now + RELOAD_AGAIN);
             }
-            Err(error) => desk.turn_down(&error.to_string()),
+            Err(error) => table.turn_down(&error.to_string()),
         }
     }
 
     /// Datagrams of other dispatchers, some at a time.
-    fn hear(&mut self, desk: &mut Desk) {
+    fn hear(&mut self, table: &mut RequestTable) {
         let mut bytes = [0; 2 * PACKET_MOST];
         for _ in 0..DATAGRAMS {
             let heard = self.datagrams.as_ref().map(|socket| socket.recv_from(&mut bytes));
             match heard {
-                Some(Ok((length, from))) => desk.datagram(from, &bytes[..length], self),
+                Some(Ok((length, from))) => table.datagram(from, &bytes[..length], self),
                 // One of ours was refused: nobody is there yet.
                 Some(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 _ => return,
@@ -268,72 +272,80 @@
 
     /// Whether all answers to clients and operators have been written.
     fn all_told(&self) -> bool {
-        self.conns.values().all(|conn| !matches!(conn.side, Side::Client | Side::Operator) || !conn.unsent())
+        self.conns.values().all(|connection| {
+            !matches!(connection.role, ConnectionRole::Client | ConnectionRole::Operator)
+                || !connection.unsent()
+        })
     }
 
     /// How long the poller may wait: until the next due time, not at all where something is left to do.
-    fn patience(&self, desk: &Desk) -> Option<Duration> {
-        if desk.pending() || !self.broken.is_empty() || !self.revisits.is_empty() {
+    fn patience(&self, table: &RequestTable) -> Option<Duration> {
+        if table.pending() || !self.broken.is_empty() || !self.revisits.is_empty() {
             return Some(Duration::ZERO);
         }
         let Some(((at, _), _)) = self.dues.first_key_value() else { return Some(LOOKS_UP) };
         Some(Duration::from_micros((at - self.clock.now()).max(0) as u64).min(LOOKS_UP))
     }
 
-    fn fall_due(&mut self, due: Timer, desk: &mut Desk, (listeners, path): (&[Listener], &str)) {
+    fn fall_due(&mut self, due: Timer, table: &mut RequestTable, (listeners, path): (&[Listener], &str)) {
         match due {
-            Timer::Link(link) => {
-                if let Some(side) = self.side(link) {
-                    desk.callbacks(side).due(link, self);
-                    desk.collect(self);
+            Timer::Connection(id) => {
+                if let Some(role) = self.role(id) {
+                    table.callbacks(role).timer_fired(id, self);
+                    table.collect_events(self);
                 }
             }
-            Timer::Finish(link) => {
-                if let Some(end) = self.conns.get(&link).and_then(|conn| conn.finishing) {
-                    self.remove(link, end);
+            Timer::Finish(id) => {
+                if let Some(end) = self.conns.get(&id).and_then(|connection| connection.finishing) {
+                    self.remove(id, end);
                 }
             }
-            Timer::Reload => self.read_configuration(desk, path),
-            Timer::Dial(link) => {
-                if let Some(dial) = self.dials.take(link) {
+            Timer::Reload => self.read_configuration(table, path),
+            Timer::Dial(id) => {
+                if let Some(dial) = self.dials.take(id) {
                     // Why was told the first time.
-                    let _ = self.begin_dial(link, dial);
+                    let _ = self.begin_dial(id, dial);
                 }
             }
-            Timer::Accept(side) => {
-                self.open(listener_of(listeners, side), side != Side::Client || self.accepting);
+            Timer::Accept(role) => {
+                self.open(listener_of(listeners, role), role != ConnectionRole::Client || self.accepting);
             }
-            Timer::Watch(link) => self.watch(link),
-            due => desk.due(due, self),
+            Timer::Watch(id) => self.watch(id),
+            due => table.timer_fired(due, self),
         }
     }
 
     /// Lets newcomers in at a listener, or leaves them waiting.
     fn open(&mut self, listener: Option<&Listener>, open: bool) {
-        let Some(Listener { socket, key, side }) = listener else { return };
+        let Some(Listener { socket, key, role }) = listener else { return };
         let event = if open { Event::readable(*key) } else { Event::none(*key) };
         if let Err(error) = self.poller.modify_with_mode(socket, event, PollMode::Level) {
-            log!("poller", "listener={} reason={error}", side.code());
-            self.wake(Timer::Accept(*side), self.now + WATCH_AGAIN);
+            log!("poller", "listener={} reason={error}", role.code());
+            self.set_timer(Timer::Accept(*role), self.now + WATCH_AGAIN);
         }
     }
 
     /// A connection to another process of this dispatcher.
-    pub fn meet(&mut self, stream: UnixStream, listen: SocketAddr) -> Link {
-        self.add_new(Conn::new(stream.into(), Side::Peer, listen, false, self.now))
+    pub fn meet(&mut self, stream: UnixStream, listen: SocketAddr) -> ConnectionId {
+        self.add_new(Connection::new(stream.into(), ConnectionRole::Peer, listen, false, self.now))
     }
 
-    fn hand_over(&mut self, desk: &mut Desk, successor: Option<&UnixListener>, listeners: &[Listener]) {
+    fn hand_over(
+        &mut self,
+        table: &mut RequestTable,
+        successor: Option<&UnixListener>,
+        listeners: &[Listener],
+    ) {
         let Some(Ok((stream, _))) = successor.map(UnixListener::accept) else { return };
-        let Some(listener) = listener_of(listeners, Side::Client) else { return };
-        if !desk.may_hand_over() {
+        let Some(listener) = listener_of(listeners, ConnectionRole::Client) else { return };
+        if !table.may_hand_over() {
             return log!("handover-failed", "reason=\"going down, or at it already\"");
         }
         let given = handover::give(&stream, &listener.socket).and_then(|()| listener.socket.local_addr());
         match given {
             Ok(listen) => {
-                let link = self.meet(stream, listen);
-                desk.hand_over(link, self);
+                let id = self.meet(stream, listen);
+                table.hand_over(id, self);
                 // From now on the others talk to the new process.
                 if let Some(socket) = self.datagrams.take() {
                     let _ = self.poller.delete(&socket);
@@ -343,9 +355,9 @@
         }
     }
 
-    fn accept(&mut self, desk: &mut Desk, listener: &Listener) {
+    fn accept(&mut self, table: &mut RequestTable, listener: &Listener) {
         for _ in 0..ACCEPTS {
-            if !desk.room(listener.side, self) {
+            if !table.room(listener.role, self) {
                 log!("accept-paused", "connections={} reason=no_room", self.conns.len());
                 return self.pause(listener, ROOM_AGAIN);
             }
@@ -358,9 +370,10 @@
                     }
                     // Without it answers come later, and that is all.
                     let _ = stream.set_nodelay(true);
-                    let link = self.add_new(Conn::new(stream.into(), listener.side, peer, false, self.now));
-                    desk.accepted(listener.side, link, self);
-                    self.read_queued(link, listener, desk);
+                    let id =
+                        self.add_new(Connection::new(stream.into(), listener.role, peer, false, self.now));
+                    table.accepted(listener.role, id, self);
+                    self.read_queued(id, listener, table);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     self.queued.remove(&listener.key);
@@ -381,203 +394,204 @@
 
     /// Reads at once what a newcomer has brought that had to wait to be accepted: its time runs from then on. What comes
     /// later has not waited.
-    fn read_queued(&mut self, link: Link, listener: &Listener, desk: &mut Desk) {
+    fn read_queued(&mut self, id: ConnectionId, listener: &Listener, table: &mut RequestTable) {
         let Some(since) = self.queued.get(&listener.key).copied() else { return };
         self.queued_since = Some(since);
-        self.ready(link, Event::readable(link as usize), desk);
+        self.ready(id, Event::readable(id as usize), table);
         self.queued_since = None;
     }
 
     fn pause(&mut self, listener: &Listener, again: Micros) {
         self.queued.entry(listener.key).or_insert(self.now);
-        self.wake(Timer::Accept(listener.side), self.now + again);
+        self.set_timer(Timer::Accept(listener.role), self.now + again);
         self.open(Some(listener), false);
     }
 
     /// Whose a connection is, also while its dial has not begun.
-    fn side(&self, link: Link) -> Option<Side> {
-        let conn = self.conns.get(&link).map(|conn| conn.side);
-        conn.or_else(|| self.dials.get(link).map(|dial| dial.side))
+    fn role(&self, id: ConnectionId) -> Option<ConnectionRole> {
+        let connection = self.conns.get(&id).map(|connection| connection.role);
+        connection.or_else(|| self.dials.get(id).map(|dial| dial.role))
     }
 
-    fn next_link(&mut self) -> Link {
+    fn next_link(&mut self) -> ConnectionId {
         self.next += 1;
         self.next - 1
     }
 
     /// Makes a dial, or has it made again soon where the host keeps it from beginning, and says why it does.
-    fn begin_dial(&mut self, link: Link, dial: Dial) -> io::Result<()> {
+    fn begin_dial(&mut self, id: ConnectionId, dial: Dial) -> io::Result<()> {
         let (socket, failed) = match dials::dial(dial.to) {
             Dialled::Begun(socket) => (socket, None),
             Dialled::Failed(socket, error) => (socket, Some(error)),
-            Dialled::Postponed(error) => return Err(self.postpone(link, dial, error)),
+            Dialled::Postponed(error) => return Err(self.postpone(id, dial, error)),
         };
-        let mut conn = Conn::new(socket, dial.side, dial.to, true, self.now);
-        conn.queue(&dial.output);
-        self.add(link, conn);
+        let mut connection = Connection::new(socket, dial.role, dial.to, true, self.now);
+        connection.queue(&dial.output);
+        self.add(id, connection);
         if let Some(error) = failed {
-            self.broken.push((link, never_up(&error)));
+            self.broken.push((id, never_up(&error)));
         }
         Ok(())
     }
 
-    fn postpone(&mut self, link: Link, dial: Dial, error: io::Error) -> io::Error {
+    fn postpone(&mut self, id: ConnectionId, dial: Dial, error: io::Error) -> io::Error {
         self.short |= errno::is_shortage(&error);
-        self.dials.postpone(link, dial);
-        self.wake(Timer::Dial(link), self.now + DIAL_AGAIN);
+        self.dials.postpone(id, dial);
+        self.set_timer(Timer::Dial(id), self.now + DIAL_AGAIN);
         error
     }
 
-    fn add(&mut self, link: Link, conn: Conn) {
-        self.conns.insert(link, conn);
-        self.watch(link);
+    fn add(&mut self, id: ConnectionId, connection: Connection) {
+        self.conns.insert(id, connection);
+        self.watch(id);
     }
 
-    fn add_new(&mut self, conn: Conn) -> Link {
-        let link = self.next_link();
-        self.add(link, conn);
-        link
+    fn add_new(&mut self, connection: Connection) -> ConnectionId {
+        let id = self.next_link();
+        self.add(id, connection);
+        id
     }
 
-    fn remove(&mut self, link: Link, end: End) {
-        if let Some(Dial { to, side, .. }) = self.dials.take(link) {
-            log!("dial-given-up", "link={link} side={} peer={to} reason={}", side.code(), end.code());
+    fn remove(&mut self, id: ConnectionId, end: CloseReason) {
+        if let Some(Dial { to, role, .. }) = self.dials.take(id) {
+            log!("dial-given-up", "link={id} side={} peer={to} reason={}", role.code(), end.code());
         }
-        let Some(conn) = self.conns.remove(&link) else { return };
-        let _ = self.poller.delete(&conn.stream);
-        self.failed.reads += conn.failed_reads;
-        let (side, peer, ms) = (conn.side.code(), conn.peer, (self.now - conn.since) / 1000);
-        let unsent = u8::from(conn.unsent());
-        log!(
-            "connection",
-            "link={link} side={side} peer={peer} reason={} ms={ms} unsent={unsent}",
-            end.code()
-        );
+        let Some(connection) = self.conns.remove(&id) else { return };
+        let _ = self.poller.delete(&connection.stream);
+        self.failed.reads += connection.failed_reads;
+        let (role, peer, ms) =
+            (connection.role.code(), connection.peer, (self.now - connection.since) / 1000);
+        let unsent = u8::from(connection.unsent());
+        log!("connection", "link={id} side={role} peer={peer} reason={} ms={ms} unsent={unsent}", end.code());
     }
 
     /// Has the poller watch a connection for what it now wants; what the host fails is tried again.
-    fn watch(&mut self, link: Link) {
-        let Some(conn) = self.conns.get_mut(&link) else { return };
-        let wants = conn.wants();
-        if conn.watched == Some(wants) {
+    fn watch(&mut self, id: ConnectionId) {
+        let Some(connection) = self.conns.get_mut(&id) else { return };
+        let wants = connection.wants();
+        if connection.watched == Some(wants) {
             return;
         }
-        let event = Event::new(link as usize, wants.0, wants.1);
-        let watched = match conn.watched {
+        let event = Event::new(id as usize, wants.0, wants.1);
+        let watched = match connection.watched {
             // SAFETY: `remove` takes the socket out of the poller before it is closed.
-            None => unsafe { self.poller.add_with_mode(&conn.stream, event, PollMode::Level) },
-            Some(_) => self.poller.modify_with_mode(&conn.stream, event, PollMode::Level),
+            None => unsafe { self.poller.add_with_mode(&connection.stream, event, PollMode::Level) },
+            Some(_) => self.poller.modify_with_mode(&connection.stream, event, PollMode::Level),
         };
         match watched {
-            Ok(()) => conn.watched = Some(wants),
+            Ok(()) => connection.watched = Some(wants),
             Err(error) => {
-                log!("poller", "link={link} reason={error}");
-                self.wake(Timer::Watch(link), self.now + WATCH_AGAIN);
+                log!("poller", "link={id} reason={error}");
+                self.set_timer(Timer::Watch(id), self.now + WATCH_AGAIN);
             }
         }
     }
 
-    fn ready(&mut self, link: Link, event: Event, desk: &mut Desk) {
-        let since = self.came_since();
-        let Some(conn) = self.conns.get_mut(&link) else { return };
-        let side = conn.side;
-        if conn.dialling {
+    fn ready(&mut self, id: ConnectionId, event: Event, table: &mut RequestTable) {
+        let since = self.readable_since();
+        let Some(connection) = self.conns.get_mut(&id) else { return };
+        let role = connection.role;
+        if connection.dialling {
             if !event.writable {
                 return;
             }
-            if let Err(end) = conn.dialled() {
-                return self.lost(link, end, desk);
+            if let Err(end) = connection.dialled() {
+                return self.lost(id, end, table);
             }
-            conn.dialling = false;
-            let flushed = conn.flush();
-            desk.callbacks(side).up(link, self);
+            connection.dialling = false;
+            let flushed = connection.flush();
+            table.callbacks(role).up(id, self);
             if let Err(end) = flushed {
-                self.broken.push((link, end));
+                self.broken.push((id, end));
             }
-            return self.watch(link);
+            return self.watch(id);
         }
         if event.writable {
-            if let Err(end) = conn.flush() {
-                return self.lost(link, end, desk);
+            if let Err(end) = connection.flush() {
+                return self.lost(id, end, table);
             }
             // What came meanwhile has waited for this.
-            if !conn.unsent() && !conn.input.is_empty() {
-                self.revisits.push(link);
+            if !connection.unsent() && !connection.input.is_empty() {
+                self.revisits.push(id);
             }
         }
         let mut end = None;
         if event.readable {
-            let had = conn.input.len();
-            let mut read = conn.read(&mut self.scratch, since);
+            let had = connection.input.len();
+            let mut read = connection.read(&mut self.scratch, since);
             // A client may have asked and left again: both are to be known before it is served.
             let full = Ok(self.scratch.len());
             for _ in 1..READS_ON {
                 let on = read == full || self.behind.is_some() && read != Ok(0);
-                if side != Side::Client || read.is_err() || !on {
+                if role != ConnectionRole::Client || read.is_err() || !on {
                     break;
                 }
-                read = conn.read(&mut self.scratch, since);
+                read = connection.read(&mut self.scratch, since);
             }
             end = read.err();
-            if conn.input.len() > had {
-                self.tell(link, desk);
+            if connection.input.len() > had {
+                self.tell(id, table);
             }
         }
         if let Some(end) = end {
-            return self.lost(link, end, desk);
+            return self.lost(id, end, table);
         }
-        self.finished(link);
-        self.watch(link);
+        self.finished(id);
+        self.watch(id);
     }
 
     /// Gives the owner what has been read.
-    fn tell(&mut self, link: Link, desk: &mut Desk) {
-        let Some(conn) = self.conns.get_mut(&link).filter(|conn| conn.finishing.is_none()) else { return };
-        let (side, mut input) = (conn.side, std::mem::take(&mut conn.input));
+    fn tell(&mut self, id: ConnectionId, table: &mut RequestTable) {
+        let Some(connection) = self.conns.get_mut(&id).filter(|connection| connection.finishing.is_none())
+        else {
+            return;
+        };
+        let (role, mut input) = (connection.role, std::mem::take(&mut connection.input));
         let had = input.len();
-        desk.callbacks(side).bytes(link, &mut input, self);
-        desk.collect(self);
-        if let Some(conn) = self.conns.get_mut(&link).filter(|conn| !conn.lingering) {
-            conn.arrivals.take(had - input.len());
+        table.callbacks(role).bytes(id, &mut input, self);
+        table.collect_events(self);
+        if let Some(connection) = self.conns.get_mut(&id).filter(|connection| !connection.lingering) {
+            connection.receive_times.take(had - input.len());
             input.shrink_to(if input.is_empty() { 4 << 10 } else { usize::MAX });
-            conn.input = input;
+            connection.input = input;
         }
-        self.watch(link);
+        self.watch(id);
     }
 
     /// The other side has ended a connection, or it never came up.
-    fn lost(&mut self, link: Link, end: End, desk: &mut Desk) {
-        let Some(conn) = self.conns.get_mut(&link) else { return };
-        if let Some(end) = conn.finishing {
-            return self.remove(link, end);
+    fn lost(&mut self, id: ConnectionId, end: CloseReason, table: &mut RequestTable) {
+        let Some(connection) = self.conns.get_mut(&id) else { return };
+        if let Some(end) = connection.finishing {
+            return self.remove(id, end);
         }
-        let (side, unsent, input) = (conn.side, conn.unsent(), std::mem::take(&mut conn.input));
-        self.remove(link, end);
-        desk.callbacks(side).ended(link, end, unsent, &input, self);
-        desk.collect(self);
+        let (role, unsent, input) =
+            (connection.role, connection.unsent(), std::mem::take(&mut connection.input));
+        self.remove(id, end);
+        table.callbacks(role).ended(id, end, unsent, &input, self);
+        table.collect_events(self);
     }
 
     /// Shuts our side of a connection that was to end once all is written.
-    fn finished(&mut self, link: Link) {
-        let Some(conn) = self.conns.get_mut(&link) else { return };
-        if conn.finishing.is_some() && !conn.lingering && !conn.unsent() {
-            conn.linger();
+    fn finished(&mut self, id: ConnectionId) {
+        let Some(connection) = self.conns.get_mut(&id) else { return };
+        if connection.finishing.is_some() && !connection.lingering && !connection.unsent() {
+            connection.linger();
         }
     }
 
-    fn call_back(&mut self, desk: &mut Desk) {
-        for (link, end) in std::mem::take(&mut self.broken) {
-            self.lost(link, end, desk);
+    fn call_back(&mut self, table: &mut RequestTable) {
+        for (id, end) in std::mem::take(&mut self.broken) {
+            self.lost(id, end, table);
         }
-        for link in std::mem::take(&mut self.revisits) {
-            if self.conns.get(&link).is_some_and(|conn| !conn.input.is_empty()) {
-                self.tell(link, desk);
+        for id in std::mem::take(&mut self.revisits) {
+            if self.conns.get(&id).is_some_and(|connection| !connection.input.is_empty()) {
+                self.tell(id, table);
             }
         }
     }
 }
 
-impl Wires for Reactor {
+impl ConnectionDriver for Reactor {
     fn now(&self) -> Micros {
         self.now
     }
@@ -586,19 +600,19 @@
         self.clock.now()
     }
 
-    fn came_since(&self) -> Micros {
+    fn readable_since(&self) -> Micros {
         let behind = self.behind.map_or(self.now, |(since, _)| since);
         self.queued_since.map_or(behind, |since| since.min(behind))
     }
 
     fn host_failures(&self) -> HostFailures {
-        let open: u64 = self.conns.values().map(|conn| conn.failed_reads).sum();
+        let open: u64 = self.conns.values().map(|connection| connection.failed_reads).sum();
         HostFailures { dials: self.dials.count, reads: self.failed.reads + open, ..self.failed }
     }
 
-    fn arrived(&self, link: Link) -> Micros {
-        let first = self.conns.get(&link).and_then(|conn| conn.arrivals.first());
-        first.unwrap_or_else(|| self.came_since())
+    fn arrived(&self, id: ConnectionId) -> Micros {
+        let first = self.conns.get(&id).and_then(|connection| connection.receive_times.first());
+        first.unwrap_or_else(|| self.readable_since())
     }
 
     fn connections(&self) -> usize {
@@ -606,67 +620,70 @@
     }
 
     fn end_lingering(&mut self) -> bool {
-        let lingering = self.conns.iter().filter(|(_, conn)| conn.lingering && conn.side == Side::Client);
-        let ends = lingering.filter_map(|(link, conn)| Some((*link, conn.finishing?)));
-        let oldest = ends.min_by_key(|(link, _)| *link);
-        oldest.inspect(|(link, end)| self.remove(*link, *end)).is_some()
-    }
-
-    fn dial(&mut self, to: SocketAddr, side: Side) -> Link {
-        let link = self.next_link();
-        if let Err(error) = self.begin_dial(link, Dial { to, side, output: Vec::new() }) {
-            log!("dial-postponed", "link={link} side={} peer={to} reason={error}", side.code());
+        let lingering = self
+            .conns
+            .iter()
+            .filter(|(_, connection)| connection.lingering && connection.role == ConnectionRole::Client);
+        let ends = lingering.filter_map(|(id, connection)| Some((*id, connection.finishing?)));
+        let oldest = ends.min_by_key(|(id, _)| *id);
+        oldest.inspect(|(id, end)| self.remove(*id, *end)).is_some()
+    }
+
+    fn dial(&mut self, to: SocketAddr, role: ConnectionRole) -> ConnectionId {
+        let id = self.next_link();
+        if let Err(error) = self.begin_dial(id, Dial { to, role, output: Vec::new() }) {
+            log!("dial-postponed", "link={id} side={} peer={to} reason={error}", role.code());
         }
-        link
+        id
     }
 
-    fn postponed(&self, link: Link) -> bool {
-        self.dials.get(link).is_some()
+    fn postponed(&self, id: ConnectionId) -> bool {
+        self.dials.get(id).is_some()
     }
 
-    fn send(&mut self, link: Link, bytes: &[u8]) {
-        if let Some(dial) = self.dials.get_mut(link) {
+    fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
+        if let Some(dial) = self.dials.get_mut(id) {
             return dial.output.extend_from_slice(bytes);
         }
-        let Some(conn) = self.conns.get_mut(&link) else { return };
-        conn.queue(bytes);
-        match conn.flush() {
-            Ok(()) => self.watch(link),
-            Err(end) => self.broken.push((link, end)),
+        let Some(connection) = self.conns.get_mut(&id) else { return };
+        connection.queue(bytes);
+        match connection.flush() {
+            Ok(()) => self.watch(id),
+            Err(end) => self.broken.push((id, end)),
         }
     }
 
-    fn fresh(&mut self, link: Link) -> bool {
-        let broken = self.broken.iter().any(|(known, _)| *known == link);
-        !broken && self.conns.get(&link).is_some_and(Conn::fresh)
+    fn is_reusable(&mut self, id: ConnectionId) -> bool {
+        let broken = self.broken.iter().any(|(known, _)| *known == id);
+        !broken && self.conns.get(&id).is_some_and(Connection::is_reusable)
     }
 
-    fn left(&self, link: Link) -> bool {
-        self.conns.get(&link).is_none_or(Conn::left)
+    fn peer_has_closed(&self, id: ConnectionId) -> bool {
+        self.conns.get(&id).is_none_or(Connection::peer_has_closed)
     }
 
-    fn unsent(&self, link: Link) -> bool {
-        self.conns.get(&link).is_some_and(Conn::unsent)
+    fn unsent(&self, id: ConnectionId) -> bool {
+        self.conns.get(&id).is_some_and(Connection::unsent)
     }
 
-    fn spilt(&self, link: Link) -> bool {
-        self.conns.get(&link).is_some_and(Conn::spilt)
+    fn has_overflowed(&self, id: ConnectionId) -> bool {
+        self.conns.get(&id).is_some_and(Connection::has_overflowed)
     }
 
-    fn revisit(&mut self, link: Link) {
-        self.revisits.push(link);
+    fn process_again(&mut self, id: ConnectionId) {
+        self.revisits.push(id);
     }
 
-    fn finish(&mut self, link: Link, end: End) {
-        let Some(conn) = self.conns.get_mut(&link) else { return };
-        conn.finishing = Some(end);
-        self.finished(link);
-        self.wake(Timer::Finish(link), self.now + FINISH_WITHIN);
-        self.watch(link);
+    fn finish(&mut self, id: ConnectionId, end: CloseReason) {
+        let Some(connection) = self.conns.get_mut(&id) else { return };
+        connection.finishing = Some(end);
+        self.finished(id);
+        self.set_timer(Timer::Finish(id), self.now + FINISH_WITHIN);
+        self.watch(id);
     }
 
-    fn cut(&mut self, link: Link, end: End) {
-        self.remove(link, end);
+    fn abort(&mut self, id: ConnectionId, end: CloseReason) {
+        self.remove(id, end);
     }
 
     fn datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
@@ -676,7 +693,7 @@
         }
     }
 
-    fn wake(&mut self, due: Timer, at: Micros) {
+    fn set_timer(&mut self, due: Timer, at: Micros) {
         self.serial += 1;
         self.dues.insert((at, self.serial), due);
     }
--- a/node/src/net/receive_times.rs
+++ b/node/src/net/receive_times.rs
@@ -11,12 +11,12 @@
 
 /// The ages of bytes in the order in which they came.
 #[derive(Debug, Default)]
-pub struct Arrivals {
+pub struct ReceiveTimes {
     /// How many bytes, and since when they may have been there.
     entries: VecDeque<(usize, Micros)>,
 }
 
-impl Arrivals {
+impl ReceiveTimes {
     /// So many bytes have been read that may have been there since then.
     pub fn note(&mut self, bytes: usize, since: Micros) {
         let full = self.entries.len() >= ENTRIES_MOST;
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -19,17 +19,17 @@
 use topazsail_recovery::limits::OperationValue;
 use topazsail_settings::DecodedSettings;
 
-use crate::config::{self, Dispatcher};
-use crate::ingress::clients::{self, CallBack, Clients, Invocation, State};
+use crate::config::{self, Configuration};
+use crate::ingress::clients::{self, Clients, Invocation, RunnerCallback, State};
 use crate::ingress::operators::{Call, Operators};
-use crate::lifecycle::handover::{Peer, State as Handed, Word};
-use crate::lifecycle::store_thread::Keeper;
-use crate::metrics::{self, Figures, Now, Verdict};
-use crate::net::connection::{Callbacks, Link, Side, Timer, Wires};
-use crate::net::http::Fault;
+use crate::lifecycle::handover::{HandoverMessage, HandoverPeer, HandoverState};
+use crate::lifecycle::store_thread::StoreThread;
+use crate::metrics::{self, FinalStatus, Gauges, Metrics};
+use crate::net::connection::{ConnectionDriver, ConnectionHandler, ConnectionId, ConnectionRole, Timer};
+use crate::net::http::HttpError;
 use crate::net::log::log;
-use crate::upstream::membership::{Members, TOLD_WITHIN};
-use crate::upstream::roster::{self, Listed, Roster};
+use crate::upstream::membership::{Membership, TOLD_WITHIN};
+use crate::upstream::roster::{self, Roster, RosterSnapshot};
 use crate::upstream::runners::{self, Runners};
 
 const SUCCEEDED: u16 = 200;
@@ -75,7 +75,7 @@
 }
 
 struct Open {
-    link: Link,
+    connection: ConnectionId,
     operation: usize,
     taken_at: Micros,
     expires_at: Micros,
@@ -111,7 +111,7 @@
     decoded: &mut DecodedSettings,
     portioned: bool,
     clients: &mut Clients,
-    figures: &mut Figures,
+    metrics: &mut Metrics,
     now: Micros,
 ) {
     let settings = &mut decoded.settings;
@@ -120,7 +120,7 @@
     // by our own time, which is shorter than the runners'.
     settings.must_subscribe = true;
     settings.idle_timeout = decoded.idle_close / 2;
-    decoded.operations.iter().for_each(|operation| figures.uses(operation));
+    decoded.operations.iter().for_each(|operation| metrics.uses(operation));
     let told = decoded.operations.drain(..).zip(std::mem::take(&mut settings.operations));
     settings.operations = clients.operations.set(told.collect(), now);
 }
@@ -138,10 +138,10 @@
     decoded.settings.max_retry_after.map(|most| most.min(ROOM_AGAIN))
 }
 
-pub use peer_exchange::Meeting;
-pub use persistence::Keeping;
+pub use peer_exchange::PeerExchange;
+pub use persistence::Persistence;
 
-pub struct Desk {
+pub struct RequestTable {
     policy: RoutingPolicy,
     /// What only a start can change.
     name: String,
@@ -150,9 +150,9 @@
     file: serde_json::Value,
     pub clients: Clients,
     operators: Operators,
-    figures: Figures,
+    metrics: Metrics,
     runners: Runners,
-    members: Members,
+    members: Membership,
     roster: Roster,
     invs: BTreeMap<Id, Open>,
     /// The latest ids that have had their final answer, in order and by id.
@@ -171,7 +171,7 @@
     starting: bool,
     /// The longest client timeout of the settings in force.
     longest_timeout: Micros,
-    peer: Peer,
+    peer: HandoverPeer,
     overlap: Option<Overlap>,
     /// Descriptors and memory, the other process's among them.
     limits: (usize, usize),
@@ -185,37 +185,38 @@
     /// What each operation is worth, by its number.
     worth: Vec<OperationValue>,
     /// What outlives the process, where there is anything.
-    keeping: Option<Keeping>,
+    persistence: Option<Persistence>,
     /// The other dispatchers, where they may talk.
-    meeting: Option<Meeting>,
+    peer_exchange: Option<PeerExchange>,
 }
 
-impl Desk {
-    /// With a `keeper` a start from nothing goes through the stages of recovery first.
+impl RequestTable {
+    /// With a `store_thread` a start from nothing goes through the stages of recovery first.
     pub fn new(
-        told: Dispatcher,
-        handed: Option<Handed>,
-        keeper: Option<Keeper>,
-        wires: &mut dyn Wires,
-    ) -> Desk {
-        let meeting = told.peers.as_ref().map(|at| Meeting::new(at.clone(), &told.name, told.seed));
-        let peers = meeting.is_some();
-        let (require, began) = (told.store.as_ref().is_some_and(|store| store.require), wires.now());
+        told: Configuration,
+        handed: Option<HandoverState>,
+        store_thread: Option<StoreThread>,
+        driver: &mut dyn ConnectionDriver,
+    ) -> RequestTable {
+        let peer_exchange =
+            told.peers.as_ref().map(|at| PeerExchange::new(at.clone(), &told.name, told.seed));
+        let peers = peer_exchange.is_some();
+        let (require, began) = (told.store.as_ref().is_some_and(|store| store.require), driver.now());
         let mut decoded = told.decoded;
         let pushed = !decoded.settings.must_subscribe;
-        let (mut clients, mut figures) = (Clients::new(), Figures::default());
-        on_sockets(&mut decoded, peers, &mut clients, &mut figures, wires.now());
+        let (mut clients, mut metrics) = (Clients::new(), Metrics::default());
+        on_sockets(&mut decoded, peers, &mut clients, &mut metrics, driver.now());
         let come_back = come_back(&decoded);
         let come_back_most = decoded.settings.max_retry_after;
         let (warm_within, tip_after) = (decoded.settings.warm_up_span, decoded.settings.overload_window);
         let dispatchers = decoded.settings.dispatchers as usize;
         let (cold_from, worth) = (decoded.settings.cold_capacity_share, worth(&decoded));
-        let mut desk = Desk {
+        let mut table = RequestTable {
             clients,
             operators: Operators::default(),
-            figures,
+            metrics,
             runners: Runners::new(&decoded),
-            members: Members::new(warm_within),
+            members: Membership::new(warm_within),
             roster: Roster::new(told.discovery, told.known.generation, pushed),
             policy: RoutingPolicy::new(decoded.settings, told.seed),
             name: told.name,
@@ -232,7 +233,7 @@
             down_since: None,
             starting: false,
             longest_timeout: decoded.longest_timeout,
-            peer: Peer::default(),
+            peer: HandoverPeer::default(),
             overlap: None,
             limits: (told.sockets, told.memory),
             room_for: 0,
@@ -241,44 +242,53 @@
             tip_after,
             cold_from,
             worth,
-            keeping: None,
-            meeting,
+            persistence: None,
+            peer_exchange,
         };
-        desk.limit();
-        wires.wake(Timer::Lease, began + TOLD_WITHIN);
-        if handed.is_none() && keeper.is_none() {
-            desk.starting = true;
-            desk.clients.ready(false);
-            wires.wake(Timer::Ready, began + READY_BY);
+        table.limit();
+        driver.set_timer(Timer::Lease, began + TOLD_WITHIN);
+        if handed.is_none() && store_thread.is_none() {
+            table.starting = true;
+            table.clients.ready(false);
+            driver.set_timer(Timer::Ready, began + READY_BY);
         }
-        let keeping = |keeper, file| Keeping::new(keeper, (require, peers), file, began);
+        let persistence = |store_thread, file| Persistence::new(store_thread, (require, peers), file, began);
         if handed.is_none()
-            && let Some(keeper) = keeper
+            && let Some(store_thread) = store_thread
         {
-            desk.keeping = Some(keeping(keeper, Some(told.known)));
-            desk.recover(wires);
-            return desk;
+            table.persistence = Some(persistence(store_thread, Some(told.known)));
+            table.recover(driver);
+            return table;
         }
         // What another process hands over is nearer than what it has left on the disk.
-        desk.keeping = keeper.map(|keeper| keeping(keeper, None).in_service());
+        table.persistence = store_thread.map(|store_thread| persistence(store_thread, None).in_service());
         let (known, spent) = match handed {
-            Some(handed) => desk.inherit(handed, told.known, began),
+            Some(handed) => table.inherit(handed, told.known, began),
             None => (told.known, Vec::new()),
         };
-        desk.list(
-            roster::Heard { listing: Listing::Remembered, heard_before: None, entries: known.entries() },
-            wires,
+        table.list(
+            roster::RosterEvent {
+                listing: Listing::Remembered,
+                heard_before: None,
+                entries: known.entries(),
+            },
+            driver,
         );
         // Once it knows the runners that this is about.
         if !spent.is_empty() {
-            desk.happened.push(Event::SlowStartUsage(spent));
+            table.happened.push(Event::SlowStartUsage(spent));
         }
-        desk
+        table
     }
 
     /// What the process that served until now knows. Gives the list to begin with, the other's where it
     /// comes from the same discovery, and what the other has sent to cold runners.
-    fn inherit(&mut self, handed: Handed, known: Listed, now: Micros) -> (Listed, Vec<SlowStartUsage>) {
+    fn inherit(
+        &mut self,
+        handed: HandoverState,
+        known: RosterSnapshot,
+        now: Micros,
+    ) -> (RosterSnapshot, Vec<SlowStartUsage>) {
         self.theirs = handed.connections;
         handed.gone.iter().for_each(|id| self.members.inherit(id, None, None));
         for (id, since) in &handed.out {
@@ -290,7 +300,8 @@
         handed.ids.into_iter().for_each(|id| self.remember(id.into()));
         let spent = handed.spent.into_iter().map(|(id, work)| (id.into(), work)).collect();
         let discovery = self.roster.discovery();
-        let listed = (handed.discovery == discovery.to_string()).then(|| Listed::from_value(handed.list));
+        let listed =
+            (handed.discovery == discovery.to_string()).then(|| RosterSnapshot::from_value(handed.list));
         match listed {
             Some(Ok(listed)) => {
                 // One that does not say has its list from the watch all the same.
@@ -305,9 +316,14 @@
     }
 
     /// The process that served until now stays at the other end of this connection until it has ended.
-    pub fn takes_over(&mut self, link: Link, mut since: Vec<u8>, wires: &mut dyn Wires) {
-        self.peer.meet(link);
-        self.peer.bytes(link, &mut since, wires);
+    pub fn takes_over(
+        &mut self,
+        connection: ConnectionId,
+        mut since: Vec<u8>,
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        self.peer.meet(connection);
+        self.peer.bytes(connection, &mut since, driver);
         self.overlap = Some(Overlap::Predecessor);
         self.limit();
     }
@@ -318,15 +334,15 @@
     }
 
     /// Another process takes over: newcomers are its own from now on, and it is told what it must know.
-    pub fn hand_over(&mut self, link: Link, wires: &mut dyn Wires) {
-        self.collect(wires);
+    pub fn hand_over(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        self.collect_events(driver);
         let discovery = self.roster.discovery();
-        let spent = self.policy.slow_start_usage(wires.now());
-        let state = Handed {
+        let spent = self.policy.slow_start_usage(driver.now());
+        let state = HandoverState {
             discovery: discovery.to_string(),
             list: self.as_listed().map(|(_, list)| list).unwrap_or_default(),
             sure_at: self.roster.sure_at(),
-            connections: wires.connections(),
+            connections: driver.connections(),
             gone: self.members.gone(),
             out: self.members.out(),
             was_out: self.members.was_out(),
@@ -336,12 +352,12 @@
         };
         log!("handing-over", "open={} out={}", self.invs.len(), state.out.len());
         self.release(true);
-        self.peer.meet(link);
-        self.peer.say(&state, wires);
+        self.peer.meet(connection);
+        self.peer.say(&state, driver);
         self.overlap = Some(Overlap::Successor);
         self.clients.hand_over(true);
         self.limit();
-        self.rest(Micros::MAX, wires);
+        self.rest(Micros::MAX, driver);
     }
 
     /// The list as discovery would tell it, and how far that has been heard.
@@ -349,7 +365,7 @@
         let generation = self.roster.generation()?;
         let listed = self.members.as_listed();
         let listed = listed.filter_map(|entry| Some((entry, self.runners.address(&entry.runner)?)));
-        Some((generation, Listed::of(generation, listed)))
+        Some((generation, RosterSnapshot::of(generation, listed)))
     }
 
     /// Whether newcomers are let in here.
@@ -357,21 +373,21 @@
         self.overlap != Some(Overlap::Successor)
     }
 
-    fn rest(&mut self, until: Micros, wires: &mut dyn Wires) {
-        let entries = self.members.rest(until, Micros::MAX, wires.now());
+    fn rest(&mut self, until: Micros, driver: &mut dyn ConnectionDriver) {
+        let entries = self.members.rest(until, Micros::MAX, driver.now());
         self.happened.push(Event::Roster(List { listing: Listing::Own, entries }));
     }
 
     /// The other process has ended. Where it was to take over and nobody has told this one to end, it goes
     /// on; what the other has sent to cold runners still counts.
-    fn alone(&mut self, wires: &mut dyn Wires) {
+    fn alone(&mut self, driver: &mut dyn ConnectionDriver) {
         let was = self.overlap.take();
         self.limit();
         if was == Some(Overlap::Successor) {
             self.release(self.down_since.is_some());
             self.clients.hand_over(self.down_since.is_some());
-            self.rest(wires.now() + self.tip_after, wires);
-            wires.wake(Timer::Rested, wires.now() + self.tip_after);
+            self.rest(driver.now() + self.tip_after, driver);
+            driver.set_timer(Timer::Rested, driver.now() + self.tip_after);
         }
     }
 
@@ -395,7 +411,7 @@
     /// The configuration has been read again: all of it holds from now on but name and addresses of our own.
     /// The list that the file remembers says less than the watch, and a new seed is for a new start. A file
     /// that has lost a key is no good.
-    pub fn reload(&mut self, told: Dispatcher, wires: &mut dyn Wires) {
+    pub fn reload(&mut self, told: Configuration, driver: &mut dyn ConnectionDriver) {
         if let Some(key) = config::lacks(&self.file, &told.file) {
             return self.turn_down(&format!("{key} is missing"));
         }
@@ -409,25 +425,25 @@
         let kept: Vec<&str> = kept.iter().filter(|(_, differs)| *differs).map(|(field, _)| *field).collect();
         let kept = if kept.is_empty() { "none".to_owned() } else { kept.join(",") };
         let retuned = told.file.get("settings") != self.file.get("settings");
-        self.figures.loads += 1;
+        self.metrics.loads += 1;
         log!("reloaded", "discovery={} retuned={retuned} changed_but_kept={kept}", told.discovery);
         self.limits = (told.sockets, told.memory);
         self.limit();
         self.file = told.file;
         self.keep_settings();
         // What has been heard so far was said under the settings that held so far.
-        self.collect(wires);
+        self.collect_events(driver);
         if retuned {
-            self.retune(told.decoded, wires);
+            self.retune(told.decoded, driver);
         }
-        self.roster.move_to(told.discovery, wires);
-        self.collect(wires);
+        self.roster.move_to(told.discovery, driver);
+        self.collect_events(driver);
     }
 
-    fn retune(&mut self, mut decoded: DecodedSettings, wires: &mut dyn Wires) {
+    fn retune(&mut self, mut decoded: DecodedSettings, driver: &mut dyn ConnectionDriver) {
         self.roster.pushed(!decoded.settings.must_subscribe);
-        let portioned = self.meeting.is_some();
-        on_sockets(&mut decoded, portioned, &mut self.clients, &mut self.figures, wires.now());
+        let portioned = self.peer_exchange.is_some();
+        on_sockets(&mut decoded, portioned, &mut self.clients, &mut self.metrics, driver.now());
         let names: Vec<&str> = self.clients.operations.names().collect();
         log!("retuned", "operations={} forwards={}", names.join(","), decoded.settings.max_forwards);
         self.runners.retune(&decoded);
@@ -437,7 +453,7 @@
         (self.tip_after, self.open_cap) = (decoded.settings.overload_window, decoded.open_cap);
         self.longest_timeout = decoded.longest_timeout;
         if self.down_since.is_some() {
-            wires.wake(Timer::Down, wires.now());
+            driver.set_timer(Timer::Down, driver.now());
         }
         self.dispatchers = decoded.settings.dispatchers as usize;
         self.account();
@@ -446,48 +462,53 @@
 
     /// A configuration that was read again is no good: nothing of it holds.
     pub fn turn_down(&mut self, fault: &str) {
-        self.figures.load_errors += 1;
+        self.metrics.load_errors += 1;
         log!("configuration-refused", "reason={fault:?}");
     }
 
     /// Whether one more may come in on this side.
-    pub fn room(&mut self, side: Side, wires: &mut dyn Wires) -> bool {
-        match side {
-            Side::Operator => {
-                self.operators.make_room(wires);
+    pub fn room(&mut self, role: ConnectionRole, driver: &mut dyn ConnectionDriver) -> bool {
+        match role {
+            ConnectionRole::Operator => {
+                self.operators.make_room(driver);
                 true
             }
-            _ => self.clients.room(wires),
+            _ => self.clients.room(driver),
         }
     }
 
-    pub fn accepted(&mut self, side: Side, link: Link, wires: &mut dyn Wires) {
-        match side {
-            Side::Operator => self.operators.accepted(link, wires),
-            _ => self.clients.accepted(link, wires),
+    pub fn accepted(
+        &mut self,
+        role: ConnectionRole,
+        connection: ConnectionId,
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        match role {
+            ConnectionRole::Operator => self.operators.accepted(connection, driver),
+            _ => self.clients.accepted(connection, driver),
         }
     }
 
-    pub fn callbacks(&mut self, side: Side) -> &mut dyn Callbacks {
-        match side {
-            Side::Client => &mut self.clients,
-            Side::Runner => &mut self.runners,
-            Side::Roster => &mut self.roster,
-            Side::Operator => &mut self.operators,
-            Side::Peer => &mut self.peer,
+    pub fn callbacks(&mut self, role: ConnectionRole) -> &mut dyn ConnectionHandler {
+        match role {
+            ConnectionRole::Client => &mut self.clients,
+            ConnectionRole::Runner => &mut self.runners,
+            ConnectionRole::Roster => &mut self.roster,
+            ConnectionRole::Operator => &mut self.operators,
+            ConnectionRole::Peer => &mut self.peer,
         }
     }
 
     /// Told to end: what has been taken is still answered, and clients are sent elsewhere.
-    pub fn go_down(&mut self, wires: &mut dyn Wires) {
+    pub fn go_down(&mut self, driver: &mut dyn ConnectionDriver) {
         if self.down_since.is_some() {
             return;
         }
-        let now = wires.now();
+        let now = driver.now();
         log!("going-down", "open={} runner_connections={}", self.invs.len(), self.runners.open());
         self.down_since = Some(now);
         self.clients.ready(false);
-        wires.wake(Timer::Down, now + self.down_spans().0);
+        driver.set_timer(Timer::Down, now + self.down_spans().0);
     }
 
     /// After being told to end: for how long clients keep their connections, as the dispatcher that was restarted
@@ -524,25 +545,25 @@
         self.invs.values().any(|open| !open.answered)
     }
 
-    pub fn due(&mut self, due: Timer, wires: &mut dyn Wires) {
+    pub fn timer_fired(&mut self, due: Timer, driver: &mut dyn ConnectionDriver) {
         match due {
             Timer::Tick => self.happened.push(Event::TimerFired),
-            Timer::Inv(id) => self.overdue(&id, wires),
-            Timer::Cancel(id, number) => self.cancel(&id, number, wires),
-            Timer::Down => self.step_down(wires),
-            Timer::Rested if self.overlap != Some(Overlap::Successor) => self.rest(Micros::MIN, wires),
+            Timer::Inv(id) => self.overdue(&id, driver),
+            Timer::Cancel(id, number) => self.cancel(&id, number, driver),
+            Timer::Down => self.step_down(driver),
+            Timer::Rested if self.overlap != Some(Overlap::Successor) => self.rest(Micros::MIN, driver),
             Timer::Rested => {}
             Timer::Ready => self.is_ready(),
             Timer::Lease => {
-                self.renew(wires);
-                let at = (self.roster.sure_at() + TOLD_WITHIN).max(wires.now() + LEASE_AGAIN);
-                wires.wake(Timer::Lease, at);
+                self.renew(driver);
+                let at = (self.roster.sure_at() + TOLD_WITHIN).max(driver.now() + LEASE_AGAIN);
+                driver.set_timer(Timer::Lease, at);
             }
-            Timer::Recovery => self.recovery_due(wires),
+            Timer::Recovery => self.recovery_due(driver),
             Timer::Keep => self.keep_list(),
-            Timer::Peers => self.round(wires),
-            Timer::Kept(ticket) => self.not_kept_in_time(ticket, wires),
-            Timer::Link(_)
+            Timer::Peers => self.round(driver),
+            Timer::Kept(ticket) => self.not_kept_in_time(ticket, driver),
+            Timer::Connection(_)
             | Timer::Finish(_)
             | Timer::Accept(_)
             | Timer::Dial(_)
@@ -551,18 +572,18 @@
         }
     }
 
-    fn step_down(&mut self, wires: &mut dyn Wires) {
-        let (Some(since), now) = (self.down_since, wires.now()) else { return };
+    fn step_down(&mut self, driver: &mut dyn ConnectionDriver) {
+        let (Some(since), now) = (self.down_since, driver.now()) else { return };
         let (kept, all) = self.down_spans();
         if now < since + kept {
-            return wires.wake(Timer::Down, since + kept);
+            return driver.set_timer(Timer::Down, since + kept);
         }
-        self.clients.let_go(wires);
+        self.clients.let_go(driver);
         if now < since + all {
-            return wires.wake(Timer::Down, (now + DOWN_STEP).min(since + all));
+            return driver.set_timer(Timer::Down, (now + DOWN_STEP).min(since + all));
         }
         for id in self.invs.keys().cloned().collect::<Vec<Id>>() {
-            self.overdue(&id, wires);
+            self.overdue(&id, driver);
         }
     }
 
@@ -573,68 +594,75 @@
 
     /// The host gave no descriptor or no memory for one. That passes, and says nothing of how many there may be later:
     /// one idle connection makes room for the next try.
-    pub fn out_of_descriptors(&mut self, wires: &mut dyn Wires) {
-        let made_room = self.clients.make_room(wires) || self.runners.make_room(wires);
-        log!("descriptors-short", "connections={} made_room={made_room}", wires.connections());
+    pub fn out_of_descriptors(&mut self, driver: &mut dyn ConnectionDriver) {
+        let made_room = self.clients.make_room(driver) || self.runners.make_room(driver);
+        log!("descriptors-short", "connections={} made_room={made_room}", driver.connections());
     }
 
     /// Against idle connections that leave none for the watch, for dials and for operators.
-    fn keep_room(&mut self, wires: &mut dyn Wires) {
-        while wires.connections() > self.room_for
-            && (self.clients.make_room(wires) || self.runners.make_room(wires))
+    fn keep_room(&mut self, driver: &mut dyn ConnectionDriver) {
+        while driver.connections() > self.room_for
+            && (self.clients.make_room(driver) || self.runners.make_room(driver))
         {}
     }
 
     /// Hands the brain all that happened in this turn and does what it decides.
-    pub fn settle(&mut self, wires: &mut dyn Wires) {
-        self.collect(wires);
-        self.keep_room(wires);
+    pub fn decide(&mut self, driver: &mut dyn ConnectionDriver) {
+        self.collect_events(driver);
+        self.keep_room(driver);
         if self.happened.is_empty() {
             return;
         }
         let happened = std::mem::take(&mut self.happened);
-        for action in self.policy.decide(wires.now(), happened) {
-            self.act(action, wires);
+        for action in self.policy.decide(driver.now(), happened) {
+            self.act(action, driver);
         }
-        self.collect(wires);
+        self.collect_events(driver);
     }
 
-    fn act(&mut self, action: Action, wires: &mut dyn Wires) {
+    fn act(&mut self, action: Action, driver: &mut dyn ConnectionDriver) {
         match action {
             Action::Forward { invocation: inv, runner: tgt, latest: by } => {
-                self.forward(&inv, tgt, by, wires)
+                self.forward(&inv, tgt, by, driver)
             }
-            Action::Cancel { invocation: inv, forward } => self.cancel(&inv, forward, wires),
+            Action::Cancel { invocation: inv, forward } => self.cancel(&inv, forward, driver),
             Action::Throttle { invocation: inv, retry_after: come_back } => {
-                self.was_short(wires.now());
-                self.answer(&inv, THROTTLED, come_back, b"", wires);
+                self.was_short(driver.now());
+                self.answer(&inv, THROTTLED, come_back, b"", driver);
             }
-            Action::Error { invocation: inv } => self.answer(&inv, ERRORED, None, b"", wires),
-            Action::Probe { runner: tgt } => self.runners.probe(&tgt, wires),
-            Action::Subscribe => self.roster.follow(wires),
-            Action::SetTimer { after } => wires.wake(Timer::Tick, wires.now() + after),
+            Action::Error { invocation: inv } => self.answer(&inv, ERRORED, None, b"", driver),
+            Action::Probe { runner: tgt } => self.runners.probe(&tgt, driver),
+            Action::Subscribe => self.roster.follow(driver),
+            Action::SetTimer { after } => driver.set_timer(Timer::Tick, driver.now() + after),
             Action::Log(text) => log!("brain", "{}", text.escape_debug()),
         }
     }
 
-    fn forward(&mut self, inv: &Id, tgt: Id, by: Option<Micros>, wires: &mut dyn Wires) {
+    fn forward(&mut self, inv: &Id, tgt: Id, by: Option<Micros>, driver: &mut dyn ConnectionDriver) {
         let Some(open) = self.invs.get_mut(inv) else { return };
         let number = open.forwards.len() as u32;
         let sendable = !open.answered && open.out().is_none();
-        let at = wires.now();
+        let at = driver.now();
         open.forwards.push(Forward { tgt: tgt.clone(), at, out: true, taken: false, cancels: 0, told: None });
         if sendable {
             let message = (open.head.as_slice(), open.body.as_slice());
-            self.runners.forward(&tgt, (inv, number), message, (open.expires_at, by), open.link, wires);
+            self.runners.forward(
+                &tgt,
+                (inv, number),
+                message,
+                (open.expires_at, by),
+                open.connection,
+                driver,
+            );
         } else {
             self.end(inv, number, ForwardResult::Void, Vec::new(), at);
         }
     }
 
-    fn cancel(&mut self, inv: &Id, number: u32, wires: &mut dyn Wires) {
+    fn cancel(&mut self, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
         let sent = self.invs.get(inv).and_then(|open| open.forwards.get(number as usize));
         if let Some(sent) = sent.filter(|sent| sent.out) {
-            self.runners.give_up(&sent.tgt, inv, number, wires);
+            self.runners.give_up(&sent.tgt, inv, number, driver);
         }
     }
 
@@ -644,36 +672,36 @@
         status: u16,
         come_back: Option<Micros>,
         body: &[u8],
-        wires: &mut dyn Wires,
+        driver: &mut dyn ConnectionDriver,
     ) {
         let operation = self.invs.get(inv).map_or(0, |open| open.operation);
         let attempts = self.attempts(inv);
-        if let Some(link) = self.close(inv, wires) {
+        if let Some(connection) = self.close(inv, driver) {
             if status != SUCCEEDED {
-                log!("not-served", "inv={inv} link={link} status={status} attempts={attempts}");
+                log!("not-served", "inv={inv} link={connection} status={status} attempts={attempts}");
             }
-            self.figures.ended(self.clients.operations.name(operation), Verdict::of(status));
-            self.clients.answer(link, status, come_back, body, wires);
+            self.metrics.ended(self.clients.operations.name(operation), FinalStatus::of(status));
+            self.clients.answer(connection, status, come_back, body, driver);
         }
     }
 
     /// Nothing more is owed to the client; a forward still out keeps its entry until it ends, and does not leave if it
     /// has not left yet.
-    fn close(&mut self, inv: &Id, wires: &mut dyn Wires) -> Option<Link> {
+    fn close(&mut self, inv: &Id, driver: &mut dyn ConnectionDriver) -> Option<ConnectionId> {
         let open = self.invs.get_mut(inv).filter(|open| !open.answered)?;
         open.answered = true;
         self.held -= open.size();
         (open.head, open.body) = (Vec::new(), Vec::new());
-        let link = open.link;
+        let connection = open.connection;
         match open.out() {
             None => drop(self.invs.remove(inv)),
             Some(number) => {
                 let tgt = open.forwards[number as usize].tgt.clone();
-                self.runners.hold_back(&tgt, inv, number, wires);
+                self.runners.hold_back(&tgt, inv, number, driver);
             }
         }
         self.remember(inv.clone());
-        Some(link)
+        Some(connection)
     }
 
     /// How often an invocation has been forwarded so far.
@@ -724,102 +752,104 @@
 
     /// The time is over: a forward still out is timed out, and the brain owes the answer now. It knows whether it may
     /// still be a throttling: what never left, or never ran, has not failed.
-    fn overdue(&mut self, inv: &Id, wires: &mut dyn Wires) {
-        self.time_out(inv, wires);
+    fn overdue(&mut self, inv: &Id, driver: &mut dyn ConnectionDriver) {
+        self.time_out(inv, driver);
         let Some(open) = self.invs.get_mut(inv).filter(|open| !open.answered) else { return };
         if std::mem::replace(&mut open.over, true) {
             log!("overdue", "inv={inv} forwards={}", open.forwards.len());
-            return self.error(inv, wires);
+            return self.error(inv, driver);
         }
         self.happened.push(Event::AnswerNow { invocation: inv.clone() });
-        wires.wake(Timer::Inv(inv.clone()), wires.now() + OVERDUE);
+        driver.set_timer(Timer::Inv(inv.clone()), driver.now() + OVERDUE);
     }
 
     /// Ends the forward that is out, if one is.
-    fn time_out(&mut self, inv: &Id, wires: &mut dyn Wires) {
+    fn time_out(&mut self, inv: &Id, driver: &mut dyn ConnectionDriver) {
         let Some(open) = self.invs.get(inv) else { return };
         let Some(number) = open.out() else { return };
         let tgt = open.forwards[number as usize].tgt.clone();
         // What has not left cannot have run, and need not be errored.
-        let held_back = self.runners.hold_back(&tgt, inv, number, wires);
+        let held_back = self.runners.hold_back(&tgt, inv, number, driver);
         let ending = if held_back { ForwardResult::Void } else { ForwardResult::TimedOut };
-        self.end(inv, number, ending, Vec::new(), wires.now());
+        self.end(inv, number, ending, Vec::new(), driver.now());
         if !held_back {
-            self.runners.give_up(&tgt, inv, number, wires);
+            self.runners.give_up(&tgt, inv, number, driver);
         }
     }
 
     /// Answers without waiting for the brain, which hears that nothing more is owed.
-    fn error(&mut self, inv: &Id, wires: &mut dyn Wires) {
-        self.answer(inv, ERRORED, None, b"", wires);
+    fn error(&mut self, inv: &Id, driver: &mut dyn ConnectionDriver) {
+        self.answer(inv, ERRORED, None, b"", driver);
         self.happened.push(Event::ClientLeft { invocation: inv.clone() });
     }
 
     /// Turns what the parts have heard into events.
-    pub fn collect(&mut self, wires: &mut dyn Wires) {
-        self.heard_of_disk(wires);
+    pub fn collect_events(&mut self, driver: &mut dyn ConnectionDriver) {
+        self.heard_of_disk(driver);
         for heard in std::mem::take(&mut self.roster.heard) {
-            self.list(heard, wires);
+            self.list(heard, driver);
         }
-        self.renew(wires);
-        for (link, call) in std::mem::take(&mut self.operators.heard) {
-            self.called(link, call, wires);
+        self.renew(driver);
+        for (connection, call) in std::mem::take(&mut self.operators.heard) {
+            self.called(connection, call, driver);
         }
         for heard in std::mem::take(&mut self.clients.heard) {
             match heard {
-                clients::Heard::Invocation(invocation) => self.take(invocation, wires),
-                clients::Heard::CallBack(told, hash) => self.called_back(told, hash, true, wires),
-                clients::Heard::Gone(link, id) => self.gone(link, id, wires),
+                clients::ClientEvent::Invocation(invocation) => self.take(invocation, driver),
+                clients::ClientEvent::RunnerCallback(told, hash) => {
+                    self.called_back(told, hash, true, driver)
+                }
+                clients::ClientEvent::Gone(connection, id) => self.gone(connection, id, driver),
             }
         }
         for word in std::mem::take(&mut self.peer.heard) {
             match word {
-                Word::Told(told, hash) => self.called_back(told, hash, false, wires),
+                HandoverMessage::Told(told, hash) => self.called_back(told, hash, false, driver),
                 // Where it was never listed here, the other process has said so.
-                Word::Hand { id, out } => {
-                    if self.maintain(&id, out, wires).is_ok() {
-                        self.keep_hand(&id, None, wires);
+                HandoverMessage::Hand { id, out } => {
+                    if self.maintain(&id, out, driver).is_ok() {
+                        self.keep_hand(&id, None, driver);
                     }
                 }
-                Word::Taken(id) => self.remember(id.into()),
+                HandoverMessage::Taken(id) => self.remember(id.into()),
             }
         }
         if std::mem::take(&mut self.peer.ended) {
-            self.alone(wires);
+            self.alone(driver);
         }
         for heard in std::mem::take(&mut self.runners.heard) {
             match heard {
-                runners::Heard::Taken { inv, number } => {
+                runners::RunnerEvent::Taken { inv, number } => {
                     if let Some(sent) = self.sent(&inv, number) {
                         sent.taken = true;
                     }
                 }
-                runners::Heard::Ended { inv, number, ending, report } => {
-                    self.end(&inv, number, ending, report, wires.now());
+                runners::RunnerEvent::Ended { inv, number, ending, report } => {
+                    self.end(&inv, number, ending, report, driver.now());
                 }
-                runners::Heard::Unwanted { inv, number } => {
-                    if let Some(link) = self.invs.get(&inv).map(|open| open.link) {
-                        self.gone(link, inv.clone(), wires);
+                runners::RunnerEvent::Unwanted { inv, number } => {
+                    if let Some(connection) = self.invs.get(&inv).map(|open| open.connection) {
+                        self.gone(connection, inv.clone(), driver);
                     }
-                    self.end(&inv, number, ForwardResult::Void, Vec::new(), wires.now());
+                    self.end(&inv, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
-                runners::Heard::Unusable { inv, number } => {
+                runners::RunnerEvent::Unusable { inv, number } => {
                     // No runner will take it, and it says nothing against this one.
-                    self.answer(&inv, UNUSABLE, None, b"", wires);
-                    self.end(&inv, number, ForwardResult::Void, Vec::new(), wires.now());
+                    self.answer(&inv, UNUSABLE, None, b"", driver);
+                    self.end(&inv, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
-                runners::Heard::Dropped { inv, number } => {
-                    self.end(&inv, number, ForwardResult::Withdrawn, Vec::new(), wires.now());
+                runners::RunnerEvent::Dropped { inv, number } => {
+                    self.end(&inv, number, ForwardResult::Withdrawn, Vec::new(), driver.now());
                 }
-                runners::Heard::NotDropped { inv, number } => {
+                runners::RunnerEvent::NotDropped { inv, number } => {
                     if let Some(sent) = self.sent(&inv, number).filter(|sent| sent.out) {
                         log!("not-cancelled", "inv={inv} runner={}", sent.tgt);
                         sent.cancels += 1;
                         let after = (CANCEL_AGAIN << sent.cancels.min(8)).min(CANCEL_AGAIN_MOST);
-                        wires.wake(Timer::Cancel(inv, number), wires.now() + after);
+                        driver.set_timer(Timer::Cancel(inv, number), driver.now() + after);
                     }
                 }
-                runners::Heard::Probed { tgt, alive, report } => {
+                runners::RunnerEvent::Probed { tgt, alive, report } => {
                     self.happened.push(Event::ProbeEnded { runner: tgt, alive, report });
                 }
             }
@@ -827,41 +857,41 @@
     }
 
     /// An operator's call.
-    fn called(&mut self, link: Link, call: Call, wires: &mut dyn Wires) {
+    fn called(&mut self, connection: ConnectionId, call: Call, driver: &mut dyn ConnectionDriver) {
         let answer = match call {
             Call::Status if self.down_since.is_some() => "NO going down\n".to_owned(),
-            Call::Status => match &self.keeping {
+            Call::Status => match &self.persistence {
                 None => "YES\n".to_owned(),
-                Some(keeping) => {
-                    let yes = if keeping.stage() < Stage::Listed { "NO" } else { "YES" };
-                    let peers = self.meeting.as_ref().map(Meeting::status).unwrap_or_default();
-                    format!("{yes} {}{peers}\n", keeping.status())
+                Some(persistence) => {
+                    let yes = if persistence.stage() < Stage::Listed { "NO" } else { "YES" };
+                    let peers = self.peer_exchange.as_ref().map(PeerExchange::status).unwrap_or_default();
+                    format!("{yes} {}{peers}\n", persistence.status())
                 }
             },
             Call::Stats => {
                 let (known_runners, out) = self.members.count();
-                let now = Now {
+                let now = Gauges {
                     in_progress: self.invs.values().filter(|open| !open.answered).count(),
                     known_runners,
-                    skipped_runners: self.policy.set_aside(wires.now()) + out,
+                    skipped_runners: self.policy.set_aside(driver.now()) + out,
                     tries: self.runners.written(),
                 };
-                let kept = self.keeping.as_ref().map(Keeping::figures).unwrap_or_default();
-                let peers = self.meeting.as_ref().map(Meeting::figures).unwrap_or_default();
+                let kept = self.persistence.as_ref().map(Persistence::metrics).unwrap_or_default();
+                let peers = self.peer_exchange.as_ref().map(PeerExchange::metrics).unwrap_or_default();
                 let kept = kept.iter().chain(&peers).filter(|(name, _)| !name.is_empty());
-                let host = wires.host_failures().figures();
+                let host = driver.host_failures().metrics();
                 format!(
                     "{}{}{}END\n",
-                    self.figures.text(&now),
+                    self.metrics.text(&now),
                     metrics::more(host.iter()),
                     metrics::more(kept)
                 )
             }
-            Call::Maintain { id, out } => match self.maintain(&id, out, wires) {
+            Call::Maintain { id, out } => match self.maintain(&id, out, driver) {
                 Ok(()) => {
-                    self.tell_hand(&id, wires);
-                    self.peer.say(&Word::Hand { id: id.clone(), out }, wires);
-                    match self.keeping {
+                    self.tell_hand(&id, driver);
+                    self.peer.say(&HandoverMessage::Hand { id: id.clone(), out }, driver);
+                    match self.persistence {
                         None => "YES\n".to_owned(),
                         Some(_) if self.overlap == Some(Overlap::Successor) => {
                             "NO another process takes over: call that one\n".to_owned()
@@ -869,8 +899,8 @@
                         Some(_) => {
                             return self.keep_hand(
                                 &id.clone(),
-                                Some((link, Call::Maintain { id, out })),
-                                wires,
+                                Some((connection, Call::Maintain { id, out })),
+                                driver,
                             );
                         }
                     }
@@ -878,17 +908,22 @@
                 Err(why) => format!("NO {why}\n"),
             },
         };
-        self.operators.answer(link, &answer, wires);
+        self.operators.answer(connection, &answer, driver);
     }
 
     /// From the answer on nothing new goes to a runner that is out, nor what waits for a connection there.
-    fn maintain(&mut self, id: &str, out: bool, wires: &mut dyn Wires) -> Result<(), &'static str> {
-        let told = self.members.by_hand(id, out, wires.now());
+    fn maintain(
+        &mut self,
+        id: &str,
+        out: bool,
+        driver: &mut dyn ConnectionDriver,
+    ) -> Result<(), &'static str> {
+        let told = self.members.by_hand(id, out, driver.now());
         let code = if out { "maint-on" } else { "maint-off" };
         log!(code, "runner={id:?} answer={}", told.as_ref().err().unwrap_or(&"yes"));
         let Some(entry) = told? else { return Ok(()) };
         if out {
-            self.runners.recall(&entry.runner, wires);
+            self.runners.recall(&entry.runner, driver);
         }
         self.happened.push(Event::Roster(List { listing: Listing::Own, entries: vec![entry] }));
         Ok(())
@@ -896,8 +931,8 @@
 
     /// Whether the list may still be acted upon. Against sending to a runner whose drain counts as told, though it was
     /// never heard: discovery could be reached, and did not get through for as long as that takes.
-    fn renew(&mut self, wires: &mut dyn Wires) {
-        let (sure_at, now) = (self.roster.sure_at(), wires.now());
+    fn renew(&mut self, driver: &mut dyn ConnectionDriver) {
+        let (sure_at, now) = (self.roster.sure_at(), driver.now());
         let Some(entries) = self.members.sure(sure_at, now) else { return };
         // The list to begin with may be acted upon, or discovery cannot be reached.
         self.is_ready();
@@ -908,7 +943,7 @@
             (now - sure_at) / 1000
         );
         if self.members.lapsed() {
-            self.runners.recall_all_waiting(wires);
+            self.runners.recall_all_waiting(driver);
         }
         self.happened.push(Event::Roster(List { listing: Listing::Own, entries }));
     }
@@ -921,44 +956,44 @@
         }
     }
 
-    fn list(&mut self, heard: roster::Heard, wires: &mut dyn Wires) {
+    fn list(&mut self, heard: roster::RosterEvent, driver: &mut dyn ConnectionDriver) {
         let whole = matches!(heard.listing, Listing::All | Listing::Remembered);
         if whole {
-            self.runners.forget_all(wires.now());
+            self.runners.forget_all(driver.now());
         }
         let mut entries = Vec::new();
         for (entry, address) in heard.entries {
             let listed = entry.readiness != Readiness::Removed;
-            self.runners.note(&entry.runner, listed, address, wires);
+            self.runners.note(&entry.runner, listed, address, driver);
             if entry.readiness != Readiness::Up {
-                self.runners.recall_waiting(&entry.runner, wires);
+                self.runners.recall_waiting(&entry.runner, driver);
             }
             entries.push(entry);
         }
-        self.runners.tidy(wires);
+        self.runners.tidy(driver);
         self.members.heard_before(heard.heard_before);
-        let entries = self.members.listed(heard.listing, entries, wires.now());
-        self.heard_of_list(heard.listing, wires);
+        let entries = self.members.listed(heard.listing, entries, driver.now());
+        self.heard_of_list(heard.listing, driver);
         self.happened.push(Event::Roster(List { listing: heard.listing, entries }));
-        self.portions(wires.now());
+        self.portions(driver.now());
     }
 
-    fn take(&mut self, told: Invocation, wires: &mut dyn Wires) {
-        let now = wires.now();
+    fn take(&mut self, told: Invocation, driver: &mut dyn ConnectionDriver) {
+        let now = driver.now();
         if self.invs.contains_key(&told.id) || self.closed.1.contains(&told.id) {
-            return self.clients.reject(told.link, Fault(400, "repeated_id"), wires);
+            return self.clients.reject(told.connection, HttpError(400, "repeated_id"), driver);
         }
         let size = told.head.len() + told.body.len();
         if !self.may_forward() {
             log!("not-taken", "inv={} reason=recovering", told.id);
             let come_back = self.come_back_after(&told.id, now);
-            self.figures.ended(self.clients.operations.name(told.operation), Verdict::of(NO_ROOM));
-            return self.clients.answer(told.link, NO_ROOM, come_back, b"", wires);
+            self.metrics.ended(self.clients.operations.name(told.operation), FinalStatus::of(NO_ROOM));
+            return self.clients.answer(told.connection, NO_ROOM, come_back, b"", driver);
         }
         if !self.limits(told.operation, &told.id, now) {
             let come_back = self.come_back_after(&told.id, now);
-            self.figures.ended(self.clients.operations.name(told.operation), Verdict::of(THROTTLED));
-            return self.clients.answer(told.link, THROTTLED, come_back, b"", wires);
+            self.metrics.ended(self.clients.operations.name(told.operation), FinalStatus::of(THROTTLED));
+            return self.clients.answer(told.connection, THROTTLED, come_back, b"", driver);
         }
         let full = self.invs.len() >= self.open_cap || self.held + size > self.held_most;
         let ending = self.too_late_to_take(now);
@@ -973,12 +1008,12 @@
             log!("not-taken", "inv={} reason={reason}", told.id);
             let come_back = self.come_back.filter(|_| full || ending);
             let operation = self.clients.operations.name(told.operation);
-            self.figures.ended(operation, Verdict::of(NO_ROOM));
-            return self.clients.answer(told.link, NO_ROOM, come_back, b"", wires);
+            self.metrics.ended(operation, FinalStatus::of(NO_ROOM));
+            return self.clients.answer(told.connection, NO_ROOM, come_back, b"", driver);
         }
-        self.peer.say(&Word::Taken(told.id.to_string()), wires);
+        self.peer.say(&HandoverMessage::Taken(told.id.to_string()), driver);
         self.held += size;
-        wires.wake(Timer::Inv(told.id.clone()), told.expires_at);
+        driver.set_timer(Timer::Inv(told.id.clone()), told.expires_at);
         let (inv, operation, slots, key) = (told.id.clone(), told.operation, told.slots, told.key);
         let (expires_in, hint) = (told.expires_at - now, told.hint);
         self.happened.push(Event::Arrival(Arrival {
@@ -989,18 +1024,18 @@
             work_hint: hint,
             key,
         }));
-        let (link, expires_at, head, body) = (told.link, told.expires_at, told.head, told.body);
+        let (connection, expires_at, head, body) = (told.connection, told.expires_at, told.head, told.body);
         let taken_at = now;
         let (answered, over, forwards) = (false, false, Vec::new());
-        let open = Open { link, operation, taken_at, expires_at, head, body, answered, over, forwards };
+        let open = Open { connection, operation, taken_at, expires_at, head, body, answered, over, forwards };
         self.invs.insert(told.id, open);
     }
 
-    fn gone(&mut self, link: Link, id: Id, wires: &mut dyn Wires) {
-        let owed = self.invs.get(&id).is_some_and(|open| open.link == link && !open.answered);
+    fn gone(&mut self, connection: ConnectionId, id: Id, driver: &mut dyn ConnectionDriver) {
+        let owed = self.invs.get(&id).is_some_and(|open| open.connection == connection && !open.answered);
         if owed {
-            log!("client-left", "inv={id} link={link} attempts={}", self.attempts(&id));
-            self.close(&id, wires);
+            log!("client-left", "inv={id} link={connection} attempts={}", self.attempts(&id));
+            self.close(&id, driver);
             self.happened.push(Event::ClientLeft { invocation: id });
         }
     }
@@ -1008,11 +1043,17 @@
     /// News of a job. The newest forward to its runner is meant; what has ended stays ended. Of a job that is
     /// not open here the other process hears, if there is one; it was told here because runners call whoever
     /// accepts.
-    fn called_back(&mut self, told: CallBack, hash: u64, direct: bool, wires: &mut dyn Wires) {
+    fn called_back(
+        &mut self,
+        told: RunnerCallback,
+        hash: u64,
+        direct: bool,
+        driver: &mut dyn ConnectionDriver,
+    ) {
         let report = told.load.as_ref().map(|load| self.runners.read_report(load)).unwrap_or_default();
         let Some((inv, open)) = self.invs.get_key_value(told.id.as_str()) else {
             if direct {
-                self.peer.say(&Word::Told(told, hash), wires);
+                self.peer.say(&HandoverMessage::Told(told, hash), driver);
             }
             return;
         };
@@ -1027,7 +1068,7 @@
         if earlier && !sent.taken {
             return;
         }
-        let (out, answered, now) = (sent.out, open.answered, wires.now());
+        let (out, answered, now) = (sent.out, open.answered, driver.now());
         let ending = match told.state {
             State::Started if out => {
                 return self.happened.push(Event::Started { invocation: inv, forward: number });
@@ -1045,7 +1086,7 @@
             let result = told.result.unwrap_or_default();
             let (operation, took) = (open.operation, now - open.taken_at);
             self.took(operation, took);
-            self.answer(&inv, SUCCEEDED, None, result.as_bytes(), wires);
+            self.answer(&inv, SUCCEEDED, None, result.as_bytes(), driver);
             if !out {
                 // Given up, but it came to its end all the same: this is the result that is owed.
                 log!("late-result", "inv={inv} runner={}", told.from);
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -11,15 +11,15 @@
 use topazsail_recovery as recovery;
 use topazsail_store::stored_types as store;
 
-use super::Desk;
-use crate::config::PeersAt;
-use crate::lifecycle::store_thread::Left;
-use crate::net::connection::{Timer, Wires};
+use super::RequestTable;
+use crate::config::PeersConfiguration;
+use crate::lifecycle::store_thread::LoadedStore;
+use crate::net::connection::{ConnectionDriver, Timer};
 use crate::net::log::log;
 
 /// The other dispatchers: from the start as configured, and once this life has a number, or none is to be had, as met.
-pub struct Meeting {
-    at: PeersAt,
+pub struct PeerExchange {
+    at: PeersConfiguration,
     name: String,
     seed: u64,
     core: Option<Peers>,
@@ -27,9 +27,9 @@
     due: Option<Micros>,
 }
 
-impl Meeting {
-    pub fn new(at: PeersAt, name: &str, seed: u64) -> Meeting {
-        Meeting { at, name: name.to_owned(), seed, core: None, due: None }
+impl PeerExchange {
+    pub fn new(at: PeersConfiguration, name: &str, seed: u64) -> PeerExchange {
+        PeerExchange { at, name: name.to_owned(), seed, core: None, due: None }
     }
 
     fn alive(&self) -> usize {
@@ -41,7 +41,7 @@
         format!(" peers={}/{}", self.alive(), self.at.members.len())
     }
 
-    pub fn figures(&self) -> [(&'static str, u64); 7] {
+    pub fn metrics(&self) -> [(&'static str, u64); 7] {
         let counts = self.core.as_ref().map(|core| core.counts).unwrap_or_default();
         [
             ("peers", self.at.members.len() as u64),
@@ -60,16 +60,21 @@
     }
 }
 
-impl Desk {
+impl RequestTable {
     /// The others, once they have been met.
     fn peers(&mut self) -> Option<&mut Peers> {
-        self.meeting.as_mut()?.core.as_mut()
+        self.peer_exchange.as_mut()?.core.as_mut()
     }
 
     /// The others are met in this life, with what the last one knew of runners out by hand.
-    pub(super) fn meet(&mut self, boot: Option<u64>, left: Option<&Left>, wires: &mut dyn Wires) {
-        let now = wires.now();
-        let Some(meeting) = &mut self.meeting else { return };
+    pub(super) fn meet(
+        &mut self,
+        boot: Option<u64>,
+        left: Option<&LoadedStore>,
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        let now = driver.now();
+        let Some(peer_exchange) = &mut self.peer_exchange else { return };
         let left = left.map(|left| left.hands.as_slice()).unwrap_or_default();
         let of_left = |(runner, hand): &(String, store::StoredOverride)| topazsail_peers::AdminOverride {
             runner: runner.clone(),
@@ -78,25 +83,26 @@
             out_since: hand.out_since,
             was_out: hand.was_out,
         };
-        if let Some(core) = &mut meeting.core {
+        if let Some(core) = &mut peer_exchange.core {
             // The disk opens late: the others hear of what it holds all the same.
             core.numbered(boot.unwrap_or(0));
             let holds: Vec<_> = left.iter().filter_map(|left| core.remember(of_left(left))).collect();
             for hand in holds {
-                self.hand_heard(&hand.runner, hand.out_since.is_some(), wires);
+                self.hand_heard(&hand.runner, hand.out_since.is_some(), driver);
             }
             return;
         }
-        let nonce = topazsail::hash(format!("{} {} {now}", meeting.name, meeting.seed).as_bytes()) as u32;
-        let seed = meeting.seed ^ u64::from(nonce);
+        let nonce =
+            topazsail::hash(format!("{} {} {now}", peer_exchange.name, peer_exchange.seed).as_bytes()) as u32;
+        let seed = peer_exchange.seed ^ u64::from(nonce);
         let life = (boot.unwrap_or(0), nonce);
-        let mut core = Peers::new(&meeting.name, meeting.at.members.clone(), life, seed, now);
+        let mut core = Peers::new(&peer_exchange.name, peer_exchange.at.members.clone(), life, seed, now);
         core.settings(self.dispatchers, self.tip_after);
         for left in left {
             core.remember(of_left(left));
         }
-        meeting.core = Some(core);
-        self.round(wires);
+        peer_exchange.core = Some(core);
+        self.round(driver);
     }
 
     /// The disk has this life's number, perhaps only now.
@@ -108,39 +114,39 @@
 
     /// How new the word on a runner is: its count and its author.
     pub(super) fn hand_version(&self, id: &str) -> (u64, u32) {
-        let version = self.meeting.as_ref().and_then(|meeting| meeting.version(id));
+        let version = self.peer_exchange.as_ref().and_then(|peer_exchange| peer_exchange.version(id));
         version.map_or((0, 0), |version| (version.count, version.author))
     }
 
     /// A call that was made here is told to the others.
-    pub(super) fn tell_hand(&mut self, id: &str, wires: &mut dyn Wires) {
+    pub(super) fn tell_hand(&mut self, id: &str, driver: &mut dyn ConnectionDriver) {
         let (out_since, was_out) = self.members.hand(id);
         let Some(core) = self.peers() else { return };
-        let (_, actions) = core.call(id, out_since, was_out, wires.now());
-        self.act_on_peers(actions, wires);
+        let (_, actions) = core.call(id, out_since, was_out, driver.now());
+        self.act_on_peers(actions, driver);
     }
 
     pub(super) fn stage_for_peers(&mut self) {
-        let stage = self.keeping.as_ref().map(|keeping| keeping.stage());
+        let stage = self.persistence.as_ref().map(|persistence| persistence.stage());
         if let (Some(stage), Some(core)) = (stage, self.peers()) {
             core.stage(stage as u8);
         }
     }
 
     /// A round of probes, where one is due.
-    pub(super) fn round(&mut self, wires: &mut dyn Wires) {
-        let Some(meeting) = &mut self.meeting else { return };
-        let Some(core) = &mut meeting.core else { return };
-        let now = wires.now();
+    pub(super) fn round(&mut self, driver: &mut dyn ConnectionDriver) {
+        let Some(peer_exchange) = &mut self.peer_exchange else { return };
+        let Some(core) = &mut peer_exchange.core else { return };
+        let now = driver.now();
         let actions = core.tick(now);
         let due = core.due();
-        if meeting.due != Some(due) {
-            meeting.due = Some(due);
-            wires.wake(Timer::Peers, due);
+        if peer_exchange.due != Some(due) {
+            peer_exchange.due = Some(due);
+            driver.set_timer(Timer::Peers, due);
         }
         // Before anything else is decided: a promise may begin in this round.
         self.portions(now);
-        self.act_on_peers(actions, wires);
+        self.act_on_peers(actions, driver);
     }
 
     /// The settings of the account on cold runners have been read again.
@@ -166,28 +172,28 @@
     }
 
     /// A datagram has come.
-    pub fn datagram(&mut self, from: SocketAddr, bytes: &[u8], wires: &mut dyn Wires) {
-        let now = wires.now();
+    pub fn datagram(&mut self, from: SocketAddr, bytes: &[u8], driver: &mut dyn ConnectionDriver) {
+        let now = driver.now();
         let Some(core) = self.peers() else { return };
         let actions = core.heard(now, from, bytes);
-        self.act_on_peers(actions, wires);
+        self.act_on_peers(actions, driver);
     }
 
-    fn act_on_peers(&mut self, actions: Vec<Action>, wires: &mut dyn Wires) {
+    fn act_on_peers(&mut self, actions: Vec<Action>, driver: &mut dyn ConnectionDriver) {
         for action in actions {
             match action {
-                Action::Send { to, bytes } => wires.datagram(to, &bytes),
+                Action::Send { to, bytes } => driver.datagram(to, &bytes),
                 Action::PeerEvent(PeerEvent::Peer { name, life, boot }) => {
                     log!("peer", "name={name} life={} boot={boot}", life.code());
                 }
                 Action::PeerEvent(PeerEvent::Numbered(heard)) => self.number_taken(heard),
                 Action::PeerEvent(PeerEvent::AdminOverride(hand)) => {
-                    self.hand_heard(&hand.runner, hand.out_since.is_some(), wires);
+                    self.hand_heard(&hand.runner, hand.out_since.is_some(), driver);
                 }
             }
         }
         let Some((all, agree)) = self.peers().map(|core| core.agree()) else { return };
-        self.heard_of_peers(recovery::Event::Agree { all, agree }, wires);
+        self.heard_of_peers(recovery::Event::Agree { all, agree }, driver);
     }
 
     /// Others have heard of a later life of this dispatcher than its own disk has: it was rolled back, or could not be
@@ -202,23 +208,23 @@
     }
 
     /// A peer has a newer word on a runner: it holds here as a call would. Its times are of another clock.
-    fn hand_heard(&mut self, id: &str, out: bool, wires: &mut dyn Wires) {
-        let now = wires.now();
+    fn hand_heard(&mut self, id: &str, out: bool, driver: &mut dyn ConnectionDriver) {
+        let now = driver.now();
         let is_out = self.members.hand(id).0.is_some();
         if is_out != out {
             log!("hand-heard", "runner={id:?} out={out}");
             if !self.members.knows(id) {
                 self.members.inherit(id, None, None);
             }
-            _ = self.maintain(id, out, wires);
+            _ = self.maintain(id, out, driver);
         }
         debug_assert!(self.members.hand(id).0.is_some() == out, "at {now}");
-        self.keep_hand(id, None, wires);
+        self.keep_hand(id, None, driver);
     }
 
     /// What holds of all runners is told anew, after bans have been learnt of.
-    pub(super) fn stand_anew(&mut self, wires: &mut dyn Wires) {
-        let entries = self.members.stand(wires.now());
+    pub(super) fn stand_anew(&mut self, driver: &mut dyn ConnectionDriver) {
+        let entries = self.members.stand(driver.now());
         if !entries.is_empty() {
             self.happened.push(Event::Roster(topazsail::Roster { listing: Listing::Own, entries }));
         }
