--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -10,12 +10,12 @@
 use topazsail_recovery::{self as recovery, Action, KnownRoster, Recovery, Source, Stage, Trust};
 use topazsail_store::stored_types::{StoredOverride, StoredRoster, StoredSettings, StoredSlowStartUsage};
 
-use super::Desk;
+use super::RequestTable;
 use crate::ingress::operators::Call;
-use crate::lifecycle::store_thread::{Keeper, Left, Told};
-use crate::net::connection::{Link, Timer, Wires};
+use crate::lifecycle::store_thread::{LoadedStore, StoreEvent, StoreThread};
+use crate::net::connection::{ConnectionDriver, ConnectionId, Timer};
 use crate::net::log::log;
-use crate::upstream::roster::{self, Listed};
+use crate::upstream::roster::{self, RosterSnapshot};
 
 /// An operator's answer waits for the disk no longer than this.
 const KEPT_WITHIN: Micros = 2_000_000;
@@ -26,20 +26,20 @@
 const SPREAD: Micros = 1_000_000;
 
 /// What stands between a start and its end on the disk.
-pub struct Keeping {
-    keeper: Keeper,
+pub struct Persistence {
+    store_thread: StoreThread,
     recovery: Recovery,
     /// The list that the configuration remembers, until it is known which one to begin with.
-    file: Option<Listed>,
+    file: Option<RosterSnapshot>,
     /// When this process began: whoever started later had nothing from the life before.
     began: Micros,
     /// What the last life left, until it has been used.
-    left: Option<Box<Left>>,
+    left: Option<Box<LoadedStore>>,
     boot: Option<u64>,
     /// Why the disk cannot be relied on now, if so.
     failing: Option<String>,
     /// Operators that wait for the disk, and their calls.
-    calls: BTreeMap<u64, (Link, Call)>,
+    calls: BTreeMap<u64, (ConnectionId, Call)>,
     /// A write of the list is due; how long the last one was.
     list_due: bool,
     list_length: usize,
@@ -58,10 +58,15 @@
 const WARMTH_AGAIN: Micros = 50_000;
 const LIMITED_AGAIN: Micros = 500_000;
 
-impl Keeping {
-    pub fn new(keeper: Keeper, (require, peers): (bool, bool), file: Option<Listed>, now: Micros) -> Keeping {
-        Keeping {
-            keeper,
+impl Persistence {
+    pub fn new(
+        store_thread: StoreThread,
+        (require, peers): (bool, bool),
+        file: Option<RosterSnapshot>,
+        now: Micros,
+    ) -> Persistence {
+        Persistence {
+            store_thread,
             recovery: Recovery::new(peers, now),
             file,
             began: now,
@@ -81,7 +86,7 @@
     }
 
     /// Another process has handed all over: there is nothing to recover.
-    pub fn in_service(mut self) -> Keeping {
+    pub fn in_service(mut self) -> Persistence {
         self.recovery = Recovery::in_service();
         self
     }
@@ -107,31 +112,31 @@
         format!("stage={} boot={boot} store={store}", self.stage().code())
     }
 
-    pub fn figures(&self) -> [(&'static str, u64); 4] {
+    pub fn metrics(&self) -> [(&'static str, u64); 4] {
         [
             ("boot", self.boot.unwrap_or(0)),
             ("stage", self.stage() as u64),
             ("store_well", u64::from(self.failing.is_none())),
-            ("store_dropped", self.keeper.dropped),
+            ("store_dropped", self.store_thread.dropped),
         ]
     }
 }
 
-impl Desk {
+impl RequestTable {
     /// A start from nothing, with a store: nothing is listed before that has been read.
-    pub(super) fn recover(&mut self, wires: &mut dyn Wires) {
+    pub(super) fn recover(&mut self, driver: &mut dyn ConnectionDriver) {
         self.clients.ready(false);
-        self.arm(wires);
+        self.arm(driver);
     }
 
     /// Whether anything may be forwarded: not before there is a list.
     pub(super) fn may_forward(&self) -> bool {
-        self.keeping.as_ref().is_none_or(|keeping| keeping.recovery.may_forward())
+        self.persistence.as_ref().is_none_or(|persistence| persistence.recovery.may_forward())
     }
 
     /// When those who come before there is service are to come back: spread, so that they do not come together.
     pub(super) fn come_back_after(&self, id: &str, now: Micros) -> Option<Micros> {
-        let left = self.keeping.as_ref().map_or(0, |keeping| keeping.recovery.left(now));
+        let left = self.persistence.as_ref().map_or(0, |persistence| persistence.recovery.left(now));
         let spread = topazsail::hash(id.as_bytes()) % SPREAD as u64;
         self.come_back_most.map(|most| (left + spread as Micros).min(most))
     }
@@ -141,20 +146,21 @@
         if self.warmth(now).is_none() {
             return true;
         }
-        let Some(keeping) = &mut self.keeping else { return true };
+        let Some(persistence) = &mut self.persistence else { return true };
         let drawn = topazsail::hash(id.as_bytes()) as f64 / u64::MAX as f64;
-        keeping.limits.takes(operation, drawn, now)
+        persistence.limits.takes(operation, drawn, now)
     }
 
     /// The share of its full capacity that the fleet has, while that limits anything.
     fn warmth(&mut self, now: Micros) -> Option<f64> {
-        let keeping = self.keeping.as_mut().filter(|keeping| keeping.stage() == Stage::Limited)?;
-        if now >= keeping.warmth.1 + WARMTH_AGAIN {
+        let persistence =
+            self.persistence.as_mut().filter(|persistence| persistence.stage() == Stage::Limited)?;
+        if now >= persistence.warmth.1 + WARMTH_AGAIN {
             let (warm, listed) = self.members.warmth(self.cold_from, now);
-            let all = listed.max(keeping.began_with).max(1);
-            keeping.warmth = (warm / all as f64, now);
-            let warmth = keeping.warmth.0;
-            for action in keeping.recovery.handle(now, recovery::Event::Warmth(warmth)) {
+            let all = listed.max(persistence.began_with).max(1);
+            persistence.warmth = (warm / all as f64, now);
+            let warmth = persistence.warmth.0;
+            for action in persistence.recovery.handle(now, recovery::Event::Warmth(warmth)) {
                 if let Action::Enter(stage, why) = action {
                     log!("stage", "stage={} {why}", stage.code());
                 }
@@ -162,98 +168,101 @@
             self.stage_for_peers();
             return Some(warmth);
         }
-        Some(keeping.warmth.0)
+        Some(persistence.warmth.0)
     }
 
     /// Something that was taken found no room.
     pub(super) fn was_short(&mut self, now: Micros) {
         if let Some(warmth) = self.warmth(now)
-            && let Some(keeping) = &mut self.keeping
+            && let Some(persistence) = &mut self.persistence
         {
-            keeping.limits.short(warmth, now);
+            persistence.limits.short(warmth, now);
         }
     }
 
     /// One has succeeded, so long after it was taken.
     pub(super) fn took(&mut self, operation: usize, took: Micros) {
-        if let Some(keeping) = self.keeping.as_mut().filter(|keeping| keeping.stage() == Stage::Limited) {
-            keeping.limits.succeeded(operation, took);
+        if let Some(persistence) =
+            self.persistence.as_mut().filter(|persistence| persistence.stage() == Stage::Limited)
+        {
+            persistence.limits.succeeded(operation, took);
         }
     }
 
     /// Why this process must not serve, where it has no store and must not do without.
     pub fn fatal(&self) -> Option<String> {
-        self.keeping.as_ref()?.fatal.clone()
+        self.persistence.as_ref()?.fatal.clone()
     }
 
-    pub(super) fn recovery_due(&mut self, wires: &mut dyn Wires) {
-        let Some(keeping) = &mut self.keeping else { return };
-        let finding = keeping.stage() == Stage::Finding;
-        let actions = keeping.recovery.tick(wires.now());
+    pub(super) fn recovery_due(&mut self, driver: &mut dyn ConnectionDriver) {
+        let Some(persistence) = &mut self.persistence else { return };
+        let finding = persistence.stage() == Stage::Finding;
+        let actions = persistence.recovery.tick(driver.now());
         if finding && !actions.is_empty() {
-            keeping.without("not read in time");
+            persistence.without("not read in time");
         }
-        self.enter(actions, wires);
+        self.enter(actions, driver);
         // Whether the fleet has become warm shows also where nothing comes.
-        self.warmth(wires.now());
-        self.arm(wires);
+        self.warmth(driver.now());
+        self.arm(driver);
     }
 
     /// Asks for the next look at the stage, once.
-    fn arm(&mut self, wires: &mut dyn Wires) {
-        let now = wires.now();
-        let Some(keeping) = &mut self.keeping else { return };
-        let Some(due) = keeping.recovery.due() else { return };
-        let limited = keeping.stage() == Stage::Limited;
+    fn arm(&mut self, driver: &mut dyn ConnectionDriver) {
+        let now = driver.now();
+        let Some(persistence) = &mut self.persistence else { return };
+        let Some(due) = persistence.recovery.due() else { return };
+        let limited = persistence.stage() == Stage::Limited;
         let at = if limited { due.min(now + LIMITED_AGAIN) } else { due };
         // One that is asked for already, and comes in time, will ask for the next.
-        if keeping.armed <= now || at < keeping.armed {
-            keeping.armed = at;
-            wires.wake(Timer::Recovery, at);
+        if persistence.armed <= now || at < persistence.armed {
+            persistence.armed = at;
+            driver.set_timer(Timer::Recovery, at);
         }
     }
 
-    fn enter(&mut self, actions: Vec<Action>, wires: &mut dyn Wires) {
+    fn enter(&mut self, actions: Vec<Action>, driver: &mut dyn ConnectionDriver) {
         for action in actions {
             match action {
                 Action::Enter(stage, why) => {
                     log!("stage", "stage={} {why}", stage.code());
                     self.stage_for_peers();
                 }
-                Action::Begin => self.begin(wires),
+                Action::Begin => self.begin(driver),
                 Action::Serve => self.clients.ready(self.down_since.is_none()),
             }
         }
-        self.arm(wires);
+        self.arm(driver);
     }
 
-    pub(super) fn heard_of_peers(&mut self, event: recovery::Event, wires: &mut dyn Wires) {
-        let Some(keeping) = &mut self.keeping else { return };
-        let actions = keeping.recovery.handle(wires.now(), event);
+    pub(super) fn heard_of_peers(&mut self, event: recovery::Event, driver: &mut dyn ConnectionDriver) {
+        let Some(persistence) = &mut self.persistence else { return };
+        let actions = persistence.recovery.handle(driver.now(), event);
         if !actions.is_empty() {
-            self.enter(actions, wires);
+            self.enter(actions, driver);
         }
     }
 
     pub(super) fn keep_above(&mut self, heard: u64) {
-        if let Some(keeping) = &mut self.keeping {
-            keeping.boot = None;
-            keeping.keeper.above(heard);
+        if let Some(persistence) = &mut self.persistence {
+            persistence.boot = None;
+            persistence.store_thread.above(heard);
         }
     }
 
     /// The list to begin with, and what holds of it.
-    fn begin(&mut self, wires: &mut dyn Wires) {
-        let now = wires.now();
-        let boot = self.keeping.as_ref().and_then(|keeping| keeping.boot);
-        let left = self.keeping.as_mut().and_then(|keeping| keeping.left.take());
-        self.meet(boot, left.as_deref(), wires);
-        let Some(keeping) = &mut self.keeping else { return };
-        let (file, began) = (keeping.file.take().unwrap_or_default(), keeping.began);
+    fn begin(&mut self, driver: &mut dyn ConnectionDriver) {
+        let now = driver.now();
+        let boot = self.persistence.as_ref().and_then(|persistence| persistence.boot);
+        let left = self.persistence.as_mut().and_then(|persistence| persistence.left.take());
+        self.meet(boot, left.as_deref(), driver);
+        let Some(persistence) = &mut self.persistence else { return };
+        let (file, began) = (persistence.file.take().unwrap_or_default(), persistence.began);
         let discovery = self.roster.discovery().to_string();
         let stored = left.as_ref().and_then(|left| left.list.as_ref());
-        let listed = stored.and_then(|list| Some((list, serde_json::from_str::<Listed>(&list.json).ok()?)));
-        let known = |discovery, listed: &Listed| KnownRoster {
+        let listed =
+            stored.and_then(|list| Some((list, serde_json::from_str::<RosterSnapshot>(&list.json).ok()?)));
+        let known = |discovery, listed: &RosterSnapshot| KnownRoster {
             discovery,
             generation: listed.generation,
             runners: listed.len(),
@@ -266,22 +275,26 @@
             _ => file,
         };
         self.roster.begin(chosen.generation, self.roster.sure_at());
-        (keeping.began_with, keeping.limits) =
+        (persistence.began_with, persistence.limits) =
             (chosen.len(), AdmissionLimits::new(self.worth.iter().copied(), now));
         let mut rest = 0;
         if let Some(left) = &left {
             rest = recovery::cold_runner_pause(&left.found, self.tip_after);
-            self.take_hands(left, wires);
+            self.take_hands(left, driver);
         }
         if rest > 0 {
             let entries = self.members.rest(now + rest, began, now);
             debug_assert!(entries.is_empty(), "nothing is listed yet");
             log!("trusts", "item=spent belief=dropped rest_ms={}", rest / 1000);
-            wires.wake(Timer::Rested, now + rest);
+            driver.set_timer(Timer::Rested, now + rest);
         }
         self.list(
-            roster::Heard { listing: Listing::Remembered, heard_before: None, entries: chosen.entries() },
-            wires,
+            roster::RosterEvent {
+                listing: Listing::Remembered,
+                heard_before: None,
+                entries: chosen.entries(),
+            },
+            driver,
         );
         if let Some(left) = left {
             let (belief, why) = recovery::trust_slow_start_usage(&left.found);
@@ -298,7 +311,7 @@
     }
 
     /// Who was out by hand is out, whatever else is in doubt.
-    fn take_hands(&mut self, left: &Left, wires: &mut dyn Wires) {
+    fn take_hands(&mut self, left: &LoadedStore, driver: &mut dyn ConnectionDriver) {
         let (belief, why) = recovery::trust_admin_overrides(&left.found);
         let out = left.hands.iter().filter(|(_, hand)| hand.out_since.is_some()).count();
         log!("trusts", "item=hands belief={belief:?} out={out} reason={why:?}");
@@ -308,126 +321,131 @@
                 self.members.inherit(id, hand.out_since, hand.was_out);
             }
         }
-        self.stand_anew(wires);
+        self.stand_anew(driver);
     }
 
     /// What the keeper has to say.
-    pub(super) fn heard_of_disk(&mut self, wires: &mut dyn Wires) {
-        let Some(keeping) = &mut self.keeping else { return };
-        for told in keeping.keeper.heard() {
-            let Some(keeping) = &mut self.keeping else { return };
+    pub(super) fn heard_of_disk(&mut self, driver: &mut dyn ConnectionDriver) {
+        let Some(persistence) = &mut self.persistence else { return };
+        for told in persistence.store_thread.heard() {
+            let Some(persistence) = &mut self.persistence else { return };
             match told {
-                Told::Opened(left) => {
-                    keeping.boot = left.boot;
-                    keeping.failing = None;
+                StoreEvent::Opened(left) => {
+                    persistence.boot = left.boot;
+                    persistence.failing = None;
                     if let Some(why) = &left.found.unwritten {
-                        keeping.without(&why.to_string());
+                        persistence.without(&why.to_string());
                     }
                     let boot = left.boot;
-                    if keeping.stage() == Stage::Finding {
+                    if persistence.stage() == Stage::Finding {
                         let event = recovery::Event::Opened { found: &left.found, boot };
-                        let actions = keeping.recovery.handle(wires.now(), event);
-                        keeping.left = Some(left);
+                        let actions = persistence.recovery.handle(driver.now(), event);
+                        persistence.left = Some(left);
                         self.keep_settings();
-                        self.enter(actions, wires);
+                        self.enter(actions, driver);
                     } else {
                         // It comes late, or after an upgrade that came to nothing: bans hold all the same.
                         log!("store", "state=opened boot={boot:?}");
-                        self.take_hands(&left, wires);
-                        self.meet(boot, Some(&left), wires);
-                        self.keep_all(wires);
+                        self.take_hands(&left, driver);
+                        self.meet(boot, Some(&left), driver);
+                        self.keep_all(driver);
                     }
                 }
-                Told::Unopened(why) => {
+                StoreEvent::Unopened(why) => {
                     log!("store", "state=refused reason={why:?}");
-                    keeping.without(&why);
+                    persistence.without(&why);
                     let event = recovery::Event::Unopened { why: &why };
-                    let actions = keeping.recovery.handle(wires.now(), event);
-                    self.enter(actions, wires);
+                    let actions = persistence.recovery.handle(driver.now(), event);
+                    self.enter(actions, driver);
                 }
-                Told::Synced(ticket, kept) => self.kept(ticket, kept, wires),
-                Told::Health(Ok(boot)) => {
-                    (keeping.boot, keeping.failing) = (boot, None);
+                StoreEvent::Synced(ticket, kept) => self.kept(ticket, kept, driver),
+                StoreEvent::Health(Ok(boot)) => {
+                    (persistence.boot, persistence.failing) = (boot, None);
                     log!("store", "state=well boot={}", boot.unwrap_or(0));
                     self.meet_numbered(boot);
                 }
-                Told::Health(Err(why)) => {
+                StoreEvent::Health(Err(why)) => {
                     log!("store", "state=failing reason={why:?}");
-                    keeping.failing = Some(why);
+                    persistence.failing = Some(why);
                 }
-                Told::Closed => log!("store", "state=released"),
+                StoreEvent::Closed => log!("store", "state=released"),
             }
         }
     }
 
     /// Discovery has been heard, or not.
-    pub(super) fn heard_of_list(&mut self, listing: Listing, wires: &mut dyn Wires) {
-        let Some(keeping) = &mut self.keeping else { return };
+    pub(super) fn heard_of_list(&mut self, listing: Listing, driver: &mut dyn ConnectionDriver) {
+        let Some(persistence) = &mut self.persistence else { return };
         let event = match listing {
             Listing::All | Listing::Changes => recovery::Event::Heard,
             Listing::Refused => recovery::Event::Refused,
             Listing::Remembered | Listing::Own => return,
         };
         let fresh = matches!(event, recovery::Event::Heard);
-        let actions = keeping.recovery.handle(wires.now(), event);
-        if fresh && !std::mem::replace(&mut keeping.list_due, true) {
-            let more = (keeping.list_length / LIST_BYTES) as Micros * LIST_AFTER;
-            wires.wake(Timer::Keep, wires.now() + LIST_AFTER + more);
+        let actions = persistence.recovery.handle(driver.now(), event);
+        if fresh && !std::mem::replace(&mut persistence.list_due, true) {
+            let more = (persistence.list_length / LIST_BYTES) as Micros * LIST_AFTER;
+            driver.set_timer(Timer::Keep, driver.now() + LIST_AFTER + more);
         }
-        self.enter(actions, wires);
+        self.enter(actions, driver);
     }
 
     /// The list as it is now, for the next life.
     pub(super) fn keep_list(&mut self) {
         let list = self.as_listed();
         let discovery = self.roster.discovery().to_string();
-        let Some(keeping) = &mut self.keeping else { return };
-        keeping.list_due = false;
+        let Some(persistence) = &mut self.persistence else { return };
+        persistence.list_due = false;
         let Some((generation, json)) = list else { return };
         let json = json.to_string();
-        keeping.list_length = json.len();
-        keeping.keeper.keep("", Some(&StoredRoster { discovery, generation, json }));
+        persistence.list_length = json.len();
+        persistence.store_thread.keep("", Some(&StoredRoster { discovery, generation, json }));
     }
 
     pub(super) fn keep_settings(&mut self) {
-        let Some(keeping) = &mut self.keeping else { return };
+        let Some(persistence) = &mut self.persistence else { return };
         let settings = self.file.get("settings").map(ToString::to_string).unwrap_or_default();
         let version = topazsail::hash(settings.as_bytes());
-        let known = keeping.left.as_ref().and_then(|left| left.settings.as_ref());
+        let known = persistence.left.as_ref().and_then(|left| left.settings.as_ref());
         if let Some(known) = known.filter(|known| known.version != version) {
             log!("trusts", "item=settings source=File reason=\"differs from {:016x} before\"", known.version);
         }
-        keeping.keeper.keep("", Some(&StoredSettings { version, json: self.file.to_string() }));
+        persistence.store_thread.keep("", Some(&StoredSettings { version, json: self.file.to_string() }));
     }
 
-    fn keep_all(&mut self, wires: &mut dyn Wires) {
+    fn keep_all(&mut self, driver: &mut dyn ConnectionDriver) {
         self.keep_settings();
         self.keep_list();
         for id in self.members.by_hands() {
-            self.keep_hand(&id, None, wires);
+            self.keep_hand(&id, None, driver);
         }
     }
 
     /// What the hand has done to a runner is kept; whoever called is answered once it is.
-    pub(super) fn keep_hand(&mut self, id: &str, call: Option<(Link, Call)>, wires: &mut dyn Wires) {
+    pub(super) fn keep_hand(
+        &mut self,
+        id: &str,
+        call: Option<(ConnectionId, Call)>,
+        driver: &mut dyn ConnectionDriver,
+    ) {
         let (out_since, was_out) = self.members.hand(id);
         let (count, author) = self.hand_version(id);
-        let Some(keeping) = &mut self.keeping else { return };
+        let Some(persistence) = &mut self.persistence else { return };
         let hand = StoredOverride { out_since, was_out, count, author };
         match call {
-            None => keeping.keeper.keep(id, Some(&hand)),
+            None => persistence.store_thread.keep(id, Some(&hand)),
             Some(call) => {
-                let ticket = keeping.keeper.keep_now(id, Some(&hand));
-                keeping.calls.insert(ticket, call);
-                wires.wake(Timer::Kept(ticket), wires.now() + KEPT_WITHIN);
+                let ticket = persistence.store_thread.keep_now(id, Some(&hand));
+                persistence.calls.insert(ticket, call);
+                driver.set_timer(Timer::Kept(ticket), driver.now() + KEPT_WITHIN);
             }
         }
     }
 
     /// The disk has kept what an operator waits for, or has not.
-    pub(super) fn kept(&mut self, ticket: u64, kept: Result<(), String>, wires: &mut dyn Wires) {
-        let Some(keeping) = &mut self.keeping else { return };
-        let Some((link, call)) = keeping.calls.remove(&ticket) else { return };
+    pub(super) fn kept(&mut self, ticket: u64, kept: Result<(), String>, driver: &mut dyn ConnectionDriver) {
+        let Some(persistence) = &mut self.persistence else { return };
+        let Some((connection, call)) = persistence.calls.remove(&ticket) else { return };
         let answer = match kept {
             Ok(()) => "YES\n".to_owned(),
             Err(why) => {
@@ -435,20 +453,20 @@
                 format!("NO it holds here until a restart, and is not kept: {why}\n")
             }
         };
-        self.operators.answer(link, &answer, wires);
+        self.operators.answer(connection, &answer, driver);
     }
 
-    pub(super) fn not_kept_in_time(&mut self, ticket: u64, wires: &mut dyn Wires) {
-        self.kept(ticket, Err("the disk has not answered in time".to_owned()), wires);
+    pub(super) fn not_kept_in_time(&mut self, ticket: u64, driver: &mut dyn ConnectionDriver) {
+        self.kept(ticket, Err("the disk has not answered in time".to_owned()), driver);
     }
 
     /// Another process has the folder from now on, or this one again.
     pub(super) fn release(&mut self, released: bool) {
-        let Some(keeping) = &mut self.keeping else { return };
+        let Some(persistence) = &mut self.persistence else { return };
         if released {
-            keeping.keeper.close();
+            persistence.store_thread.close();
         } else {
-            keeping.keeper.open();
+            persistence.store_thread.open();
         }
     }
 
@@ -456,11 +474,11 @@
     pub fn leave(mut self, now: Micros, within: std::time::Duration) {
         let spent = self.policy.slow_start_usage(now);
         self.keep_list();
-        let Some(mut keeping) = self.keeping.take() else { return };
+        let Some(mut persistence) = self.persistence.take() else { return };
         let ago = |work: Vec<(Micros, f64)>| work.into_iter().map(|(at, w)| (now - at, w)).collect();
         let runners = spent.into_iter().map(|(id, work)| (id.to_string(), ago(work))).collect();
-        keeping.keeper.keep("", Some(&StoredSlowStartUsage { runners }));
-        let clean = keeping.keeper.finish(within);
+        persistence.store_thread.keep("", Some(&StoredSlowStartUsage { runners }));
+        let clean = persistence.store_thread.finish(within);
         log!("store", "state=closed clean={clean}");
     }
 }
--- a/node/src/upstream/membership.rs
+++ b/node/src/upstream/membership.rs
@@ -73,16 +73,16 @@
     lapsed: bool,
 }
 
-pub struct Members {
+pub struct Membership {
     by_id: BTreeMap<Id, Member>,
     /// When discovery was heard before the list that is told next.
     heard_before: Option<Micros>,
     terms: Terms,
 }
 
-impl Members {
-    pub fn new(warm_within: Micros) -> Members {
-        Members {
+impl Membership {
+    pub fn new(warm_within: Micros) -> Membership {
+        Membership {
             by_id: BTreeMap::new(),
             heard_before: None,
             terms: Terms { until: Micros::MIN, before: Micros::MAX, warm_within, lapsed: true },
--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -9,7 +9,9 @@
 use serde_json::{Value, json};
 use topazsail::{Listing, Micros, Readiness, RosterEntry};
 
-use crate::net::connection::{Callbacks, End, Link, Side, Timer, Wires};
+use crate::net::connection::{
+    CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, ConnectionRole, Timer,
+};
 use crate::net::http::{self, Chunks, Framing, encode_bare};
 use crate::net::log::log;
 use crate::upstream::membership::TOLD_WITHIN;
@@ -39,15 +41,15 @@
 const LINE_MOST: usize = 4 << 20;
 
 #[derive(Debug, Default, Deserialize)]
-pub struct Listed {
+pub struct RosterSnapshot {
     pub generation: u64,
     #[serde(default)]
     pub reset: bool,
     instances: Vec<Value>,
 }
 
-impl Listed {
-    pub fn from_value(value: Value) -> Result<Listed, String> {
+impl RosterSnapshot {
+    pub fn from_value(value: Value) -> Result<RosterSnapshot, String> {
         serde_json::from_value(value).map_err(|error| error.to_string())
     }
 
@@ -153,7 +155,7 @@
 }
 
 #[derive(Debug)]
-pub struct Heard {
+pub struct RosterEvent {
     pub listing: Listing,
     /// When discovery was heard last before this, if it was: who is new in this list was not listed then.
     pub heard_before: Option<Micros>,
@@ -162,7 +164,7 @@
 
 /// A call to discovery, on its way to becoming the watch.
 struct Call {
-    link: Link,
+    connection: ConnectionId,
     asked_at: Micros,
     up: bool,
     /// How the body is framed, once the head has come.
@@ -182,9 +184,9 @@
 }
 
 impl Call {
-    fn new(link: Link, up: bool, now: Micros) -> Call {
+    fn new(connection: ConnectionId, up: bool, now: Micros) -> Call {
         Call {
-            link,
+            connection,
             asked_at: now,
             up,
             framing: None,
@@ -253,7 +255,7 @@
     down: bool,
     /// When the first call was made since something was heard.
     unheard_since: Option<Micros>,
-    pub heard: Vec<Heard>,
+    pub heard: Vec<RosterEvent>,
 }
 
 impl Roster {
@@ -300,42 +302,42 @@
 
     /// Asks for what has changed since, and for all changes to come; a watch that is under way is kept, and a call that
     /// is late goes on beside the new one.
-    pub fn follow(&mut self, wires: &mut dyn Wires) {
+    pub fn follow(&mut self, driver: &mut dyn ConnectionDriver) {
         self.follows = true;
         if self.calls.iter().any(|call| !call.late) {
             return;
         }
         if self.calls.len() >= CALLS_MOST {
-            wires.cut(self.calls.remove(0).link, End::WatchSilent);
+            driver.abort(self.calls.remove(0).connection, CloseReason::WatchSilent);
         }
-        let link = wires.dial(self.discovery, Side::Roster);
-        self.ask(link, false, wires);
+        let connection = driver.dial(self.discovery, ConnectionRole::Roster);
+        self.ask(connection, false, driver);
     }
 
-    fn ask(&mut self, link: Link, up: bool, wires: &mut dyn Wires) {
+    fn ask(&mut self, connection: ConnectionId, up: bool, driver: &mut dyn ConnectionDriver) {
         let target = match self.generation {
             Some(generation) => format!("/v1/servers?follow=1&since={generation}"),
             None => "/v1/servers".to_owned(),
         };
-        wires.send(link, &encode_bare("GET", &target, self.discovery));
-        let call = Call::new(link, up, wires.now());
+        driver.send(connection, &encode_bare("GET", &target, self.discovery));
+        let call = Call::new(connection, up, driver.now());
         self.unheard_since.get_or_insert(call.asked_at);
-        wires.wake(Timer::Link(link), call.due(self.pushed));
+        driver.set_timer(Timer::Connection(connection), call.due(self.pushed));
         self.calls.push(call);
     }
 
     /// Discovery is elsewhere from now on. Versions are its own: what the old one counted says nothing there.
-    pub fn move_to(&mut self, discovery: SocketAddr, wires: &mut dyn Wires) {
+    pub fn move_to(&mut self, discovery: SocketAddr, driver: &mut dyn ConnectionDriver) {
         if discovery == self.discovery {
             return;
         }
         (self.discovery, self.generation) = (discovery, None);
         (self.down, self.unheard_since, self.heard_at) = (false, None, None);
         for call in std::mem::take(&mut self.calls) {
-            wires.cut(call.link, End::WatchReplaced);
+            driver.abort(call.connection, CloseReason::WatchReplaced);
         }
         if self.follows {
-            self.follow(wires);
+            self.follow(driver);
         }
     }
 
@@ -343,7 +345,7 @@
         let generation =
             self.generation.map_or_else(|| "none".to_owned(), |generation| generation.to_string());
         log!("watch-lost", "generation={generation} reason={why}");
-        self.heard.push(Heard { listing: Listing::Refused, heard_before: None, entries: Vec::new() });
+        self.heard.push(RosterEvent { listing: Listing::Refused, heard_before: None, entries: Vec::new() });
     }
 
     /// A call is out no more. Nothing is told of one for which another has been made.
@@ -361,12 +363,12 @@
     }
 
     /// The first call to say something is the watch; what the others would say is the same.
-    fn speaks(&mut self, link: Link, sure_at: Micros, wires: &mut dyn Wires) {
-        let (now, before) = (wires.now(), self.sure_at);
+    fn speaks(&mut self, connection: ConnectionId, sure_at: Micros, driver: &mut dyn ConnectionDriver) {
+        let (now, before) = (driver.now(), self.sure_at);
         self.heard_at = Some(now);
         self.sure_at = self.sure_at.max(sure_at);
-        for call in self.calls.extract_if(.., |call| call.link != link) {
-            wires.cut(call.link, End::WatchReplaced);
+        for call in self.calls.extract_if(.., |call| call.connection != connection) {
+            driver.abort(call.connection, CloseReason::WatchReplaced);
         }
         (self.down, self.unheard_since) = (false, None);
         if let Some(call) = self.calls.first_mut() {
@@ -383,15 +385,20 @@
             let anew = call.late || !call.spoke;
             (call.late, call.spoke, call.heard_at) = (false, true, now);
             if anew {
-                wires.wake(Timer::Link(link), call.due(self.pushed));
+                driver.set_timer(Timer::Connection(connection), call.due(self.pushed));
             }
         }
     }
 
     /// All that `input` holds, or why the call is of no more use.
-    fn read(&mut self, link: Link, input: &mut Vec<u8>, wires: &mut dyn Wires) -> Result<(), &'static str> {
-        let (now, wants_whole) = (wires.now(), self.generation.is_none());
-        let Some(call) = self.on(link) else { return Ok(()) };
+    fn read(
+        &mut self,
+        connection: ConnectionId,
+        input: &mut Vec<u8>,
+        driver: &mut dyn ConnectionDriver,
+    ) -> Result<(), &'static str> {
+        let (now, wants_whole) = (driver.now(), self.generation.is_none());
+        let Some(call) = self.on(connection) else { return Ok(()) };
         let framing = match call.framing {
             Some(framing) => framing,
             None => {
@@ -415,13 +422,13 @@
                 Framing::UntilEnd => false,
             };
             return match done {
-                true => self.whole(link, wires),
+                true => self.whole(connection, driver),
                 false if call.text.len() > LINE_MOST => Err("line_too_long"),
                 false => Ok(()),
             };
         }
-        self.lines(link, wires)?;
-        match self.on(link) {
+        self.lines(connection, driver)?;
+        match self.on(connection) {
             Some(call) if call.text.len() > LINE_MOST => Err("line_too_long"),
             Some(call) if call.chunks.done() => Err("watch_done"),
             _ => Ok(()),
@@ -430,10 +437,17 @@
 
     /// What a watch has said. A line is a sign of life, and a sign that nothing before it was missed. An object may be
     /// indented, over several lines.
-    fn lines(&mut self, link: Link, wires: &mut dyn Wires) -> Result<(), &'static str> {
-        let Some(call) = self.calls.iter_mut().find(|call| call.link == link) else { return Ok(()) };
+    fn lines(
+        &mut self,
+        connection: ConnectionId,
+        driver: &mut dyn ConnectionDriver,
+    ) -> Result<(), &'static str> {
+        let Some(call) = self.calls.iter_mut().find(|call| call.connection == connection) else {
+            return Ok(());
+        };
         let Some(end) = call.text.iter().rposition(|byte| *byte == b'\n') else { return Ok(()) };
-        let mut lists = serde_json::Deserializer::from_slice(&call.text[..=end]).into_iter::<Listed>();
+        let mut lists =
+            serde_json::Deserializer::from_slice(&call.text[..=end]).into_iter::<RosterSnapshot>();
         let mut read = 0;
         while let Some(listed) = lists.next() {
             let listed = match listed {
@@ -445,7 +459,7 @@
             let listing = if listed.reset { Listing::All } else { Listing::Changes };
             let back = !listed.reset && self.generation.is_some_and(|known| listed.generation < known);
             self.generation = Some(listed.generation).filter(|_| !back);
-            self.heard.push(Heard { listing, heard_before: self.heard_at, entries: listed.entries() });
+            self.heard.push(RosterEvent { listing, heard_before: self.heard_at, entries: listed.entries() });
             if back {
                 // It counts anew, and what changed between is told by neither count: the whole list is asked for.
                 return Err("generation_back");
@@ -457,75 +471,86 @@
         // What came with it may be as old as its first byte.
         let sure_at = call.began_at.filter(|_| rest.is_none()).unwrap_or(self.sure_at);
         if rest.is_none() {
-            call.began_at = Some(wires.now()).filter(|_| !call.text.is_empty());
+            call.began_at = Some(driver.now()).filter(|_| !call.text.is_empty());
         }
-        self.speaks(link, sure_at, wires);
+        self.speaks(connection, sure_at, driver);
         Ok(())
     }
 
     /// The whole list has come: what changes from here on is asked for, on the same connection if it is kept.
-    fn whole(&mut self, link: Link, wires: &mut dyn Wires) -> Result<(), &'static str> {
-        let Some(call) = self.on(link) else { return Ok(()) };
-        let listed: Listed = serde_json::from_slice(&call.text).map_err(|_| "bad_line")?;
+    fn whole(
+        &mut self,
+        connection: ConnectionId,
+        driver: &mut dyn ConnectionDriver,
+    ) -> Result<(), &'static str> {
+        let Some(call) = self.on(connection) else { return Ok(()) };
+        let listed: RosterSnapshot = serde_json::from_slice(&call.text).map_err(|_| "bad_line")?;
         let asked_at = call.asked_at;
         self.generation = Some(listed.generation);
         let heard_before = self.heard_at;
-        self.speaks(link, asked_at, wires);
+        self.speaks(connection, asked_at, driver);
         let Some(call) = self.calls.pop() else { return Ok(()) };
-        self.heard.push(Heard { listing: Listing::All, heard_before, entries: listed.entries() });
+        self.heard.push(RosterEvent { listing: Listing::All, heard_before, entries: listed.entries() });
         if call.keep {
-            self.ask(call.link, true, wires);
+            self.ask(call.connection, true, driver);
         } else {
-            wires.cut(call.link, End::AnsweredLast);
-            self.follow(wires);
+            driver.abort(call.connection, CloseReason::AnsweredLast);
+            self.follow(driver);
         }
         Ok(())
     }
 
-    fn on(&mut self, link: Link) -> Option<&mut Call> {
-        self.calls.iter_mut().find(|call| call.link == link)
+    fn on(&mut self, connection: ConnectionId) -> Option<&mut Call> {
+        self.calls.iter_mut().find(|call| call.connection == connection)
     }
 
-    fn nth(&self, link: Link) -> Option<usize> {
-        self.calls.iter().position(|call| call.link == link)
+    fn nth(&self, connection: ConnectionId) -> Option<usize> {
+        self.calls.iter().position(|call| call.connection == connection)
     }
 }
 
-impl Callbacks for Roster {
-    fn up(&mut self, link: Link, _: &mut dyn Wires) {
-        if let Some(call) = self.on(link) {
+impl ConnectionHandler for Roster {
+    fn up(&mut self, connection: ConnectionId, _: &mut dyn ConnectionDriver) {
+        if let Some(call) = self.on(connection) {
             call.up = true;
         }
     }
 
-    fn bytes(&mut self, link: Link, input: &mut Vec<u8>, wires: &mut dyn Wires) {
-        let read = self.read(link, input, wires);
-        if let Some((why, at)) = read.err().zip(self.nth(link)) {
-            wires.cut(link, End::BadAnswer);
+    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
+        let read = self.read(connection, input, driver);
+        if let Some((why, at)) = read.err().zip(self.nth(connection)) {
+            driver.abort(connection, CloseReason::BadAnswer);
             self.drop_call(at, why);
         }
     }
 
-    fn ended(&mut self, link: Link, end: End, _: bool, _: &[u8], wires: &mut dyn Wires) {
-        let Some(call) = self.on(link) else { return };
+    fn ended(
+        &mut self,
+        connection: ConnectionId,
+        end: CloseReason,
+        _: bool,
+        _: &[u8],
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        let Some(call) = self.on(connection) else { return };
         // A whole list may be ended by the connection's end.
-        let until_end = call.framing == Some(Framing::UntilEnd) && end == End::PeerClosed;
-        if until_end && self.generation.is_none() && self.whole(link, wires).is_ok() {
+        let until_end = call.framing == Some(Framing::UntilEnd) && end == CloseReason::PeerClosed;
+        if until_end && self.generation.is_none() && self.whole(connection, driver).is_ok() {
             return;
         }
-        if let Some(at) = self.nth(link) {
+        if let Some(at) = self.nth(connection) {
             self.down |= self.calls[at].spoke && !self.calls[at].late;
             self.drop_call(at, end.code());
         }
     }
 
-    fn due(&mut self, link: Link, wires: &mut dyn Wires) {
-        let now = wires.now();
-        let Some(at) = self.nth(link) else { return };
+    fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        let now = driver.now();
+        let Some(at) = self.nth(connection) else { return };
         let call = &mut self.calls[at];
         let due = call.due(self.pushed);
         if now < due {
-            return wires.wake(Timer::Link(link), due);
+            return driver.set_timer(Timer::Connection(connection), due);
         }
         // One that comes in too slowly is of no use, whatever it still brings.
         let too_slow = call.began_at.is_some_and(|began| now >= began + WHOLE_WITHIN);
@@ -535,16 +560,16 @@
             if self.pushed && !call.spoke {
                 self.sure_at = self.sure_at.max(call.asked_at);
             }
-            wires.wake(Timer::Link(link), call.due(self.pushed));
+            driver.set_timer(Timer::Connection(connection), call.due(self.pushed));
             return self.lost("silent");
         }
-        if wires.postponed(link) {
+        if driver.postponed(connection) {
             // That it never left is no fault of discovery's: something may have been missed all the same.
-            wires.cut(link, End::WatchSilent);
+            driver.abort(connection, CloseReason::WatchSilent);
             self.calls.remove(at);
             return self.lost("not_dialled");
         }
-        wires.cut(link, End::WatchSilent);
+        driver.abort(connection, CloseReason::WatchSilent);
         self.drop_call(at, "silent");
     }
 }
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -10,8 +10,10 @@
 use topazsail::{ForwardResult, Id, Micros};
 use topazsail_settings::DecodedSettings;
 
-use crate::net::connection::{Callbacks, End, Link, Side, Timer, Wires};
-use crate::net::http::{self, Answer, MESSAGE_MOST, encode_bare};
+use crate::net::connection::{
+    CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, ConnectionRole, Timer,
+};
+use crate::net::http::{self, MESSAGE_MOST, Response, encode_bare};
 use crate::net::log::log;
 
 /// A cancel that gets no answer by then has failed: the runner is cut off or stands still.
@@ -35,7 +37,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum RunnerEvent {
     /// The runner has taken a forward: call-backs tell the rest.
     Taken {
         inv: Id,
@@ -85,7 +87,7 @@
 /// on, in a line at this place of its message.
 #[derive(Clone, Copy)]
 struct Waits {
-    client: Link,
+    client: ConnectionId,
     until: Micros,
     line_at: usize,
 }
@@ -130,15 +132,15 @@
     address: SocketAddr,
     /// Since when it is listed no more.
     gone_since: Option<Micros>,
-    lines: Vec<Link>,
+    lines: Vec<ConnectionId>,
     /// The most recently used last.
-    idle: Vec<Link>,
+    idle: Vec<ConnectionId>,
 }
 
 #[derive(Default)]
 pub struct Runners {
     by_id: BTreeMap<Id, Runner>,
-    lines: BTreeMap<Link, Line>,
+    lines: BTreeMap<ConnectionId, Line>,
     report_fields: Vec<String>,
     dial_timeout: Micros,
     probe_within: Micros,
@@ -146,7 +148,7 @@
     may_cancel: bool,
     /// Forwards written whole, for the figures.
     written: u64,
-    pub heard: Vec<Heard>,
+    pub heard: Vec<RunnerEvent>,
 }
 
 impl Runners {
@@ -168,14 +170,20 @@
     }
 
     /// What the roster says of a runner's whereabouts.
-    pub fn note(&mut self, tgt: &Id, listed: bool, address: Option<SocketAddr>, wires: &mut dyn Wires) {
+    pub fn note(
+        &mut self,
+        tgt: &Id,
+        listed: bool,
+        address: Option<SocketAddr>,
+        driver: &mut dyn ConnectionDriver,
+    ) {
         if let Some(runner) = self.by_id.get_mut(tgt) {
             let moved = address.is_some_and(|address| address != runner.address);
-            let since = runner.gone_since.unwrap_or(wires.now());
+            let since = runner.gone_since.unwrap_or(driver.now());
             runner.gone_since = Some(since).filter(|_| !listed);
             runner.address = address.unwrap_or(runner.address);
             if moved || !listed {
-                self.recall(tgt, wires);
+                self.recall(tgt, driver);
             }
         } else if let Some(address) = address.filter(|_| listed) {
             let runner = Runner { address, gone_since: None, lines: Vec::new(), idle: Vec::new() };
@@ -193,54 +201,54 @@
     }
 
     /// Lets go of those that are gone, once nobody can have work there any more.
-    pub fn tidy(&mut self, wires: &mut dyn Wires) {
+    pub fn tidy(&mut self, driver: &mut dyn ConnectionDriver) {
         let gone = self.by_id.iter().filter(|(_, runner)| runner.gone_since.is_some());
         let gone: Vec<Id> = gone.map(|(id, _)| id.clone()).collect();
-        gone.iter().for_each(|tgt| self.recall(tgt, wires));
-        let long_gone = |since: Micros| wires.now() - since > GONE_KEPT;
+        gone.iter().for_each(|tgt| self.recall(tgt, driver));
+        let long_gone = |since: Micros| driver.now() - since > GONE_KEPT;
         self.by_id.retain(|_, runner| !runner.gone_since.is_some_and(long_gone) || !runner.lines.is_empty());
     }
 
     /// Ends the connection that has been at rest for longest, if there is any.
-    pub fn make_room(&mut self, wires: &mut dyn Wires) -> bool {
+    pub fn make_room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
         let idle = self.by_id.values().flat_map(|runner| &runner.idle);
-        let oldest = idle.min_by_key(|link| self.lines.get(link).map(|line| line.since)).copied();
-        oldest.inspect(|link| self.end_line(*link, End::MadeRoom, wires)).is_some()
+        let oldest = idle.min_by_key(|connection| self.lines.get(connection).map(|line| line.since)).copied();
+        oldest.inspect(|connection| self.end_line(*connection, CloseReason::MadeRoom, driver)).is_some()
     }
 
-    pub fn cut_idle(&mut self, tgt: &Id, end: End, wires: &mut dyn Wires) {
+    pub fn cut_idle(&mut self, tgt: &Id, end: CloseReason, driver: &mut dyn ConnectionDriver) {
         let idle = self.by_id.get_mut(tgt).map(|runner| std::mem::take(&mut runner.idle));
-        for link in idle.unwrap_or_default() {
-            self.end_line(link, end, wires);
+        for connection in idle.unwrap_or_default() {
+            self.end_line(connection, end, driver);
         }
     }
 
     /// A runner is to get nothing new: what waits for a connection there has not left, and connections at
     /// rest would only break when it is restarted.
-    pub fn recall(&mut self, tgt: &Id, wires: &mut dyn Wires) {
-        self.cut_idle(tgt, End::Unlisted, wires);
-        self.recall_waiting(tgt, wires);
+    pub fn recall(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
+        self.cut_idle(tgt, CloseReason::Unlisted, driver);
+        self.recall_waiting(tgt, driver);
     }
 
     /// What waits for a connection to a runner that drains or is gone would reach it whenever its dial comes up, long
     /// after the grace.
-    pub fn recall_waiting(&mut self, tgt: &Id, wires: &mut dyn Wires) {
+    pub fn recall_waiting(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
         let lines = self.by_id.get(tgt).map(|runner| runner.lines.clone()).unwrap_or_default();
-        for link in lines {
+        for connection in lines {
             let waits = |line: &&mut Line| matches!(line.task, Some(Task::Forward { .. }));
-            let waiting = self.lines.get_mut(&link).filter(waits);
+            let waiting = self.lines.get_mut(&connection).filter(waits);
             let waiting = waiting.and_then(|line| line.take_waiting(Micros::MIN));
             if let Some(asked) = waiting {
-                self.end_line(link, End::Unlisted, wires);
+                self.end_line(connection, CloseReason::Unlisted, driver);
                 self.unanswered(tgt, asked.task, ForwardResult::Void, false);
             }
         }
     }
 
     /// The same for all runners.
-    pub fn recall_all_waiting(&mut self, wires: &mut dyn Wires) {
+    pub fn recall_all_waiting(&mut self, driver: &mut dyn ConnectionDriver) {
         let all: Vec<Id> = self.by_id.keys().cloned().collect();
-        all.iter().for_each(|tgt| self.recall_waiting(tgt, wires));
+        all.iter().for_each(|tgt| self.recall_waiting(tgt, driver));
     }
 
     /// `head` and `body` as they came, when nobody waits for the outcome any more, and when it must have left, if it
@@ -251,21 +259,21 @@
         (inv, number): (&Id, u32),
         (head, body): (&[u8], &[u8]),
         (expires_at, by): (Micros, Option<Micros>),
-        client: Link,
-        wires: &mut dyn Wires,
+        client: ConnectionId,
+        driver: &mut dyn ConnectionDriver,
     ) {
         let mut message = head.to_vec();
         message.extend_from_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes());
         message.extend_from_slice(body);
         let task = Task::Forward { inv: inv.clone(), number };
         let waits = Some(Waits { client, until: expires_at, line_at: head.len() });
-        self.ask(tgt, Asked { task, message, due: expires_at + LATE_MOST, waits }, wires);
-        let link = self.carrying(tgt, inv, number).filter(|_| by.is_some());
-        if let Some((by, link)) = by.zip(link)
-            && let Some(line) = self.lines.get_mut(&link)
+        self.ask(tgt, Asked { task, message, due: expires_at + LATE_MOST, waits }, driver);
+        let connection = self.carrying(tgt, inv, number).filter(|_| by.is_some());
+        if let Some((by, connection)) = by.zip(connection)
+            && let Some(line) = self.lines.get_mut(&connection)
         {
             line.leaves_by = by;
-            wires.wake(Timer::Link(link), by);
+            driver.set_timer(Timer::Connection(connection), by);
         }
     }
 
@@ -274,83 +282,87 @@
         self.by_id.get(tgt).map(|r| encode_bare("GET", target, r.address)).unwrap_or_default()
     }
 
-    pub fn probe(&mut self, tgt: &Id, wires: &mut dyn Wires) {
+    pub fn probe(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
         let message = self.probe_message(tgt);
-        let due = wires.now() + self.probe_within;
-        self.ask(tgt, Asked { task: Task::Probe, message, due, waits: None }, wires);
+        let due = driver.now() + self.probe_within;
+        self.ask(tgt, Asked { task: Task::Probe, message, due, waits: None }, driver);
     }
 
     /// Nobody waits for this forward any more: what of it has not left does not leave. That is no cancel, and needs no
     /// leave to send one. Whether it was held back.
-    pub fn hold_back(&mut self, tgt: &Id, inv: &Id, number: u32, wires: &mut dyn Wires) -> bool {
-        let Some(link) = self.carrying(tgt, inv, number) else { return false };
-        let Some(line) = self.lines.get_mut(&link) else { return false };
+    pub fn hold_back(&mut self, tgt: &Id, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) -> bool {
+        let Some(connection) = self.carrying(tgt, inv, number) else { return false };
+        let Some(line) = self.lines.get_mut(&connection) else { return false };
         if line.phase == Phase::Dialling {
             line.task = None;
             line.message.clear();
-        } else if wires.unsent(link) {
+        } else if driver.unsent(connection) {
             self.written -= 1;
-            self.end_line(link, End::GivenUp, wires);
+            self.end_line(connection, CloseReason::GivenUp, driver);
         } else {
             return false;
         }
-        self.heard.push(Heard::Dropped { inv: inv.clone(), number });
+        self.heard.push(RunnerEvent::Dropped { inv: inv.clone(), number });
         true
     }
 
     /// The connection that has a forward's request or still awaits its answer.
-    fn carrying(&self, tgt: &Id, inv: &Id, number: u32) -> Option<Link> {
+    fn carrying(&self, tgt: &Id, inv: &Id, number: u32) -> Option<ConnectionId> {
         let forward = Task::Forward { inv: inv.clone(), number };
         let lines = self.by_id.get(tgt).map(|runner| runner.lines.as_slice()).unwrap_or_default();
-        let carries = |link: &&Link| self.lines.get(link).and_then(|l| l.task.as_ref()) == Some(&forward);
+        let carries = |connection: &&ConnectionId| {
+            self.lines.get(connection).and_then(|l| l.task.as_ref()) == Some(&forward)
+        };
         lines.iter().find(carries).copied()
     }
 
     /// Gives up a forward: unsent it is simply dropped; before its 202 its connection is closed, and the job
     /// is deleted all the same, as the 202 may be under way. As long as the runner has not answered, the job
     /// may go on there, and another forward would be a second copy.
-    pub fn give_up(&mut self, tgt: &Id, inv: &Id, number: u32, wires: &mut dyn Wires) {
-        if self.hold_back(tgt, inv, number, wires) {
+    pub fn give_up(&mut self, tgt: &Id, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
+        if self.hold_back(tgt, inv, number, driver) {
             return;
         }
-        if let Some(link) = self.carrying(tgt, inv, number) {
-            self.end_line(link, End::GivenUp, wires);
+        if let Some(connection) = self.carrying(tgt, inv, number) {
+            self.end_line(connection, CloseReason::GivenUp, driver);
         }
         // A runner that is listed no more may still be at it, cut off from whoever keeps the list.
         let Some(runner) = self.by_id.get(tgt).filter(|_| self.may_cancel) else {
-            return self.heard.push(Heard::NotDropped { inv: inv.clone(), number });
+            return self.heard.push(RunnerEvent::NotDropped { inv: inv.clone(), number });
         };
         let message = encode_bare("DELETE", &format!("/jobs/{inv}"), runner.address);
-        let due = wires.now() + CANCEL_WITHIN;
+        let due = driver.now() + CANCEL_WITHIN;
         let task = Task::Cancel { inv: inv.clone(), number };
-        self.ask(tgt, Asked { task, message, due, waits: None }, wires);
+        self.ask(tgt, Asked { task, message, due, waits: None }, driver);
     }
 
-    fn ask(&mut self, tgt: &Id, asked: Asked, wires: &mut dyn Wires) {
+    fn ask(&mut self, tgt: &Id, asked: Asked, driver: &mut dyn ConnectionDriver) {
         // One that has rested, if there is one: what is answered on it cannot be another's.
-        let rested = wires.now() - SECOND_WITHIN;
+        let rested = driver.now() - SECOND_WITHIN;
         while let Some(runner) = self.by_id.get_mut(tgt)
             && let Some(last) = runner.idle.len().checked_sub(1)
         {
-            let rests = |link: &Link| self.lines.get(link).is_none_or(|line| line.since <= rested);
-            let link = runner.idle.remove(runner.idle.iter().rposition(rests).unwrap_or(last));
-            if wires.fresh(link) {
-                return self.start(link, asked, wires);
+            let rests = |connection: &ConnectionId| {
+                self.lines.get(connection).is_none_or(|line| line.since <= rested)
+            };
+            let connection = runner.idle.remove(runner.idle.iter().rposition(rests).unwrap_or(last));
+            if driver.is_reusable(connection) {
+                return self.start(connection, asked, driver);
             }
-            self.end_line(link, End::Stale, wires);
+            self.end_line(connection, CloseReason::Stale, driver);
         }
-        self.ask_anew(tgt, asked, wires);
+        self.ask_anew(tgt, asked, driver);
     }
 
     /// On a connection of its own, however many are idle.
-    fn ask_anew(&mut self, tgt: &Id, asked: Asked, wires: &mut dyn Wires) {
+    fn ask_anew(&mut self, tgt: &Id, asked: Asked, driver: &mut dyn ConnectionDriver) {
         let Asked { task, message, due, waits } = asked;
         let Some(runner) = self.by_id.get_mut(tgt) else {
             return self.unanswered(tgt, task, ForwardResult::Void, false);
         };
-        let link = wires.dial(runner.address, Side::Runner);
-        runner.lines.push(link);
-        let since = wires.now();
+        let connection = driver.dial(runner.address, ConnectionRole::Runner);
+        runner.lines.push(connection);
+        let since = driver.now();
         let (phase, task, tgt) = (Phase::Dialling, Some(task), tgt.clone());
         let (answered_at, leaves_by, overdue, rest_check) = (None, Micros::MAX, false, 0);
         let line = Line {
@@ -366,14 +378,14 @@
             overdue,
             rest_check,
         };
-        self.lines.insert(link, line);
-        wires.wake(Timer::Link(link), since + self.dial_timeout);
+        self.lines.insert(connection, line);
+        driver.set_timer(Timer::Connection(connection), since + self.dial_timeout);
     }
 
     /// What had to leave by now, and still waits for its dial, never leaves.
-    fn lapse(&mut self, link: Link, wires: &mut dyn Wires) {
-        let late = |line: &&mut Line| line.phase == Phase::Dialling && wires.now() >= line.leaves_by;
-        let Some(line) = self.lines.get_mut(&link).filter(late) else { return };
+    fn lapse(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        let late = |line: &&mut Line| line.phase == Phase::Dialling && driver.now() >= line.leaves_by;
+        let Some(line) = self.lines.get_mut(&connection).filter(late) else { return };
         line.leaves_by = Micros::MAX;
         if let Some(asked) = line.take_waiting(Micros::MIN) {
             let tgt = line.tgt.clone();
@@ -383,112 +395,113 @@
 
     /// Writes a task's message to a connection that is up. A client that has left meanwhile is looked for once more:
     /// against a forward for nobody, written at the end of a long turn or by a dial that comes up before its end is read.
-    fn start(&mut self, link: Link, asked: Asked, wires: &mut dyn Wires) {
+    fn start(&mut self, connection: ConnectionId, asked: Asked, driver: &mut dyn ConnectionDriver) {
         let Asked { task, mut message, due, waits } = asked;
         if let Task::Forward { inv, number } = &task
-            && waits.is_some_and(|waits| wires.left(waits.client))
+            && waits.is_some_and(|waits| driver.peer_has_closed(waits.client))
         {
-            self.heard.push(Heard::Unwanted { inv: inv.clone(), number: *number });
-            return self.rest(link, wires);
+            self.heard.push(RunnerEvent::Unwanted { inv: inv.clone(), number: *number });
+            return self.rest(connection, driver);
         }
         if let Some(Waits { until, line_at, .. }) = waits {
-            let left = (until - wires.clock()).max(0) / 1000;
+            let left = (until - driver.clock()).max(0) / 1000;
             message.splice(line_at..line_at, format!("X-Deadline-Ms: {left}\r\n").into_bytes());
         }
-        let Some(line) = self.lines.get_mut(&link) else { return };
-        (line.phase, line.since, line.due, line.overdue) = (Phase::Busy, wires.now(), due, false);
+        let Some(line) = self.lines.get_mut(&connection) else { return };
+        (line.phase, line.since, line.due, line.overdue) = (Phase::Busy, driver.now(), due, false);
         self.written += u64::from(matches!(task, Task::Forward { .. }));
         let forward = matches!(task, Task::Forward { .. });
         line.task = Some(task);
-        wires.send(link, &message);
-        wires.wake(Timer::Link(link), due);
-        if forward && wires.unsent(link) {
-            wires.wake(Timer::Link(link), wires.now() + LEAVES_WITHIN);
+        driver.send(connection, &message);
+        driver.set_timer(Timer::Connection(connection), due);
+        if forward && driver.unsent(connection) {
+            driver.set_timer(Timer::Connection(connection), driver.now() + LEAVES_WITHIN);
         }
     }
 
     /// A forward that is not written whole in time: what it tells its runner of the time left is no longer true. Without
     /// its last byte it does not run.
-    fn give_up_unsent(&mut self, link: Link, wires: &mut dyn Wires) {
+    fn give_up_unsent(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         let late = |line: &Line| {
             let forward = matches!(line.task, Some(Task::Forward { .. }));
-            forward && line.phase == Phase::Busy && wires.now() >= line.since + LEAVES_WITHIN
+            forward && line.phase == Phase::Busy && driver.now() >= line.since + LEAVES_WITHIN
         };
-        if !self.lines.get(&link).is_some_and(late) || !wires.unsent(link) {
+        if !self.lines.get(&connection).is_some_and(late) || !driver.unsent(connection) {
             return;
         }
-        let Some(Line { tgt, task: Some(task), .. }) = self.drop_line(link) else { return };
-        wires.cut(link, End::SlowReader);
+        let Some(Line { tgt, task: Some(task), .. }) = self.drop_line(connection) else { return };
+        driver.abort(connection, CloseReason::SlowReader);
         self.written -= 1;
         self.unanswered(&tgt, task, ForwardResult::Unreachable, false);
     }
 
     /// A connection has come free: it takes over a task that waits for a dial, or is kept for the next one.
-    fn rest(&mut self, link: Link, wires: &mut dyn Wires) {
-        let Some(tgt) = self.lines.get(&link).map(|line| line.tgt.clone()) else { return };
+    fn rest(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        let Some(tgt) = self.lines.get(&connection).map(|line| line.tgt.clone()) else { return };
         let Some(runner) = self.by_id.get_mut(&tgt) else { return };
-        let now = wires.now();
-        let mut waiting = |other: &Link| self.lines.get_mut(other).and_then(|line| line.take_waiting(now));
+        let now = driver.now();
+        let mut waiting =
+            |other: &ConnectionId| self.lines.get_mut(other).and_then(|line| line.take_waiting(now));
         if let Some(asked) = runner.lines.iter().find_map(&mut waiting) {
-            return self.start(link, asked, wires);
+            return self.start(connection, asked, driver);
         }
         if runner.gone_since.is_some() {
-            return self.end_line(link, End::Unlisted, wires);
+            return self.end_line(connection, CloseReason::Unlisted, driver);
         }
-        runner.idle.push(link);
-        let Some(line) = self.lines.get_mut(&link) else { return };
-        (line.phase, line.since, line.task, line.due) = (Phase::Idle, wires.now(), None, Micros::MAX);
+        runner.idle.push(connection);
+        let Some(line) = self.lines.get_mut(&connection) else { return };
+        (line.phase, line.since, line.task, line.due) = (Phase::Idle, driver.now(), None, Micros::MAX);
         if line.rest_check <= line.since {
             line.rest_check = line.since + self.idle_most;
-            wires.wake(Timer::Link(link), line.rest_check);
+            driver.set_timer(Timer::Connection(connection), line.rest_check);
         }
     }
 
-    fn drop_line(&mut self, link: Link) -> Option<Line> {
-        let line = self.lines.remove(&link)?;
+    fn drop_line(&mut self, connection: ConnectionId) -> Option<Line> {
+        let line = self.lines.remove(&connection)?;
         if let Some(runner) = self.by_id.get_mut(&line.tgt) {
-            runner.lines.retain(|known| *known != link);
-            runner.idle.retain(|known| *known != link);
+            runner.lines.retain(|known| *known != connection);
+            runner.idle.retain(|known| *known != connection);
         }
         Some(line)
     }
 
-    fn end_line(&mut self, link: Link, end: End, wires: &mut dyn Wires) {
-        self.drop_line(link);
-        wires.cut(link, end);
+    fn end_line(&mut self, connection: ConnectionId, end: CloseReason, driver: &mut dyn ConnectionDriver) {
+        self.drop_line(connection);
+        driver.abort(connection, end);
     }
 
     /// A task that came to its end without an answer.
     fn unanswered(&mut self, tgt: &Id, task: Task, ending: ForwardResult, refused: bool) {
         let gone = self.by_id.get(tgt).is_none_or(|runner| runner.gone_since.is_some());
         self.heard.push(match task {
-            Task::Forward { inv, number } => Heard::Ended { inv, number, ending, report: Vec::new() },
+            Task::Forward { inv, number } => RunnerEvent::Ended { inv, number, ending, report: Vec::new() },
             // Listed no more, and nobody listens: the process is gone, and the job with it. A refusal alone
             // may come from a runner whose connections are all taken.
-            Task::Cancel { inv, number } if refused && gone => Heard::Dropped { inv, number },
-            Task::Cancel { inv, number } => Heard::NotDropped { inv, number },
-            Task::Probe => Heard::Probed { tgt: tgt.clone(), alive: false, report: Vec::new() },
+            Task::Cancel { inv, number } if refused && gone => RunnerEvent::Dropped { inv, number },
+            Task::Cancel { inv, number } => RunnerEvent::NotDropped { inv, number },
+            Task::Probe => RunnerEvent::Probed { tgt: tgt.clone(), alive: false, report: Vec::new() },
         });
     }
 
-    fn answered(&mut self, tgt: &Id, task: Task, answer: &Answer) {
+    fn answered(&mut self, tgt: &Id, task: Task, answer: &Response) {
         self.heard.push(match task {
             Task::Cancel { inv, number } => match answer.status {
-                200..=299 | 404 | 410 => Heard::Dropped { inv, number },
-                _ => Heard::NotDropped { inv, number },
+                200..=299 | 404 | 410 => RunnerEvent::Dropped { inv, number },
+                _ => RunnerEvent::NotDropped { inv, number },
             },
             Task::Probe => {
                 let report = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-                Heard::Probed {
+                RunnerEvent::Probed {
                     tgt: tgt.clone(),
                     alive: answer.status == 200,
                     report: read_report(&self.report_fields, &report),
                 }
             }
-            Task::Forward { inv, number } if answer.status == 202 => Heard::Taken { inv, number },
+            Task::Forward { inv, number } if answer.status == 202 => RunnerEvent::Taken { inv, number },
             Task::Forward { inv, number } if matches!(answer.status, 400..=428 | 430..=499) => {
                 log!("forward-unusable", "inv={inv} runner={tgt} status={}", answer.status);
-                Heard::Unusable { inv, number }
+                RunnerEvent::Unusable { inv, number }
             }
             Task::Forward { inv, number } => {
                 let load = answer.header("x-load").and_then(|text| serde_json::from_str(text).ok());
@@ -501,16 +514,16 @@
                         ForwardResult::Errored
                     }
                 };
-                Heard::Ended { inv, number, ending, report }
+                RunnerEvent::Ended { inv, number, ending, report }
             }
         });
     }
 
     /// What has come on a connection tells nothing of its task, which may have run; the connection ends with it.
-    fn unread(&mut self, link: Link, why: &str, wires: &mut dyn Wires) {
-        let Some(Line { tgt, task, overdue, .. }) = self.drop_line(link) else { return };
-        log!("bad-answer", "link={link} runner={tgt} reason={why}");
-        wires.cut(link, End::BadAnswer);
+    fn unread(&mut self, connection: ConnectionId, why: &str, driver: &mut dyn ConnectionDriver) {
+        let Some(Line { tgt, task, overdue, .. }) = self.drop_line(connection) else { return };
+        log!("bad-answer", "link={connection} runner={tgt} reason={why}");
+        driver.abort(connection, CloseReason::BadAnswer);
         if let Some(task) = task.filter(|_| !overdue) {
             self.unanswered(&tgt, task, ForwardResult::Broken, false);
         }
@@ -554,31 +567,33 @@
     fields.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
 }
 
-impl Callbacks for Runners {
-    fn up(&mut self, link: Link, wires: &mut dyn Wires) {
-        self.lapse(link, wires);
-        let Some(line) = self.lines.get_mut(&link) else { return };
-        match line.take_waiting(wires.now()) {
-            Some(asked) => self.start(link, asked, wires),
-            None => self.rest(link, wires),
+impl ConnectionHandler for Runners {
+    fn up(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        self.lapse(connection, driver);
+        let Some(line) = self.lines.get_mut(&connection) else { return };
+        match line.take_waiting(driver.now()) {
+            Some(asked) => self.start(connection, asked, driver),
+            None => self.rest(connection, driver),
         }
     }
 
-    fn bytes(&mut self, link: Link, input: &mut Vec<u8>, wires: &mut dyn Wires) {
-        let Some(line) = self.lines.get_mut(&link) else { return };
+    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
+        let Some(line) = self.lines.get_mut(&connection) else { return };
         if line.phase != Phase::Busy {
-            return self.end_line(link, End::Stale, wires);
+            return self.end_line(connection, CloseReason::Stale, driver);
         }
-        let (tgt, now) = (line.tgt.clone(), wires.now());
+        let (tgt, now) = (line.tgt.clone(), driver.now());
         let hasty = line.answered_at.is_some_and(|at| now < at + SECOND_WITHIN);
         let harmless = |status: u16| match line.task {
             Some(Task::Forward { .. }) => status == 202,
             Some(Task::Cancel { .. }) => false,
             Some(Task::Probe) | None => true,
         };
-        let doubted = |answer: &Answer| hasty && !harmless(answer.status);
+        let doubted = |answer: &Response| hasty && !harmless(answer.status);
         let (keep, used) = match http::answer(input, false) {
-            Ok(Some((answer, _))) if doubted(&answer) => return self.unread(link, "perhaps_anothers", wires),
+            Ok(Some((answer, _))) if doubted(&answer) => {
+                return self.unread(connection, "perhaps_anothers", driver);
+            }
             Ok(None) if input.len() < MESSAGE_MOST => return,
             Ok(Some((answer, used))) => {
                 // Late word on a probe says nothing any more; that a job is deleted still holds.
@@ -592,74 +607,88 @@
             }
             unread => {
                 let why = unread.err().map_or("too_long", |fault| fault.1);
-                return self.unread(link, why, wires);
+                return self.unread(connection, why, driver);
             }
         };
         drop(input.drain(..used));
         if keep && input.is_empty() {
-            self.rest(link, wires);
+            self.rest(connection, driver);
         } else {
-            self.end_line(link, if keep { End::Stale } else { End::AnsweredLast }, wires);
+            self.end_line(
+                connection,
+                if keep { CloseReason::Stale } else { CloseReason::AnsweredLast },
+                driver,
+            );
         }
     }
 
-    fn ended(&mut self, link: Link, end: End, unsent: bool, input: &[u8], wires: &mut dyn Wires) {
-        let Some(line) = self.drop_line(link) else { return };
+    fn ended(
+        &mut self,
+        connection: ConnectionId,
+        end: CloseReason,
+        unsent: bool,
+        input: &[u8],
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        let Some(line) = self.drop_line(connection) else { return };
         let Some(task) = line.task.filter(|_| !line.overdue) else { return };
         // A kept connection that breaks at its next request tells of the connection, not of the runner: a
         // probe is asked once more. Anything else sent again might be a second copy.
         if line.answered_at.is_some() && input.is_empty() && task == Task::Probe {
             let message = self.probe_message(&line.tgt);
-            return self.ask_anew(&line.tgt, Asked { task, message, due: line.due, waits: None }, wires);
+            return self.ask_anew(&line.tgt, Asked { task, message, due: line.due, waits: None }, driver);
         }
         if line.phase == Phase::Dialling || unsent {
             // It was counted when its writing began.
             let begun = line.phase == Phase::Busy && matches!(task, Task::Forward { .. });
             self.written -= u64::from(begun);
-            return self.unanswered(&line.tgt, task, ForwardResult::Unreachable, end == End::Refused);
+            return self.unanswered(&line.tgt, task, ForwardResult::Unreachable, end == CloseReason::Refused);
         }
         match (http::answer(input, true), task) {
             (Ok(Some((answer, _))), task) => self.answered(&line.tgt, task, &answer),
             // Its runner knows nothing of that and may go on: another forward would be a second copy.
-            (_, Task::Forward { inv, number }) if end == End::PathLost && self.may_cancel => {
-                self.give_up(&line.tgt, &inv, number, wires);
+            (_, Task::Forward { inv, number }) if end == CloseReason::PathLost && self.may_cancel => {
+                self.give_up(&line.tgt, &inv, number, driver);
             }
             (_, task) => self.unanswered(&line.tgt, task, ForwardResult::Broken, false),
         }
     }
 
-    fn due(&mut self, link: Link, wires: &mut dyn Wires) {
-        let now = wires.now();
-        self.lapse(link, wires);
-        self.give_up_unsent(link, wires);
-        let Some(line) = self.lines.get_mut(&link) else { return };
+    fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        let now = driver.now();
+        self.lapse(connection, driver);
+        self.give_up_unsent(connection, driver);
+        let Some(line) = self.lines.get_mut(&connection) else { return };
         match line.phase {
             Phase::Dialling if now >= line.since + self.dial_timeout => {
                 let (tgt, task) = (line.tgt.clone(), line.task.take());
                 // One that never began says nothing of its runner.
-                let ending =
-                    if wires.postponed(link) { ForwardResult::Void } else { ForwardResult::Unreachable };
-                self.end_line(link, End::DialTimeout, wires);
+                let ending = if driver.postponed(connection) {
+                    ForwardResult::Void
+                } else {
+                    ForwardResult::Unreachable
+                };
+                self.end_line(connection, CloseReason::DialTimeout, driver);
                 if let Some(task) = task {
                     self.unanswered(&tgt, task, ending, false);
                 }
             }
             Phase::Idle if now >= line.since + self.idle_most => {
-                self.end_line(link, End::Idle, wires);
+                self.end_line(connection, CloseReason::Idle, driver);
             }
             Phase::Idle if now >= line.rest_check => {
                 line.rest_check = line.since + self.idle_most;
-                wires.wake(Timer::Link(link), line.rest_check);
+                driver.set_timer(Timer::Connection(connection), line.rest_check);
             }
             Phase::Busy if now >= line.due => {
                 // A forward is never told as not answered here: whoever waits for it has long given it up.
                 let told = |task: &Task| !line.overdue && !matches!(task, Task::Forward { .. });
                 let Some(task) = line.task.clone().filter(told) else {
-                    return self.end_line(link, End::NoAnswer, wires);
+                    return self.end_line(connection, CloseReason::NoAnswer, driver);
                 };
                 line.overdue = true;
                 line.due = now + LATE_MOST;
-                wires.wake(Timer::Link(link), line.due);
+                driver.set_timer(Timer::Connection(connection), line.due);
                 let tgt = line.tgt.clone();
                 self.unanswered(&tgt, task, ForwardResult::Broken, false);
             }
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -8,13 +8,15 @@
 use topazsail::{Id, Listing, Micros, Readiness, RosterEntry};
 
 use crate::config;
-use crate::ingress::clients::{Clients, Heard, State};
+use crate::ingress::clients::{ClientEvent, Clients, State};
 use crate::ingress::operations::Operations;
 use crate::lifecycle::handover;
-use crate::net::connection::{Callbacks, End, Link, Side, Timer, Wires};
-use crate::net::http::{self, Fault};
-use crate::request_table::Desk;
-use crate::upstream::membership::Members;
+use crate::net::connection::{
+    CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, ConnectionRole, Timer,
+};
+use crate::net::http::{self, HttpError};
+use crate::request_table::RequestTable;
+use crate::upstream::membership::Membership;
 use crate::upstream::roster::Roster;
 use crate::upstream::runners::Runners;
 
@@ -26,19 +28,19 @@
     now: Micros,
     /// For how long the process has stood still.
     behind: Micros,
-    next: Link,
-    sides: BTreeMap<Link, Side>,
-    inputs: BTreeMap<Link, Vec<u8>>,
+    next: ConnectionId,
+    sides: BTreeMap<ConnectionId, ConnectionRole>,
+    inputs: BTreeMap<ConnectionId, Vec<u8>>,
     /// Connections whose other side has ended unnoticed, and those that take no bytes.
-    stale: BTreeSet<Link>,
-    left: BTreeSet<Link>,
-    stuck: BTreeSet<Link>,
-    lingering: Vec<Link>,
+    stale: BTreeSet<ConnectionId>,
+    left: BTreeSet<ConnectionId>,
+    stuck: BTreeSet<ConnectionId>,
+    lingering: Vec<ConnectionId>,
     dues: BTreeMap<(Micros, u64), Timer>,
     serial: u64,
-    revisits: Vec<Link>,
+    revisits: Vec<ConnectionId>,
     /// What was sent to another process.
-    said: BTreeMap<Link, String>,
+    said: BTreeMap<ConnectionId, String>,
     trace: String,
 }
 
@@ -47,20 +49,20 @@
         writeln!(self.trace, "{:<5} {line}", (self.now - START) / 1000).unwrap();
     }
 
-    fn open(&mut self, side: Side) -> Link {
+    fn open(&mut self, role: ConnectionRole) -> ConnectionId {
         self.next += 1;
-        self.sides.insert(self.next, side);
+        self.sides.insert(self.next, role);
         self.inputs.insert(self.next, Vec::new());
         self.next
     }
 }
 
-impl Wires for Stage {
+impl ConnectionDriver for Stage {
     fn now(&self) -> Micros {
         self.now
     }
 
-    fn came_since(&self) -> Micros {
+    fn readable_since(&self) -> Micros {
         self.now - self.behind
     }
 
@@ -69,58 +71,58 @@
     }
 
     fn end_lingering(&mut self) -> bool {
-        let ended = self.lingering.pop().inspect(|link| self.cut(*link, End::BadInput));
+        let ended = self.lingering.pop().inspect(|connection| self.abort(*connection, CloseReason::BadInput));
         ended.is_some()
     }
 
-    fn dial(&mut self, to: SocketAddr, side: Side) -> Link {
-        let link = self.open(side);
-        self.say(&format!("#{link} dials {to}"));
-        link
+    fn dial(&mut self, to: SocketAddr, role: ConnectionRole) -> ConnectionId {
+        let connection = self.open(role);
+        self.say(&format!("#{connection} dials {to}"));
+        connection
     }
 
-    fn send(&mut self, link: Link, bytes: &[u8]) {
-        if self.sides.get(&link) == Some(&Side::Peer) {
-            return self.said.entry(link).or_default().push_str(&String::from_utf8_lossy(bytes));
+    fn send(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        if self.sides.get(&connection) == Some(&ConnectionRole::Peer) {
+            return self.said.entry(connection).or_default().push_str(&String::from_utf8_lossy(bytes));
         }
         let text = String::from_utf8_lossy(bytes).replace("HTTP/1.1 ", "").replace(" HTTP/1.1", "");
         let text = text.trim_end().replace("\r\n\r\n", " = ").replace("\r\n", "; ");
-        self.say(&format!("#{link} < {text}"));
+        self.say(&format!("#{connection} < {text}"));
     }
 
-    fn fresh(&mut self, link: Link) -> bool {
-        !self.stale.contains(&link)
+    fn is_reusable(&mut self, connection: ConnectionId) -> bool {
+        !self.stale.contains(&connection)
     }
 
-    fn left(&self, link: Link) -> bool {
-        self.left.contains(&link)
+    fn peer_has_closed(&self, connection: ConnectionId) -> bool {
+        self.left.contains(&connection)
     }
 
-    fn unsent(&self, link: Link) -> bool {
-        self.stuck.contains(&link)
+    fn unsent(&self, connection: ConnectionId) -> bool {
+        self.stuck.contains(&connection)
     }
 
-    fn revisit(&mut self, link: Link) {
-        self.revisits.push(link);
+    fn process_again(&mut self, connection: ConnectionId) {
+        self.revisits.push(connection);
     }
 
-    fn finish(&mut self, link: Link, end: End) {
-        self.cut(link, end);
+    fn finish(&mut self, connection: ConnectionId, end: CloseReason) {
+        self.abort(connection, end);
     }
 
-    fn cut(&mut self, link: Link, end: End) {
-        self.sides.remove(&link);
-        self.say(&format!("#{link} ends: {}", end.code()));
+    fn abort(&mut self, connection: ConnectionId, end: CloseReason) {
+        self.sides.remove(&connection);
+        self.say(&format!("#{connection} ends: {}", end.code()));
     }
 
-    fn wake(&mut self, due: Timer, at: Micros) {
+    fn set_timer(&mut self, due: Timer, at: Micros) {
         self.serial += 1;
         self.dues.insert((at, self.serial), due);
     }
 }
 
 struct Node {
-    desk: Desk,
+    table: RequestTable,
     stage: Stage,
 }
 
@@ -169,33 +171,33 @@
     fn told(configuration: &str) -> Node {
         let mut stage = Stage { now: START, ..Stage::default() };
         let told = config::decode(configuration).unwrap();
-        let mut node = Node { desk: Desk::new(told, None, None, &mut stage), stage };
+        let mut node = Node { table: RequestTable::new(told, None, None, &mut stage), stage };
         node.settle();
         node
     }
 
     /// One that takes over from another, with what that one says to it on connection `link`.
-    fn successor(of: &mut Node, link: Link) -> Node {
-        of.stage.sides.insert(link, Side::Peer);
-        of.stage.inputs.insert(link, Vec::new());
-        of.desk.hand_over(link, &mut of.stage);
+    fn successor(of: &mut Node, connection: ConnectionId) -> Node {
+        of.stage.sides.insert(connection, ConnectionRole::Peer);
+        of.stage.inputs.insert(connection, Vec::new());
+        of.table.hand_over(connection, &mut of.stage);
         of.settle();
-        let said = of.stage.said.remove(&link).unwrap();
+        let said = of.stage.said.remove(&connection).unwrap();
         let (state, since) = said.split_once('\n').unwrap();
         let state = serde_json::from_str(state).unwrap();
         let mut stage = Stage { now: of.stage.now, next: 100, ..Stage::default() };
         let told = config::decode(&configuration(&[])).unwrap();
-        let mut node = Node { desk: Desk::new(told, Some(state), None, &mut stage), stage };
-        node.stage.sides.insert(link, Side::Peer);
-        node.desk.takes_over(link, since.as_bytes().to_vec(), &mut node.stage);
+        let mut node = Node { table: RequestTable::new(told, Some(state), None, &mut stage), stage };
+        node.stage.sides.insert(connection, ConnectionRole::Peer);
+        node.table.takes_over(connection, since.as_bytes().to_vec(), &mut node.stage);
         node.settle();
         node
     }
 
     /// Passes on what was said to the other process since.
-    fn passes_on(&mut self, link: Link, to: &mut Node) {
-        let said = self.stage.said.remove(&link).unwrap_or_default();
-        to.feed(link, &said);
+    fn passes_on(&mut self, connection: ConnectionId, to: &mut Node) {
+        let said = self.stage.said.remove(&connection).unwrap_or_default();
+        to.feed(connection, &said);
     }
 
     /// One that has its list from the watch, told from here on.
@@ -205,10 +207,11 @@
 
     /// Its first call is answered: nothing has changed.
     fn hears(mut self) -> Node {
-        let link = *self.stage.sides.iter().find(|(_, side)| **side == Side::Roster).unwrap().0;
-        self.up(link);
-        self.feed(link, WATCH);
-        self.feed(link, &chunk("{\"generation\":42,\"reset\":false,\"instances\":[]}\n"));
+        let connection =
+            *self.stage.sides.iter().find(|(_, role)| **role == ConnectionRole::Roster).unwrap().0;
+        self.up(connection);
+        self.feed(connection, WATCH);
+        self.feed(connection, &chunk("{\"generation\":42,\"reset\":false,\"instances\":[]}\n"));
         self.stage.trace.clear();
         self
     }
@@ -224,56 +227,56 @@
 
     fn settle(&mut self) {
         loop {
-            self.desk.settle(&mut self.stage);
-            for link in std::mem::take(&mut self.stage.revisits) {
-                self.feed(link, "");
+            self.table.decide(&mut self.stage);
+            for connection in std::mem::take(&mut self.stage.revisits) {
+                self.feed(connection, "");
             }
-            if !self.desk.pending() {
+            if !self.table.pending() {
                 return;
             }
         }
     }
 
-    fn accept(&mut self) -> Link {
-        assert!(self.desk.clients.room(&mut self.stage));
-        let link = self.stage.open(Side::Client);
-        self.desk.clients.accepted(link, &mut self.stage);
-        link
+    fn accept(&mut self) -> ConnectionId {
+        assert!(self.table.clients.room(&mut self.stage));
+        let connection = self.stage.open(ConnectionRole::Client);
+        self.table.clients.accepted(connection, &mut self.stage);
+        connection
     }
 
-    fn operator(&mut self) -> Link {
-        assert!(self.desk.room(Side::Operator, &mut self.stage));
-        let link = self.stage.open(Side::Operator);
-        self.desk.accepted(Side::Operator, link, &mut self.stage);
-        link
+    fn operator(&mut self) -> ConnectionId {
+        assert!(self.table.room(ConnectionRole::Operator, &mut self.stage));
+        let connection = self.stage.open(ConnectionRole::Operator);
+        self.table.accepted(ConnectionRole::Operator, connection, &mut self.stage);
+        connection
     }
 
     /// An operator's call on a connection of its own.
     fn call(&mut self, line: &str) {
-        let link = self.operator();
-        self.feed(link, &format!("{line}\n"));
+        let connection = self.operator();
+        self.feed(connection, &format!("{line}\n"));
     }
 
-    fn feed(&mut self, link: Link, text: &str) {
-        let Some(side) = self.stage.sides.get(&link).copied() else { return };
-        let mut input = self.stage.inputs.remove(&link).unwrap_or_default();
+    fn feed(&mut self, connection: ConnectionId, text: &str) {
+        let Some(role) = self.stage.sides.get(&connection).copied() else { return };
+        let mut input = self.stage.inputs.remove(&connection).unwrap_or_default();
         input.extend_from_slice(text.as_bytes());
-        self.desk.callbacks(side).bytes(link, &mut input, &mut self.stage);
-        self.stage.inputs.insert(link, input);
+        self.table.callbacks(role).bytes(connection, &mut input, &mut self.stage);
+        self.stage.inputs.insert(connection, input);
         self.settle();
     }
 
-    fn up(&mut self, link: Link) {
-        let side = self.stage.sides[&link];
-        self.desk.callbacks(side).up(link, &mut self.stage);
+    fn up(&mut self, connection: ConnectionId) {
+        let role = self.stage.sides[&connection];
+        self.table.callbacks(role).up(connection, &mut self.stage);
         self.settle();
     }
 
     /// The other side ends a connection.
-    fn end(&mut self, link: Link, end: End) {
-        let side = self.stage.sides.remove(&link).unwrap();
-        let (unsent, input) = (self.stage.unsent(link), self.stage.inputs[&link].clone());
-        self.desk.callbacks(side).ended(link, end, unsent, &input, &mut self.stage);
+    fn end(&mut self, connection: ConnectionId, end: CloseReason) {
+        let role = self.stage.sides.remove(&connection).unwrap();
+        let (unsent, input) = (self.stage.unsent(connection), self.stage.inputs[&connection].clone());
+        self.table.callbacks(role).ended(connection, end, unsent, &input, &mut self.stage);
         self.settle();
     }
 
@@ -282,34 +285,37 @@
         while let Some(entry) = self.stage.dues.first_entry().filter(|entry| entry.key().0 <= until) {
             self.stage.now = entry.key().0.max(self.stage.now);
             match entry.remove() {
-                Timer::Link(link) => {
-                    if let Some(side) = self.stage.sides.get(&link).copied() {
-                        self.desk.callbacks(side).due(link, &mut self.stage);
+                Timer::Connection(connection) => {
+                    if let Some(role) = self.stage.sides.get(&connection).copied() {
+                        self.table.callbacks(role).timer_fired(connection, &mut self.stage);
                     }
                 }
-                due => self.desk.due(due, &mut self.stage),
+                due => self.table.timer_fired(due, &mut self.stage),
             }
             self.settle();
         }
         self.stage.now = until;
     }
 
-    fn invoke(&mut self, operation: &str, id: &str) -> Link {
-        let link = self.accept();
+    fn invoke(&mut self, operation: &str, id: &str) -> ConnectionId {
+        let connection = self.accept();
         self.feed(
-            link,
+            connection,
             &format!(
                 "POST /{operation}/7?x=1 HTTP/1.1\r\nHost: o\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 5000\r\n\
                  Idempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi"
             ),
         );
-        link
+        connection
     }
 
     fn call_back(&mut self, told: &str) {
-        let link = self.accept();
+        let connection = self.accept();
         let length = told.len();
-        self.feed(link, &format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{told}"));
+        self.feed(
+            connection,
+            &format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{told}"),
+        );
     }
 
     fn shows(&self, expected: Expect) {
@@ -395,9 +401,9 @@
     let mut answer = b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"x0\":1,\"inflight\":0} ".to_vec();
     runners.bytes(1, &mut answer, &mut stage);
     runners.probe(&tgt, &mut stage);
-    runners.ended(1, End::Reset, false, b"", &mut stage);
+    runners.ended(1, CloseReason::Reset, false, b"", &mut stage);
     runners.up(2, &mut stage);
-    runners.ended(2, End::Reset, false, b"", &mut stage);
+    runners.ended(2, CloseReason::Reset, false, b"", &mut stage);
     for heard in runners.heard {
         stage.say(&format!("{heard:?}"));
     }
@@ -456,7 +462,7 @@
     let mut node = Node::followed(&RUNNERS);
     node.invoke("book", "i1");
     node.up(3);
-    node.end(3, End::Reset);
+    node.end(3, CloseReason::Reset);
     node.shows(expect![[r#"
         0     #3 dials 127.0.0.1:3002
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
@@ -470,7 +476,7 @@
     node.invoke("book", "i1");
     node.up(3);
     node.stage.stuck.insert(3);
-    node.end(3, End::Reset);
+    node.end(3, CloseReason::Reset);
     node.pass(1500);
     node.shows(expect![[r#"
         0     #3 dials 127.0.0.1:3001
@@ -497,9 +503,9 @@
         node.pass(999);
         node.feed(1, BEAT);
     }
-    let link = *node.stage.sides.iter().rfind(|(_, side)| **side == Side::Runner).unwrap().0;
-    node.up(link);
-    node.feed(link, DELETED);
+    let connection = *node.stage.sides.iter().rfind(|(_, role)| **role == ConnectionRole::Runner).unwrap().0;
+    node.up(connection);
+    node.feed(connection, DELETED);
     node.shows(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
@@ -527,7 +533,7 @@
         node.feed(1, BEAT);
     }
     node.pass(60);
-    node.end(5, End::Refused);
+    node.end(5, CloseReason::Refused);
     node.shows(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
@@ -546,11 +552,11 @@
     node.up(3);
     node.feed(3, TAKEN);
     node.pass(20);
-    node.end(client, End::PeerClosed);
+    node.end(client, CloseReason::PeerClosed);
     node.feed(3, DELETED);
     // Before the 202 its connection is closed as well.
     let client = node.invoke("plan", "i2");
-    node.end(client, End::PeerClosed);
+    node.end(client, CloseReason::PeerClosed);
     node.shows(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
@@ -724,44 +730,44 @@
 
 impl Node {
     /// What comes of the call on this connection; it is left with the fault just done.
-    fn fails(&mut self, link: Link, how: Fails) {
+    fn fails(&mut self, connection: ConnectionId, how: Fails) {
         if !matches!(how, Fails::NeverUp | Fails::Refused) {
-            self.up(link);
+            self.up(connection);
         }
         let said = match how {
             Fails::NeverUp | Fails::SilentBeforeHead => return,
-            Fails::Refused => return self.end(link, End::Refused),
-            Fails::Reset => return self.end(link, End::Reset),
+            Fails::Refused => return self.end(connection, CloseReason::Refused),
+            Fails::Reset => return self.end(connection, CloseReason::Reset),
             Fails::Unavailable => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned(),
             Fails::SilentWithinHead => WATCH[..20].to_owned(),
             Fails::SilentBeforeLine => WATCH.to_owned(),
             Fails::SilentAfterLine | Fails::ResetAfterLine => format!("{WATCH}{}", chunk(LISTED)),
             Fails::SilentWithinLine => format!("{WATCH}{}{}", chunk(LISTED), chunk("{\"gen")),
         };
-        self.feed(link, &said);
+        self.feed(connection, &said);
         if how == Fails::ResetAfterLine {
-            self.end(link, End::Reset);
+            self.end(connection, CloseReason::Reset);
         }
     }
 
     /// The connection of the call to discovery that came after the one on this, if there is one.
-    fn called_after(&self, before: Link) -> Option<Link> {
-        let calls = self.stage.sides.iter().filter(|(_, side)| **side == Side::Roster);
-        calls.map(|(link, _)| *link).find(|link| *link > before)
+    fn called_after(&self, before: ConnectionId) -> Option<ConnectionId> {
+        let calls = self.stage.sides.iter().filter(|(_, role)| **role == ConnectionRole::Roster);
+        calls.map(|(connection, _)| *connection).find(|connection| *connection > before)
     }
 
     /// The next call fails like this, if it has come. Gives the connection of the last one.
-    fn fails_on(&mut self, before: Link, how: Fails) -> Link {
-        let Some(link) = self.called_after(before) else { return before };
-        self.fails(link, how);
-        link
+    fn fails_on(&mut self, before: ConnectionId, how: Fails) -> ConnectionId {
+        let Some(connection) = self.called_after(before) else { return before };
+        self.fails(connection, how);
+        connection
     }
 
     /// The connection of the next call, as soon as there is one.
-    fn asks_again(&mut self, before: Link) -> Link {
+    fn asks_again(&mut self, before: ConnectionId) -> ConnectionId {
         for _ in 0..1000 {
-            if let Some(link) = self.called_after(before) {
-                return link;
+            if let Some(connection) = self.called_after(before) {
+                return connection;
             }
             self.pass(10);
         }
@@ -777,16 +783,16 @@
     for first in FAILS {
         for then in FAILS {
             let mut node = Node::followed(&RUNNERS[..1]);
-            node.end(1, End::Reset);
-            let link = node.asks_again(1);
-            node.fails(link, first);
-            let link = node.asks_again(link);
-            node.fails(link, then);
+            node.end(1, CloseReason::Reset);
+            let connection = node.asks_again(1);
+            node.fails(connection, first);
+            let connection = node.asks_again(connection);
+            node.fails(connection, then);
             let well_at = node.stage.now;
-            let link = node.asks_again(link);
-            node.up(link);
+            let connection = node.asks_again(connection);
+            node.up(connection);
             node.pass(2000);
-            node.feed(link, &format!("{WATCH}{}", chunk(LISTED)));
+            node.feed(connection, &format!("{WATCH}{}", chunk(LISTED)));
             let took = (node.stage.now - well_at) / 1000;
             assert!(took < 5800, "{first:?}, {then:?}: {took} ms, {}", node.stage.trace);
             node.stage.trace.clear();
@@ -810,9 +816,9 @@
         node.pass(1000);
         // Its dial comes up only when the list is in force no more.
         node.invoke("plan", "i1");
-        let mut link = 1;
+        let mut connection = 1;
         while node.stage.now < START + 5_990_000 {
-            link = node.fails_on(link, how);
+            connection = node.fails_on(connection, how);
             node.pass(10);
         }
         node.stage.trace.clear();
@@ -824,9 +830,9 @@
         assert_eq!(trace.matches("dials 127.0.0.1:3001").count(), 1, "{how:?}: {trace}");
         assert!(trace.contains("ends: unlisted"), "{how:?}: {trace}");
         // The list is heard: it goes on.
-        let link = node.asks_again(link);
-        node.up(link);
-        node.feed(link, &format!("{WATCH}{}", chunk(LISTED)));
+        let connection = node.asks_again(connection);
+        node.up(connection);
+        node.feed(connection, &format!("{WATCH}{}", chunk(LISTED)));
         node.stage.trace.clear();
         node.invoke("plan", "i4");
         assert!(node.stage.trace.contains("dials 127.0.0.1:3001"), "{how:?}: {}", node.stage.trace);
@@ -849,10 +855,10 @@
             node.feed(1, &chunk(LISTED));
         }
         node.feed(look, READY);
-        let mut link = 1;
+        let mut connection = 1;
         let mut ready_at = None;
         for _ in 0..910 {
-            link = node.fails_on(link, how);
+            connection = node.fails_on(connection, how);
             node.pass(10);
             if ready_at.is_none() && node.stage.trace.contains("200 OK") {
                 ready_at = Some((node.stage.now - START) / 1000);
@@ -877,9 +883,9 @@
     for how in [Fails::SilentBeforeHead, Fails::SilentBeforeLine, Fails::Unavailable] {
         let pushed = configuration(&RUNNERS[..1]).replace("subscribe", "automatic");
         let mut node = Node::told(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":500000")).hears();
-        let mut link = 1;
+        let mut connection = 1;
         while node.stage.now < START + 20_000_000 {
-            link = node.fails_on(link, how);
+            connection = node.fails_on(connection, how);
             node.pass(10);
             let ms = (node.stage.now - START) / 1000;
             if [6_500, 13_000, 19_500].contains(&ms) {
@@ -895,10 +901,10 @@
 #[test]
 fn a_discovery_that_turns_every_call_away_for_long_is_down() {
     let mut node = Node::new(&RUNNERS[..1]);
-    let (mut link, mut sent_at, mut next_ask) = (0, None, START);
+    let (mut connection, mut sent_at, mut next_ask) = (0, None, START);
     let client = node.accept();
     while node.stage.now < START + 30_000_000 && sent_at.is_none() {
-        link = node.fails_on(link, Fails::Unavailable);
+        connection = node.fails_on(connection, Fails::Unavailable);
         node.pass(50);
         if node.stage.now >= next_ask {
             next_ask += 1_000_000;
@@ -919,10 +925,10 @@
     for how in down {
         let mut node = Node::followed(&RUNNERS[..1]);
         node.pass(1000);
-        node.end(1, End::Reset);
-        let mut link = 1;
+        node.end(1, CloseReason::Reset);
+        let mut connection = 1;
         while node.stage.now < START + 20_000_000 {
-            link = node.fails_on(link, how);
+            connection = node.fails_on(connection, how);
             node.pass(10);
         }
         node.stage.trace.clear();
@@ -937,7 +943,7 @@
 fn a_whole_list_may_come_slowly_but_not_for_ever() {
     let mut node = Node::followed(&RUNNERS[..1]);
     let moved = config::decode(&configuration(&RUNNERS).replace("8500", "8501")).unwrap();
-    node.desk.reload(moved, &mut node.stage);
+    node.table.reload(moved, &mut node.stage);
     node.up(2);
     let list = r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-b","lifecycle":"up",
         "hostPort":"127.0.0.1:3002"}]}"#;
@@ -969,8 +975,8 @@
 fn a_discovery_that_refuses_is_asked_again_within_the_grace_where_lists_are_pushed() {
     let pushed = configuration(&RUNNERS).replace("subscribe", "automatic");
     let mut node = Node::told(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":250000"));
-    for link in 1..=9 {
-        node.end(link, End::Refused);
+    for connection in 1..=9 {
+        node.end(connection, CloseReason::Refused);
         node.pass(95);
     }
     assert_eq!(node.stage.trace.matches("dials 127.0.0.1:8500").count(), 10, "{}", node.stage.trace);
@@ -1019,7 +1025,7 @@
     for id in ["i1", "i2", "i3"] {
         node.invoke("plan", id);
     }
-    node.end(1, End::Reset);
+    node.end(1, CloseReason::Reset);
     node.pass(500);
     node.shows(expect![[r#"
         0     #3 dials 127.0.0.1:3002
@@ -1076,9 +1082,9 @@
         let text = configuration(&RUNNERS).replace("8500", port).replace("\"sockets\":64", "\"sockets\":128");
         config::decode(&text).unwrap()
     };
-    node.desk.reload(moved("8501"), &mut node.stage);
+    node.table.reload(moved("8501"), &mut node.stage);
     // The same again leaves the watch that is under way alone.
-    node.desk.reload(moved("8501"), &mut node.stage);
+    node.table.reload(moved("8501"), &mut node.stage);
     node.up(2);
     node.feed(2, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     node.pass(600);
@@ -1092,8 +1098,8 @@
         node.invoke("plan", id);
     }
     // Told to end while yet another watch is being dialled.
-    node.desk.reload(moved("8502"), &mut node.stage);
-    node.desk.go_down(&mut node.stage);
+    node.table.reload(moved("8502"), &mut node.stage);
+    node.table.go_down(&mut node.stage);
     node.shows(expect![[r#"
         0     #1 ends: watch_replaced
         0     #2 dials 127.0.0.1:8501
@@ -1134,8 +1140,8 @@
     node.invoke("plan", "i1");
     node.up(4);
     node.feed(4, TAKEN);
-    node.desk.go_down(&mut node.stage);
-    node.desk.go_down(&mut node.stage);
+    node.table.go_down(&mut node.stage);
+    node.table.go_down(&mut node.stage);
     let late = node.accept();
     node.feed(late, "GET /healthz HTTP/1.1\r\n\r\n");
     node.pass(1000);
@@ -1145,9 +1151,9 @@
     node.feed(idle, "POST /plan HTTP/1.1\r\nX-Request-Id: i2\r\nX-Deadline-Ms: 900\r\n\r\n");
     node.feed(4, TAKEN);
     node.pass(200);
-    node.stage.say(&format!("down: {}", node.desk.is_down(node.stage.now)));
+    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
     node.call_back(r#"{"id":"i2","from":"s-a","state":"done","result":"q"}"#);
-    node.stage.say(&format!("down: {}", node.desk.is_down(node.stage.now)));
+    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
     node.shows(expect![[r#"
         0     #4 dials 127.0.0.1:3001
         0     #4 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
@@ -1171,13 +1177,13 @@
     let mut node = Node::followed(&RUNNERS[..1]);
     let client = node.accept();
     node.stage.stale.insert(client);
-    node.desk.go_down(&mut node.stage);
+    node.table.go_down(&mut node.stage);
     node.pass(2000);
-    node.stage.say(&format!("down: {}", node.desk.is_down(node.stage.now)));
+    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
     node.feed(client, "POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 900\r\n\r\n");
-    node.end(3, End::Refused);
+    node.end(3, CloseReason::Refused);
     node.pass(900);
-    node.stage.say(&format!("down: {}", node.desk.is_down(node.stage.now)));
+    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
     node.shows(expect![[r#"
         2000  down: false
         2000  #3 dials 127.0.0.1:3001
@@ -1192,11 +1198,11 @@
 #[test]
 fn told_to_end_it_leaves_nothing_unanswered() {
     let mut node = Node::holding("book");
-    node.desk.go_down(&mut node.stage);
+    node.table.go_down(&mut node.stage);
     node.pass(2200);
     node.call_back(r#"{"id":"i1","from":"s-a","state":"running","share":0.4}"#);
     node.pass(1200);
-    node.stage.say(&format!("down: {}", node.desk.is_down(node.stage.now)));
+    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
     node.shows(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
@@ -1214,13 +1220,13 @@
 #[test]
 fn told_to_end_it_forwards_nothing_anew_at_the_last_moment() {
     let mut node = Node::followed(&RUNNERS);
-    node.desk.go_down(&mut node.stage);
+    node.table.go_down(&mut node.stage);
     node.pass(2900);
     node.invoke("plan", "i1");
     node.up(3);
     node.feed(3, TAKEN);
     node.pass(430);
-    node.stage.say(&format!("down: {}", node.desk.is_down(node.stage.now)));
+    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
     node.shows(expect![[r#"
         2900  #3 dials 127.0.0.1:3001
         2900  #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
@@ -1240,9 +1246,9 @@
 fn told_to_end_it_goes_by_the_longest_client_timeout_of_its_settings() {
     let text = configuration(&RUNNERS[..1]);
     let mut node = Node::told(&text.replace("8000000", "900000").replace("5000000", "600000")).hears();
-    let kept: Vec<Link> = (0..3).map(|_| node.accept()).collect();
+    let kept: Vec<ConnectionId> = (0..3).map(|_| node.accept()).collect();
     let asks = |id: &str| format!("POST /book HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
-    node.desk.go_down(&mut node.stage);
+    node.table.go_down(&mut node.stage);
     node.pass(800);
     node.feed(kept[0], &asks("i1"));
     node.up(5);
@@ -1251,10 +1257,10 @@
     node.pass(300);
     node.feed(kept[1], &asks("i2"));
     node.pass(101);
-    node.stage.say(&format!("down: {}", node.desk.is_down(node.stage.now)));
+    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
     node.feed(kept[2], &asks("i3"));
     node.pass(30);
-    node.stage.say(&format!("down: {}", node.desk.is_down(node.stage.now)));
+    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
     node.shows(expect![[r#"
         800   #5 dials 127.0.0.1:3001
         800   #5 < POST /book; X-Request-Id: i1; X-Deadline-Ms: 880; Content-Length: 0
@@ -1278,17 +1284,17 @@
     let text = configuration(&RUNNERS[..1]).replace("\"cancel\":true", "\"cancel\":false");
     let mut node = Node::told(&text).hears();
     let dials = node.invoke("book", "i1");
-    node.end(dials, End::PeerClosed);
+    node.end(dials, CloseReason::PeerClosed);
     node.up(3);
     // Behind a full socket only part of it has gone, which no runner begins on.
     node.stage.stuck.insert(3);
     let half = node.invoke("book", "i2");
-    node.end(half, End::Reset);
+    node.end(half, CloseReason::Reset);
     // After a forward that came back, and before the next.
     let again = node.invoke("book", "i3");
     node.up(6);
     node.feed(6, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-    node.end(again, End::PeerClosed);
+    node.end(again, CloseReason::PeerClosed);
     node.pass(900);
     node.shows(expect![[r#"
         0     #3 dials 127.0.0.1:3001
@@ -1324,13 +1330,13 @@
     node.stage.left.insert(client);
     node.feed(client, "POST /plan HTTP/1.1\r\nX-Request-Id: i2\r\nX-Deadline-Ms: 5000\r\n\r\n");
     // Its end, when it is read, is no more news; the next one has the connection.
-    node.end(client, End::PeerClosed);
+    node.end(client, CloseReason::PeerClosed);
     let third = node.invoke("plan", "i3");
     // Over a dial, and over connections that come free.
     let dialling = |node: &mut Node, id: &str| {
         let client = node.invoke("plan", id);
         node.stage.left.insert(client);
-        *node.stage.sides.iter().rfind(|(_, side)| **side == Side::Runner).unwrap().0
+        *node.stage.sides.iter().rfind(|(_, role)| **role == ConnectionRole::Runner).unwrap().0
     };
     let dialled = dialling(&mut node, "i4");
     dialling(&mut node, "i5");
@@ -1379,7 +1385,7 @@
         assert!(node.stage.trace.contains("#3 ends: bad_answer"), "{}", node.stage.trace);
     }
     let mut node = Node::holding("plan");
-    node.end(2, End::PeerClosed);
+    node.end(2, CloseReason::PeerClosed);
     node.feed(3, DELETED);
     node.pass(260);
     let deletes = |node: &Node| node.stage.trace.matches("DELETE /jobs/i1").count();
@@ -1401,7 +1407,7 @@
         node.pass(5);
     }
     node.stage.trace.clear();
-    let lingers = node.stage.open(Side::Client);
+    let lingers = node.stage.open(ConnectionRole::Client);
     node.stage.lingering.push(lingers);
     node.accept();
     // All newcomers are too young.
@@ -1434,7 +1440,7 @@
     node.stage.trace.clear();
     node.feed(1, BEAT);
     node.pass(1000);
-    let looks = node.stage.dues.values().filter(|due| **due == Timer::Link(links[2])).count();
+    let looks = node.stage.dues.values().filter(|due| **due == Timer::Connection(links[2])).count();
     node.stage.say(&format!("looks asked for: {looks}"));
     // One that has asked before may rest, but its next request must be whole in time too.
     node.feed(links[2], "GET /hea");
@@ -1457,7 +1463,7 @@
         half,
         "POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 900\r\nContent-Length: 9\r\n\r\nhi",
     );
-    node.end(half, End::PeerClosed);
+    node.end(half, CloseReason::PeerClosed);
     let hasty = node.accept();
     let request = |id| format!("POST /plan HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
     node.feed(hasty, &(request("i1") + &request("i2") + &request("i2") + &request("i3")));
@@ -1540,8 +1546,8 @@
 fn beyond_what_it_may_hold_it_turns_away_at_once() {
     let text = configuration(&RUNNERS[..1]).replace("\"openCap\":20000", "\"openCap\":1");
     let mut stage = Stage { now: START, ..Stage::default() };
-    let desk = Desk::new(config::decode(&text).unwrap(), None, None, &mut stage);
-    let mut node = Node { desk, stage };
+    let table = RequestTable::new(config::decode(&text).unwrap(), None, None, &mut stage);
+    let mut node = Node { table, stage };
     node.settle();
     node = node.hears();
     node.invoke("plan", "i1");
@@ -1554,8 +1560,8 @@
 
 fn refusal(request: &str) -> String {
     let mut node = Node::followed(&RUNNERS[..1]);
-    let link = node.accept();
-    node.feed(link, request);
+    let connection = node.accept();
+    node.feed(connection, request);
     let unharmed = node.accept();
     node.feed(unharmed, "GET /healthz HTTP/1.1\r\n\r\n");
     node.stage.trace.lines().map(|line| line[6..].to_owned() + "\n").collect()
@@ -1686,7 +1692,7 @@
 fn operators_are_answered_whatever_else_is_open() {
     let mut node = Node::holding("plan");
     // Some say nothing, or half a call, and stay: they keep nobody out for long.
-    let silent: Vec<Link> = (0..16).map(|_| node.operator()).collect();
+    let silent: Vec<ConnectionId> = (0..16).map(|_| node.operator()).collect();
     node.feed(silent[1], "sta");
     node.call("status");
     node.feed(silent[1], "t");
@@ -1695,7 +1701,7 @@
         node.call(line);
     }
     node.pass(5000);
-    node.desk.go_down(&mut node.stage);
+    node.table.go_down(&mut node.stage);
     node.call("status");
     let lines = node.stage.trace.lines().filter(|line| line.contains("YES") || line.contains("NO"));
     expect![[r#"
@@ -1720,16 +1726,16 @@
     // One whose forward breaks before it is written whole, and comes to nothing elsewhere.
     node.stage.stuck.insert(3);
     let client = node.invoke("book", "i2");
-    node.end(3, End::Reset);
+    node.end(3, CloseReason::Reset);
     node.stage.stuck.clear();
     // One that is open, one of a client that leaves, one that is turned away unseen, one that is no good.
     let left = node.invoke("lodge", "i3");
-    node.end(left, End::PeerClosed);
+    node.end(left, CloseReason::PeerClosed);
     let late = node.accept();
     node.feed(late, "POST /plan HTTP/1.1\r\nX-Request-Id: i4\r\nX-Deadline-Ms: 1\r\n\r\n");
     node.feed(late, "POST /nothing HTTP/1.1\r\nX-Request-Id: i5\r\nX-Deadline-Ms: 1\r\n\r\n");
-    node.desk.reload(config::decode(&configuration(&RUNNERS)).unwrap(), &mut node.stage);
-    node.desk.turn_down("no JSON");
+    node.table.reload(config::decode(&configuration(&RUNNERS)).unwrap(), &mut node.stage);
+    node.table.turn_down("no JSON");
     node.stage.trace.clear();
     node.call("stats");
     assert!(node.stage.sides.contains_key(&client));
@@ -1775,7 +1781,7 @@
         assert!(clients.heard.is_empty());
         input.extend_from_slice(&request.as_bytes()[cut..]);
         clients.bytes(7, &mut input, &mut stage);
-        let Some(Heard::Invocation(told)) = clients.heard.pop() else {
+        let Some(ClientEvent::Invocation(told)) = clients.heard.pop() else {
             panic!("nothing heard, cut at {cut}")
         };
         assert_eq!((told.operation, told.slots, told.key), (1, 2.0, Some(Id::from("k"))));
@@ -1803,7 +1809,7 @@
     }
     assert_eq!(
         http::request(b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n").unwrap_err(),
-        Fault(400, "bad_length")
+        HttpError(400, "bad_length")
     );
     assert!(serde_json::from_str::<State>("\"lost\"").is_ok());
 }
@@ -1995,7 +2001,7 @@
         readiness: Readiness::Up,
         launched,
     };
-    let mut members = Members::new(0);
+    let mut members = Membership::new(0);
     assert!(members.sure(0, 0).is_some());
     assert!(members.by_hand("s-a", true, 0).is_err());
     members.listed(Listing::All, vec![entry(Some(5))], 10);
@@ -2013,15 +2019,15 @@
     assert_eq!(members.listed(Listing::Changes, vec![entry(Some(33))], 70)[0].launched, Some(33));
 }
 
-const PEER: Link = 50;
+const PEER: ConnectionId = 50;
 
 #[test]
 fn an_upgrade_leaves_nothing_behind() {
     let mut old = Node::holding("plan");
     old.call("maint-on s-a");
-    assert!(old.desk.accepts() && old.desk.may_hand_over());
+    assert!(old.table.accepts() && old.table.may_hand_over());
     let mut new = Node::successor(&mut old, PEER);
-    assert!(!old.desk.accepts() && !old.desk.may_hand_over() && new.desk.accepts());
+    assert!(!old.table.accepts() && !old.table.may_hand_over() && new.table.accepts());
     old.stage.trace.clear();
     // The list goes on from where the old process had it; who is out by hand stays out.
     new.invoke("plan", "i2");
@@ -2049,9 +2055,9 @@
     new.call_back(r#"{"id":"i9","from":"s-a","state":"done","result":"r"}"#);
     new.passes_on(PEER, &mut old);
     assert!(!old.stage.said.contains_key(&PEER));
-    old.desk.go_down(&mut old.stage);
+    old.table.go_down(&mut old.stage);
     old.pass(2100);
-    old.stage.say(&format!("down: {}", old.desk.is_down(old.stage.now)));
+    old.stage.say(&format!("down: {}", old.table.is_down(old.stage.now)));
     new.stage.trace.insert_str(0, "the new one\n");
     old.stage.trace.push_str(&new.stage.trace);
     old.shows(expect![[r#"
@@ -2118,8 +2124,8 @@
     assert!(new.stage.trace.contains("dials 127.0.0.1:3001"));
     assert!(!old.stage.trace.contains("POST"));
     // The one that was to take over is gone: the old one goes on, with newcomers and, in time, cold runners.
-    old.end(PEER, End::Reset);
-    assert!(old.desk.accepts());
+    old.end(PEER, CloseReason::Reset);
+    assert!(old.table.accepts());
     old.pass(2100);
     old.invoke("plan", "i7");
     assert!(old.stage.trace.contains("POST"));
@@ -2131,8 +2137,8 @@
     let good = configuration(&RUNNERS);
     let reload = |node: &mut Node, text: &str| {
         match config::decode(text) {
-            Ok(told) => node.desk.reload(told, &mut node.stage),
-            Err(fault) => node.desk.turn_down(&fault),
+            Ok(told) => node.table.reload(told, &mut node.stage),
+            Err(fault) => node.table.turn_down(&fault),
         }
         node.settle();
     };
@@ -2154,9 +2160,9 @@
         .replace("\"mostForwards\":3", "\"mostForwards\":1");
     reload(&mut node, &changed);
     let ask = |node: &mut Node, operation: &str, id: &str| {
-        let link = node.accept();
+        let connection = node.accept();
         let text = format!("POST /{operation} HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
-        node.feed(link, &text);
+        node.feed(connection, &text);
     };
     node.stage.trace.clear();
     // Taken under the old settings, it is what it was; what is on its way still comes, but not for long.
@@ -2264,7 +2270,7 @@
     };
     let (mut stream, _) = silent.accept().unwrap();
     handover::give(&stream, &listener).unwrap();
-    let state = serde_json::to_string(&handover::State::default()).unwrap();
+    let state = serde_json::to_string(&handover::HandoverState::default()).unwrap();
     std::io::Write::write_all(&mut stream, format!("{state}\n{{\"taken\":\"i1\"}}\n").as_bytes()).unwrap();
     assert!(b"{\"taken\":\"i1\"}\n".starts_with(&asks.join().unwrap()));
     // A folder whose name is too long for a socket's.
@@ -2287,7 +2293,7 @@
     };
     let now = START + 100 * SECOND;
     let told = |heard_before: Option<Micros>, launched| {
-        let mut members = Members::new(10 * SECOND);
+        let mut members = Membership::new(10 * SECOND);
         members.heard_before(heard_before);
         let first = members.listed(Listing::Changes, vec![entry(launched)], now)[0].launched;
         // Told once more it is the same start.
--- a/peers/src/packet.rs
+++ b/peers/src/packet.rs
@@ -46,7 +46,7 @@
     Answer {
         number: u64,
         behalf: Option<(u16, u64)>,
-        /// From now on nothing is sent to other owners' cold runners, by this list of dispatchers (`account`).
+        /// From now on nothing is sent to other owners' cold runners, by this list of dispatchers (`slow_start`).
         promise: Option<u32>,
     },
     /// Please probe that one for me.
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,9 +1,9 @@
 //! What outlives a process: named records with age, form and checksum, on a disk that may fail at any moment.
 //!
 //! `disk` is the layer at the bottom, real or failing on purpose; `log` holds the files' form and reads whatever is
-//! left of them; `store` is one folder's records, in memory and on the disk; `kept` gives the records of a
+//! left of them; `store` is one folder's records, in memory and on the disk; `stored_types` gives the records of a
 //! dispatcher their types. Nothing here has a thread or reads a clock: the node runs it on a thread of its own
-//! (`node/src/life/keeper.rs`). See `docs/recovery.md`.
+//! (`node/src/lifecycle/store_thread.rs`). See `docs/recovery.md`.
 
 pub mod disk;
 pub mod faulty;
