--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -119,7 +119,7 @@
     // The list comes only on a watch, and a watch has to be opened whatever the settings say; connections end
     // by our own time, which is shorter than the runners'.
     settings.must_subscribe = true;
-    settings.idle_timeout = decoded.idle_close / 2;
+    settings.idle_timeout = decoded.idle_timeout / 2;
     decoded.operations.iter().for_each(|operation| metrics.uses(operation));
     let told = decoded.operations.drain(..).zip(std::mem::take(&mut settings.operations));
     settings.operations = clients.operations.set(told.collect(), now);
@@ -375,7 +375,7 @@
 
     fn rest(&mut self, until: Micros, driver: &mut dyn ConnectionDriver) {
         let entries = self.members.rest(until, Micros::MAX, driver.now());
-        self.happened.push(Event::Roster(List { listing: Listing::Own, entries }));
+        self.happened.push(Event::Roster(List { listing: Listing::Local, entries }));
     }
 
     /// The other process has ended. Where it was to take over and nobody has told this one to end, it goes
@@ -873,7 +873,7 @@
                 let now = Gauges {
                     in_progress: self.invs.values().filter(|open| !open.answered).count(),
                     known_runners,
-                    skipped_runners: self.policy.set_aside(driver.now()) + out,
+                    skipped_runners: self.policy.ejected_runners(driver.now()) + out,
                     tries: self.runners.written(),
                 };
                 let kept = self.persistence.as_ref().map(Persistence::metrics).unwrap_or_default();
@@ -925,7 +925,7 @@
         if out {
             self.runners.recall(&entry.runner, driver);
         }
-        self.happened.push(Event::Roster(List { listing: Listing::Own, entries: vec![entry] }));
+        self.happened.push(Event::Roster(List { listing: Listing::Local, entries: vec![entry] }));
         Ok(())
     }
 
@@ -945,7 +945,7 @@
         if self.members.lapsed() {
             self.runners.recall_all_waiting(driver);
         }
-        self.happened.push(Event::Roster(List { listing: Listing::Own, entries }));
+        self.happened.push(Event::Roster(List { listing: Listing::Local, entries }));
     }
 
     /// A start has come to its end.
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -226,7 +226,7 @@
     pub(super) fn stand_anew(&mut self, driver: &mut dyn ConnectionDriver) {
         let entries = self.members.stand(driver.now());
         if !entries.is_empty() {
-            self.happened.push(Event::Roster(topazsail::Roster { listing: Listing::Own, entries }));
+            self.happened.push(Event::Roster(topazsail::Roster { listing: Listing::Local, entries }));
         }
     }
 }
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -379,7 +379,7 @@
         let event = match listing {
             Listing::All | Listing::Changes => recovery::Event::Heard,
             Listing::Refused => recovery::Event::Refused,
-            Listing::Remembered | Listing::Own => return,
+            Listing::Remembered | Listing::Local => return,
         };
         let fresh = matches!(event, recovery::Event::Heard);
         let actions = persistence.recovery.handle(driver.now(), event);
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -165,7 +165,7 @@
         // A probe answers beside the queue: one as slow as a dial may be tells as much as none.
         self.probe_within = decoded.dial_timeout / 2;
         // Well before the runner does, or a request could cross its closing.
-        self.idle_most = decoded.idle_close / 2;
+        self.idle_most = decoded.idle_timeout / 2;
         self.may_cancel = decoded.settings.may_cancel;
     }
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -124,7 +124,7 @@
     /// A connection that is not up by then counts as never up.
     pub dial_timeout: Micros,
     /// Runners close a connection that has been idle for this long.
-    pub idle_close: Micros,
+    pub idle_timeout: Micros,
     /// How many invocations a dispatcher may hold.
     pub open_cap: usize,
     /// The longest that any client waits.
@@ -145,7 +145,7 @@
         "subscribe" => true,
         other => return Err(format!("registryMode has the bad value '{other}'")),
     };
-    let idle_close = info.value_or("limits.idleClose", 60_000_000)?.clamp(1, SPAN);
+    let idle_timeout = info.value_or("limits.idleClose", 60_000_000)?.clamp(1, SPAN);
     let flag = |path: &str| info.value_or(path, false);
     let settings = Settings {
         operations,
@@ -155,7 +155,7 @@
         cross_zone_is_priced: info.value_or("prices.crossZone", 0.0)? > 0.0,
         connections_are_priced: info.value_or("prices.handshake", 0.0)? > 0.0
             || info.value_or("prices.connection", 0.0)? > 0.0,
-        idle_timeout: idle_close,
+        idle_timeout,
         must_subscribe,
         // Where lists are pushed, a change counts as told though nobody listens: whoever has to listen on sockets is
         // to be without a watch for no longer than a drain leaves.
@@ -191,7 +191,7 @@
         operations: names,
         report_fields: info.list("report.fields").map(str::to_owned).collect(),
         dial_timeout: info.value_or("limits.dialTimeout", 250_000)?.clamp(1, SPAN),
-        idle_close,
+        idle_timeout,
         open_cap: info.value_or("limits.openCap", usize::MAX)?,
         longest_timeout,
     })
--- a/src/events.rs
+++ b/src/events.rs
@@ -107,7 +107,7 @@
 pub enum Listing {
     Changes,
     /// Changes of standing that the roster did not tell.
-    Own,
+    Local,
     All,
     Remembered,
     Refused,
--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -289,7 +289,7 @@
                 self.due(self.now + after, Due::Ask);
                 return;
             }
-            Listing::Changes | Listing::Own => {}
+            Listing::Changes | Listing::Local => {}
             Listing::All | Listing::Remembered => self.runners.iter_mut().for_each(|r| r.listed = false),
         }
         if matches!(roster.listing, Listing::All | Listing::Changes) {
@@ -1135,7 +1135,7 @@
     }
 
     /// Listed runners that are set aside at this time.
-    pub fn set_aside(&self, now: Micros) -> usize {
+    pub fn ejected_runners(&self, now: Micros) -> usize {
         self.listed.iter().filter(|r| now < self.runners[**r].bench_until).count()
     }
 
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -832,7 +832,7 @@
 fn own_changes_of_standing_leave_a_lost_watch_to_be_asked_for_again() {
     let mut harness = harness(Effect::Idempotent, "ab");
     harness.roster(Listing::Refused, "", Readiness::Up, None);
-    harness.roster(Listing::Own, "a", Readiness::Draining, None);
+    harness.roster(Listing::Local, "a", Readiness::Draining, None);
     harness.after(700).arrives("1", 0);
     harness.shows(expect![[r#"
         1000 follow
