--- a/src/random.rs
+++ b/src/random.rs
@@ -1,12 +1,12 @@
 /// A permuted congruential generator (PCG-XSH-RR 64/32).
 #[derive(Default)]
-pub struct Chance(u64);
+pub struct Rng(u64);
 
-impl Chance {
-    pub fn new(seed: u64) -> Chance {
-        let mut chance = Chance(seed.wrapping_add(0x9e37_79b9_7f4a_7c15));
-        chance.next();
-        chance
+impl Rng {
+    pub fn new(seed: u64) -> Rng {
+        let mut rng = Rng(seed.wrapping_add(0x9e37_79b9_7f4a_7c15));
+        rng.next();
+        rng
     }
 
     fn next(&mut self) -> u32 {
@@ -20,23 +20,23 @@
         (u64::from(self.next()) * bound) >> 32
     }
 
-    pub fn happens(&mut self, share: f64) -> bool {
-        f64::from(self.next()) < share * f64::from(u32::MAX)
+    pub fn bernoulli(&mut self, probability: f64) -> bool {
+        f64::from(self.next()) < probability * f64::from(u32::MAX)
     }
 
     /// From 0 up to, not including, 1.
-    fn share(&mut self) -> f64 {
+    fn uniform(&mut self) -> f64 {
         self.below(1 << 31) as f64 / (1u64 << 31) as f64
     }
 
     /// About a normal number: three even ones make one that is close enough.
     pub fn normal(&mut self) -> f64 {
-        (0..3).map(|_| 2.0 * self.share() - 1.0).sum()
+        (0..3).map(|_| 2.0 * self.uniform() - 1.0).sum()
     }
 
     /// A place in a list that is not empty, as likely as its weight is great.
-    pub fn weighted(&mut self, weights: &[f64]) -> usize {
-        let mut left = self.share() * weights.iter().sum::<f64>();
+    pub fn weighted_index(&mut self, weights: &[f64]) -> usize {
+        let mut left = self.uniform() * weights.iter().sum::<f64>();
         let reached = |weight: &f64| {
             left -= weight;
             left < 0.0
@@ -52,7 +52,7 @@
 }
 
 /// A share of one, even over all hashes.
-fn even(mut h: u64) -> f64 {
+fn unit_interval(mut h: u64) -> f64 {
     h = (h ^ (h >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     h = (h ^ (h >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     ((h ^ (h >> 33)) >> 11) as f64 / (1u64 << 53) as f64
@@ -60,9 +60,9 @@
 
 /// Weighted rendezvous hashing, the same at every dispatcher: the first so many for a key of those that have this
 /// hash and one over this weight.
-pub fn first(key: u64, bearings: &[(u64, f64, usize)], length: usize) -> Vec<usize> {
-    let rank = |(hash, share, r): &(u64, f64, usize)| (-even(key ^ hash).ln() * share, *r);
-    let mut ranks: Vec<(f64, usize)> = bearings.iter().map(rank).collect();
+pub fn rendezvous_rank(key: u64, candidates: &[(u64, f64, usize)], length: usize) -> Vec<usize> {
+    let rank = |(hash, weight, r): &(u64, f64, usize)| (-unit_interval(key ^ hash).ln() * weight, *r);
+    let mut ranks: Vec<(f64, usize)> = candidates.iter().map(rank).collect();
     if length < ranks.len() {
         ranks.select_nth_unstable_by(length, |a, b| a.0.total_cmp(&b.0));
         ranks.truncate(length);
--- a/src/routing_policy/slow_start.rs
+++ b/src/routing_policy/slow_start.rs
@@ -17,25 +17,25 @@
     pub fn slow_start_usage(&self, now: Micros) -> Vec<SlowStartUsage> {
         let counts = |at: Micros| at >= now - self.settings.overload_window;
         let cold = self.cold.iter().map(|r| &self.runners[*r]);
-        let spent = cold.map(|runner| {
-            let work = runner.spent.iter().copied().filter(|(at, _)| counts(*at));
+        let usage = cold.map(|runner| {
+            let work = runner.sent_work.iter().copied().filter(|(at, _)| counts(*at));
             (runner.id.clone(), work.collect::<Vec<_>>())
         });
-        spent.filter(|(_, work)| !work.is_empty()).collect()
+        usage.filter(|(_, work)| !work.is_empty()).collect()
     }
 
-    pub(super) fn inherit(&mut self, spent: Vec<SlowStartUsage>) {
-        for (id, work) in spent {
+    pub(super) fn add_slow_start_usage(&mut self, usage: Vec<SlowStartUsage>) {
+        for (id, work) in usage {
             if let Some(&r) = self.by_id.get(&id) {
-                self.runners[r].spent.extend(work);
+                self.runners[r].sent_work.extend(work);
             }
         }
     }
 
-    pub(super) fn portions(&mut self, portions: Vec<SlowStartShare>) {
-        for (id, share, until) in portions {
+    pub(super) fn set_slow_start_shares(&mut self, shares: Vec<SlowStartShare>) {
+        for (id, share, until) in shares {
             if let Some(&r) = self.by_id.get(&id) {
-                self.runners[r].portion = Some((share, until));
+                self.runners[r].slow_start_share = Some((share, until));
             }
         }
     }
