--- a/src/actions.rs
+++ b/src/actions.rs
@@ -1,31 +1,25 @@
+//! Actions: what the routing policy asks the adapter to do.
+
 use crate::{Id, Micros};
 
-/// What is to be done, in this order, at the moment of the decision.
+/// An action that the adapter carries out at the time of the decision, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Not to leave later than that, where the runners' memory of an earlier one ends.
-    Forward {
-        invocation: Id,
-        runner: Id,
-        latest: Option<Micros>,
-    },
-    Cancel {
-        invocation: Id,
-        forward: u32,
-    },
-    Throttle {
-        invocation: Id,
-        retry_after: Option<Micros>,
-    },
-    Error {
-        invocation: Id,
-    },
-    Probe {
-        runner: Id,
-    },
+    /// Send the invocation to a runner. `latest` is set for a retry that has to be sent before the runners'
+    /// deduplication window of an earlier forward ends.
+    Forward { invocation: Id, runner: Id, latest: Option<Micros> },
+    /// Cancel a forward in flight.
+    Cancel { invocation: Id, forward: u32 },
+    /// Answer the client that it may retry, after `retry_after` if that is given.
+    Throttle { invocation: Id, retry_after: Option<Micros> },
+    /// Answer the client with an error.
+    Error { invocation: Id },
+    /// Probe a runner.
+    Probe { runner: Id },
+    /// Subscribe to the roster.
     Subscribe,
-    SetTimer {
-        after: Micros,
-    },
+    /// Pass [`crate::Event::TimerFired`] after this span.
+    SetTimer { after: Micros },
+    /// Log a line.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! topazsail decides, for one dispatcher, where each invocation is forwarded.
+//! topazsail decides, for one dispatcher, which runner each invocation is forwarded to.
 //!
-//! `routing_policy` holds every decision; the other files hold the plain types that it takes and returns.
-//! None of them knows a protocol: an adapter (`drill` on the simulator's wire, `node` on
-//! sockets) turns what it hears into [`Event`]s and carries out [`Action`]s.
+//! The module `routing_policy` holds every decision; the other modules hold its state and the plain types
+//! that it takes and returns. None of them depends on a protocol: an adapter (`drill` for the simulator's
+//! protocol, `node` for sockets) turns input into [`Event`]s and carries out [`Action`]s.
 
 mod actions;
 mod events;
@@ -19,7 +19,7 @@
 pub use routing_policy::{RoutingPolicy, SlowStartShare, SlowStartUsage};
 pub use settings::{DeduplicationScope, Effect, Operation, ReportField, RetryBudget, Settings, SizeSource};
 
-/// Whole microseconds: a moment of the adapter's clock, or a span.
+/// A time of the adapter's clock, or a span, in whole microseconds.
 pub type Micros = i64;
-/// An id as the wire gives it.
+/// An id as it appears in the protocol.
 pub type Id = Rc<str>;
--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -1,13 +1,24 @@
-//! Every decision of one dispatcher.
+//! Routing policy: every decision of one dispatcher.
 //!
-//! An adapter makes a [`RoutingPolicy`] from the standing orders and a seed, then calls [`RoutingPolicy::decide`] with the
-//! clock and whatever happened since, in order; it gets back what is to be done, in order. The types on both
-//! sides are in `events.rs`, `actions.rs` and `settings.rs`; what is kept on runners and invocations is in
-//! `state_tables.rs`. The brain knows no clock and no chance but these.
+//! An adapter creates a [`RoutingPolicy`] from the settings and a seed, then calls [`RoutingPolicy::decide`]
+//! with the current time and the events since the last call, in order; it gets back the actions to carry out,
+//! in order. The types on both sides are in `events.rs`, `actions.rs` and `settings.rs`; the state of runners
+//! and invocations is in `state_tables.rs`. Time and randomness come only from these arguments, so equal
+//! inputs give equal decisions.
 //!
-//! The way of an invocation: `arrive` lets it into the queue, `place` goes through the queue by what is at
-//! stake and has `seek` find a runner, `outcome` ends a forward, and `again` or `give_up` says what follows.
-//! `least` is the design (Pod-SSP); docs/design.md lists each departure from it.
+//! The path of an invocation: `handle_arrival` admits it to the queue, `dispatch_queue` walks the queue in
+//! order of priority and calls `choose_runner`, `handle_outcome` ends a forward, and `retry_or_give_up` or
+//! `give_up` decides what follows.
+//!
+//! `sample` and `least_loaded` implement Pod-SSP, power of d choices with priorities (Niu, Wang, Feng, Xu,
+//! "When Power-of-d-Choices Meets Priority", sections III-B and VI to VIII): a low-priority invocation goes
+//! to the runner with the fewest jobs among `LOW_PRIORITY_SAMPLES` samples, a high-priority one to the runner
+//! with the fewest high-priority jobs among `HIGH_PRIORITY_SAMPLES` samples. docs/design.md lists each
+//! departure from it.
+//!
+//! Throughout, `r` is a runner's index in `RoutingPolicy::runners`. Loads are counted in jobs and spans of
+//! time in microseconds unless a comment says otherwise. "Own" means of this dispatcher, "other jobs" are
+//! those that other dispatchers sent.
 
 mod slow_start;
 
@@ -25,116 +36,153 @@
 
 pub use slow_start::{SlowStartShare, SlowStartUsage};
 
-/// Draws for a low and for a high invocation.
+/// Runners sampled from a pool for a low-priority invocation (d1 of Pod-SSP).
 const LOW_PRIORITY_SAMPLES: usize = 3;
+/// Runners sampled from a pool for a high-priority invocation (d2 of Pod-SSP).
 const HIGH_PRIORITY_SAMPLES: usize = 4;
-/// How long draws may take to answer a probe; those that have not by then are passed over.
+/// How long candidates may take to answer a probe, in microseconds; those that have not answered by then are
+/// skipped.
 const PROBE_TIMEOUT: Micros = 30_000;
-/// No invocation is left unanswered nearer to its client timeout than this.
+/// Every invocation is answered at least this long, in microseconds, before its client timeout.
 const ANSWER_MARGIN: Micros = 60_000;
-/// In mean times of a forward: a draw whose report is older is probed before the choice.
+/// In mean forward times: a candidate whose report is older than this is probed before the choice.
 const STALE_REPORT_AGE: f64 = 0.1;
-/// A forward younger than this need not show in a report yet.
+/// A forward younger than this, in microseconds, may be missing from a runner's report.
 const REPORT_LAG: Micros = 50_000;
-/// In mean times of a forward: how long high, low and late work waits for room before it draws anew. Other
-/// dispatchers' queues are not seen from here: those who ask more often get the slots that come free.
+/// In mean forward times: how long high-priority, low-priority and late invocations wait for room before
+/// runners are sampled again. Other dispatchers' queues are not visible from here: the ones that sample more
+/// often get the slots that become free, so the interval rises as the priority falls.
 const RESAMPLE_INTERVALS: [f64; 3] = [0.06, 0.12, 1.0];
-/// Queue order of work whose objective has passed.
+/// Queue tier of invocations that can no longer meet their objective; 0 is high and 1 is low priority.
 const LATE_TIER: u8 = 2;
-/// Jobs that a runner is thought to hold a core at most, whatever its size in the list says.
+/// Upper bound on the jobs per core that are derived from a runner's listed size, so that a size near zero
+/// does not give an unbounded load.
 const MAX_JOBS_PER_CORE: f64 = 50.0;
-/// Waiting places that a runner is thought to have for each slot.
+/// Queue places that a runner is assumed to have per slot.
 const QUEUE_PLACES_PER_SLOT: f64 = 0.5;
-/// Shares of draws with a slot free at which no low work, and at which all, is let in.
+/// Shares of probes that find a free slot: at the first no low-priority work is admitted, at the second all
+/// of it.
 const PROBED_ADMISSION_RANGE: (f64, f64) = (0.03, 0.2);
-/// The same by shares of forwards that runners take, where these tell instead of draws.
+/// The same range for the share of forwards that runners accept, where forwards instead of probes indicate
+/// load.
 const ACCEPTED_ADMISSION_RANGE: (f64, f64) = (0.1, 0.6);
-/// Some low work is always let in, or nothing would tell that slots are free again; more where only its starts do.
+/// Smallest share of low-priority work that is admitted, in general and where load is unknown. Without any,
+/// nothing would show that slots are free again; it is larger where only the starts of that work show it.
 const MIN_ADMISSION_SHARES: (f64, f64) = (0.05, 0.5);
-/// In mean times of a forward: how long a runner's usual load is believed with no word from it.
+/// In mean forward times: decay time of a runner's usual load and of the extra wait for a new connection.
 const USUAL_LOAD_DECAY: f64 = 60.0;
-/// In tightest objectives: from how much longer a wait for those that dial connections are worth keeping to.
+/// In shortest objectives: the extra wait for a new connection from which open connections are preferred, and
+/// the time from which a failed dial counts as slow.
 const SLOW_DIAL_RATIO: f64 = 0.25;
-/// The firmest belief, in log-odds, that reports come late or that they do not.
+/// Bound, in log-odds, on the confidence that reports come late or that they do not.
 const MAX_LATENESS_LOG_ODDS: f64 = 2.5;
-/// How many homes a key has for each runner that its share of the work would fill.
+/// Homes of a key for each runner that the key's share of the work would fill.
 const HOMES_PER_RUNNER_SHARE: f64 = 2.0;
-/// How many jobs more a key's next home by hash is taken to hold, as it may have to fetch.
+/// Jobs added to the load of the next home in a key's ranking, because it may have to fetch what the key
+/// needs.
 const FETCH_PENALTY_JOBS: f64 = 5.0;
-/// How many times its share of own forwards out a home with a slot free may hold.
+/// A home with a free slot may hold this many times its fair share of the own forwards in flight.
 const HOME_LOAD_BOUND: f64 = 1.25;
-/// The share of the cold budget that is used: sizes are known only on average.
+/// The share of a cold runner's budget that is used: job sizes are known only on average.
 const COLD_BUDGET_SAFETY_FACTOR: f64 = 0.7;
-/// The parts of that which are spent by agreed portions and by turns, where there are portions: fewer then send more
-/// each, so that chance weighs more; without any turn whoever has no portion never learns how long jobs take.
+/// Where slow start is shared: the parts of that budget which are spent by agreed shares and by rotating
+/// turns. Fewer dispatchers then send more each, so random variation weighs more and the parts are small.
+/// Without any turns, a dispatcher without a share would never learn how long jobs take.
 const SHARED_BUDGET_SPLIT: (f64, f64) = (0.3, 0.1);
-/// Jobs that other dispatchers may be sending to a runner whose report is fresh.
+/// Jobs that other dispatchers may be sending to a runner after its latest fresh report.
 const CONCURRENT_JOBS_ALLOWANCE: f64 = 2.0;
-/// Reports in a row that counted own forwards, before a cold runner's is believed: late ones show all of them nothing.
+/// Consecutive reports that counted the own forwards before a cold runner's report is trusted: late reports
+/// show every dispatcher an empty runner.
 const MIN_PROMPT_REPORTS: u32 = 5;
-/// How far above the fleet's median share of failures a runner may lie.
+/// How far a runner's share of failures may lie above the median of all listed runners before it is ejected.
 const MAX_FAILURES_OVER_MEDIAN: f64 = 0.3;
-/// Failures and successes count half after this.
+/// Half-life of the counts of failures and successes, in microseconds.
 const HEALTH_HALF_LIFE: f64 = 4e6;
+/// Length of a first outlier ejection, in microseconds; it doubles with each further one until the runner
+/// succeeds.
 const BASE_EJECTION_TIME: Micros = 400_000;
+/// Upper bound on the length of an outlier ejection, in microseconds.
 const MAX_EJECTION_TIME: Micros = 4_000_000;
 
+/// State of the decisions of one dispatcher.
 #[derive(Default)]
 pub struct RoutingPolicy {
     settings: Settings,
+    /// Whether invocations have high priority, by operation.
     is_high_priority: Vec<bool>,
-    /// Forwards that an invocation may have, by operation.
+    /// Maximum number of forwards per invocation, by operation.
     forward_limits: Vec<u32>,
+    /// The shortest latency objective of the operations in use.
     shortest_objective: Micros,
-    /// Pools for work without a key, for the same in a shortage, and for work with a key.
+    /// Order in which candidate pools are sampled: without a key, without a key while slots are short, with a
+    /// key.
     pool_orders: [Vec<CandidatePool>; 3],
     rng: Rng,
+    /// Time of the current call of `decide`.
     now: Micros,
+    /// Actions of the current call so far.
     actions: Vec<Action>,
+    /// Whether a subscription to the roster is up.
     is_subscribed: bool,
+    /// Subscriptions refused since the last that succeeded.
     failed_subscriptions: u32,
+    /// Every runner that was ever listed; an index stays valid for good.
     runners: Vec<RunnerState>,
     by_id: HashMap<Id, usize>,
-    /// Those that the roster lists as on, those of them that may still be cold, and those with a connection
-    /// of this dispatcher.
+    /// Runners that the roster lists as up, in ascending order.
     listed: Vec<usize>,
+    /// Listed runners that may still be cold.
     cold: Vec<usize>,
+    /// Runners with an open connection of this dispatcher.
     connected: Vec<usize>,
-    /// Counts the rosters that listed somebody new.
+    /// Counts the rosters that listed a new runner; key homes are ranked again when it rises.
     ranking_generation: u64,
-    /// What ranks homes: hash and one over weight of each runner listed at the latest of these rosters.
+    /// Input of the ranking of homes: hash, 1 / weight and index of each runner listed when
+    /// `ranking_generation` last rose.
     rendezvous_entries: Vec<(u64, f64, usize)>,
-    /// The sum of the listed runners' weights; own forwards out.
+    /// Sum of the listed runners' weights.
     total_weight: f64,
+    /// Own forwards in flight.
     total_in_flight: u32,
+    /// The fewest slots known of any runner, assumed for runners that have not reported theirs; 0 if none
+    /// has.
     min_slots: f64,
     invocations: HashMap<Id, InvocationState>,
+    /// Invocations that wait for a forward, the first to be served first.
     queue: BTreeMap<QueuePosition, Id>,
+    /// Timers by time and serial number.
     timers: BTreeMap<(Micros, u64), Timer>,
+    /// Times for which `Action::SetTimer` was returned and that have not passed.
     armed_wakeups: BTreeSet<Micros>,
+    /// The last serial number given; it makes keys of timers and queue positions unique.
     serial: u64,
-    /// A slot has come free since the queue was last gone through.
+    /// A slot has become free since the queue was last processed.
     slot_freed: bool,
     key_usage: KeyUsage,
     retry_window: RetryBudgetWindow,
-    /// Others' jobs for each unit of weight, and waits for a start, over all runners.
+    /// Other jobs per unit of weight, averaged over all runners.
     mean_other_jobs: DecayingAverage,
+    /// Wait until a job starts, averaged over all runners, for forwards that needed no new connection.
     mean_start_wait: DecayingAverage,
-    /// By how much longer forwards that dialled waited.
+    /// By how much longer forwards waited that needed a new connection.
     dial_wait_excess: DecayingAverage,
-    /// The share of probes that found a slot free, or of forwards that were taken.
+    /// The share of probes that found a free slot, or of forwards that were accepted.
     free_slot_share: DecayingAverage,
-    /// Log-odds that reports come late; how many since the last that seemed so did not.
+    /// Log-odds that reports come late.
     late_reports_log_odds: f64,
+    /// Pieces of evidence for prompt reports since the last for late ones.
     prompt_reports: u32,
-    /// Time of a successful forward, by operation and over all.
+    /// Time of successful forwards, by operation.
     forward_times: Vec<DecayingAverage>,
+    /// Mean of `forward_times` over the operations in use.
     mean_forward_time: f64,
-    /// The most time that an arrival of each operation had left.
+    /// The longest time left of any arrival so far, by operation: that of a first try, not of a client's
+    /// retry.
     longest_time_left: Vec<Micros>,
 }
 
 impl RoutingPolicy {
+    /// Creates the policy; `seed` determines all random choices.
     pub fn new(settings: Settings, seed: u64) -> RoutingPolicy {
         let mut policy = RoutingPolicy {
             rng: Rng::new(seed),
@@ -146,8 +194,8 @@
         policy
     }
 
-    /// What holds from now on. Operations keep their numbers, those no longer in use too: what is under way
-    /// keeps its own, but has no more forwards than are allowed now.
+    /// Applies settings from now on. Operations keep their indexes, also those no longer in use: invocations
+    /// in progress keep their operation, but get no more forwards than the new settings allow.
     fn apply_settings(&mut self, settings: Settings) {
         let ops = &settings.operations;
         let in_use: Vec<&Operation> = ops.iter().filter(|o| o.in_use).collect();
@@ -157,12 +205,13 @@
         let objectives_differ = differs(&|a, b| a.latency_objective == b.latency_objective);
         let highest_value = in_use.iter().map(|o| o.billed_value).fold(0.0, f64::max);
         let shortest_objective = in_use.iter().map(|o| o.latency_objective).min().unwrap_or(0);
-        // Value decides before objectives: where each alone made a job high, at two operations all were.
+        // Value takes precedence over objectives: when either alone made an operation high-priority, with two
+        // operations both were.
         let is_high = |o: &Operation| match values_differ {
             true => o.billed_value >= highest_value,
             false => objectives_differ && o.latency_objective <= shortest_objective,
         };
-        // House rule of the operators: further forwards go by billed value.
+        // Rule set by the operators: the number of retries depends on the billed value.
         let max_retries = f64::from(settings.max_forwards - 1);
         let value_share =
             |o: &Operation| if highest_value > 0.0 { (o.billed_value / highest_value).min(1.0) } else { 1.0 };
@@ -185,7 +234,7 @@
         self.shortest_objective = shortest_objective;
         let shortage_order = [&[CandidatePool::Cold][..], &unkeyed_order].concat();
         self.pool_orders = [unkeyed_order, shortage_order, vec![CandidatePool::Homes, CandidatePool::Cold]];
-        // Until an operation has been seen to succeed, its objective is the best guess of its time.
+        // Until an operation has succeeded once, its objective is the best estimate of its forward time.
         let initial_average =
             |o: &Operation| DecayingAverage { value: o.latency_objective as f64, updated_at: None };
         self.forward_times.extend(ops.iter().skip(self.forward_times.len()).map(initial_average));
@@ -200,7 +249,8 @@
         }
     }
 
-    /// The one entry point: what happened up to `now`, in order; what is to be done now, in order.
+    /// The only entry point for events: takes what happened up to `now`, in order, and returns the actions to
+    /// carry out now, in order.
     pub fn decide(&mut self, now: Micros, happened: Vec<Event>) -> Vec<Action> {
         self.now = now;
         for event in happened {
@@ -237,25 +287,28 @@
         if let Some(&(at, _)) = self.timers.keys().next()
             && self.armed_wakeups.first().is_none_or(|first| *first > at)
         {
-            // Armed for the next due only: hundreds of idle dispatchers that wake cost more than all decisions.
+            // Armed for the earliest timer only: hundreds of idle dispatchers that wake up cost more than all
+            // decisions.
             self.armed_wakeups.insert(at);
             self.actions.push(Action::SetTimer { after: (at - now).max(1) });
         }
         std::mem::take(&mut self.actions)
     }
 
+    /// Returns the next serial number.
     fn next_serial(&mut self) -> u64 {
         self.serial += 1;
         self.serial
     }
 
+    /// Adds a timer and returns its key.
     fn add_timer(&mut self, at: Micros, timer: Timer) -> (Micros, u64) {
         let key = (at, self.next_serial());
         self.timers.insert(key, timer);
         key
     }
 
-    /// Each invocation has one due time at most.
+    /// Replaces the timer of an invocation; each has one at most.
     fn set_invocation_timer(&mut self, id: &Id, at: Option<Micros>) {
         let timer = at.map(|at| self.add_timer(at, Timer::Revisit(id.clone())));
         let Some(invocation) = self.invocations.get_mut(id) else { return };
@@ -264,6 +317,7 @@
         }
     }
 
+    /// Sets the timer of a queued invocation to its next deadline.
     fn set_queue_timer(&mut self, id: &Id) {
         let Some(invocation) = self.invocations.get(id) else { return };
         let times = [
@@ -276,6 +330,8 @@
         self.set_invocation_timer(id, Some(next.unwrap_or(invocation.give_up_at)));
     }
 
+    /// Handles the timer of an invocation: checks a forward in flight, or gives up, moves to the late tier or
+    /// waits on.
     fn revisit(&mut self, id: &Id) {
         let Some(invocation) = self.invocations.get_mut(id) else { return };
         invocation.timer = None;
@@ -294,19 +350,21 @@
         self.set_queue_timer(id);
     }
 
-    // The roster.
+    // Roster.
 
+    /// Applies an update of the roster, or schedules the next try after a refused subscription.
     fn update_roster(&mut self, roster: Roster) {
         match roster.listing {
             Listing::Refused => {
-                // A restarted fleet asks at once, and the registry fails whoever waits too long: asking again is
-                // spread out and slows down, by a part of the span after which changes count as told (docs/design.md).
+                // A restarted fleet subscribes all at once, and the registry fails requests that wait too long:
+                // retries are spread out at random around a mean that grows up to a quarter of the span after
+                // which dispatchers count as notified of changes (docs/design.md).
                 self.is_subscribed = false;
                 self.failed_subscriptions += 1;
-                let max_delay = (100_000 << self.failed_subscriptions.min(3))
+                let mean_delay = (100_000 << self.failed_subscriptions.min(3))
                     .min(self.settings.notification_deadline / 4)
                     .max(1);
-                let delay = max_delay / 2 + self.rng.below(max_delay as u64) as Micros;
+                let delay = mean_delay / 2 + self.rng.below(mean_delay as u64) as Micros;
                 self.add_timer(self.now + delay, Timer::Subscribe);
                 return;
             }
@@ -325,7 +383,8 @@
         }
         self.cold = self.listed.iter().copied().filter(|r| self.warmth(*r) < 1.0).collect();
         self.total_weight = self.listed.iter().map(|r| self.weight(*r)).sum();
-        // Homes that are gone are passed over; ranks change only where there is somebody new to rank.
+        // Homes that are no longer listed are skipped; ranks are computed again only when there is a new
+        // runner.
         if self.listed.iter().any(|r| before.binary_search(r).is_err()) {
             self.ranking_generation += 1;
             let rendezvous_entry = |r: &usize| (self.runners[*r].hash, 1.0 / self.weight(*r), *r);
@@ -333,6 +392,7 @@
         }
     }
 
+    /// Adds or updates the runner of a roster entry.
     fn update_runner(&mut self, entry: RosterEntry) {
         let next = self.runners.len();
         let index = *self.by_id.entry(entry.runner.clone()).or_insert(next);
@@ -345,11 +405,11 @@
         runner.in_own_zone = entry.zone == self.settings.own_zone;
         (runner.machine_type, runner.zone, runner.cell) = (entry.machine_type, entry.zone, entry.cell);
         runner.listed_size = entry.size;
-        // Where it moves with load, the greatest seen is the nearest to that at rest.
+        // Where sizes move with load, the greatest size seen is the closest to that of an idle runner.
         runner.size =
             if self.settings.roster_reports_load() { runner.size.max(entry.size) } else { entry.size };
         if runner.launched != entry.launched {
-            // Restarted under its own id: what it did before says nothing of it now.
+            // Restarted under its own id: earlier reports, successes and failures say nothing about it now.
             runner.launched = entry.launched;
             runner.reported_at = None;
             (runner.successes, runner.failures) = (0.0, 0.0);
@@ -357,8 +417,9 @@
         }
     }
 
-    /// Sizes that move with load are the reports: what a runner holds a core is told by how far its size has
-    /// sunk below that at rest, the greatest ever listed for its kind. What is not named has not changed.
+    /// Derives loads from sizes that move with load: jobs per core follow from how far a runner's size has
+    /// fallen below that of an idle runner, which is the greatest size ever listed for its machine type. A
+    /// runner missing from an update has not changed.
     fn read_listed_loads(&mut self) {
         let mut at_rest: BTreeMap<Id, f64> = BTreeMap::new();
         for runner in &self.runners {
@@ -375,16 +436,19 @@
 
     // Invocations.
 
+    /// Computes the deadlines of a new invocation and admits it to the queue or gives it up.
     fn handle_arrival(&mut self, arrival: Arrival) {
         if let Some(budget) = &self.settings.retry_budget {
             self.retry_window.record_arrival(budget, self.now);
         }
         let op = &self.settings.operations[arrival.operation];
         let deadline = self.now + arrival.time_left;
-        // A client's repeat comes with less time left than a first try; its objective runs from the first.
+        // A client's retry arrives with less time left than a first try; its objective runs from the first
+        // try.
         let longest_time_left = &mut self.longest_time_left[arrival.operation];
         *longest_time_left = arrival.time_left.max(*longest_time_left);
-        // The objective grows by the stretch, less what running takes on a slow machine: half as long again as hinted.
+        // The objective grows by the stretch, less the running time on a slow machine: 1.5 times the hinted
+        // work, or 1.25 times the mean forward time without a hint.
         let (work, slow_machine_factor) = arrival
             .work_hint
             .map_or((self.forward_times[arrival.operation].value, 1.25), |hint| (hint as f64, 1.5));
@@ -392,7 +456,8 @@
         let start_deadline =
             self.now + op.latency_objective + slack - (*longest_time_left - arrival.time_left);
         let start_deadline = start_deadline.min(deadline - ANSWER_MARGIN);
-        // Who waits longer than this keeps slots from work that could still be in time.
+        // An invocation that waits longer than this takes slots from work that could still meet its
+        // objective.
         let give_up_at =
             start_deadline.max(self.now) + (op.late_value_share * op.latency_objective as f64) as Micros;
         let invocation = InvocationState {
@@ -413,8 +478,9 @@
         if admitted { self.enqueue(&arrival.invocation) } else { self.give_up(&arrival.invocation) }
     }
 
-    /// Low work is let in by the share of draws that have a slot free. Without this, hundreds of dispatchers'
-    /// low invocations ask so often that high ones seldom find the slot that has come free.
+    /// Admission control: low-priority work is admitted by the share of samples that have a free slot.
+    /// Without it, the low-priority invocations of hundreds of dispatchers sample so often that high-priority
+    /// ones seldom find the slot that has become free.
     fn should_admit(&mut self, operation: usize, start_deadline: Micros) -> bool {
         let is_late = start_deadline <= self.now;
         if self.free_slot_share.updated_at.is_none() || self.is_high_priority[operation] && !is_late {
@@ -428,27 +494,29 @@
         if is_late { share >= 1.0 } else { self.rng.bernoulli(share) }
     }
 
-    /// Whether it is forwards, taken or turned away, that tell of free slots: draws are not probed, or in vain.
+    /// Whether forwards, accepted or rejected, indicate free slots, because candidates are not probed or
+    /// probes do not help.
     fn forwards_indicate_load(&self) -> bool {
         self.settings.roster_reports_load()
             || self.settings.load_is_unknown()
             || self.settings.can_probe_load() && self.late_reports_log_odds > 0.0
     }
 
-    /// The shares at which no low work, and at which all, is let in.
+    /// The shares of free slots at which no low-priority work and all low-priority work is admitted.
     fn admission_range(&self) -> (f64, f64) {
         if self.forwards_indicate_load() { ACCEPTED_ADMISSION_RANGE } else { PROBED_ADMISSION_RANGE }
     }
 
-    /// Whether slots are short, by whatever tells.
+    /// Whether slots are short, by whichever signal is in use.
     fn slots_are_short(&self) -> bool {
         self.free_slot_share.updated_at.is_some() && self.free_slot_share.value < self.admission_range().1
     }
 
+    /// Adds an invocation to the queue.
     fn enqueue(&mut self, id: &Id) {
         let serial = self.next_serial();
         let Some(invocation) = self.invocations.get_mut(id) else { return };
-        // Late work goes last: served first come first, a queue that once fell behind makes all late.
+        // Late work goes last: in order of arrival, a queue that once fell behind would make all work late.
         let tier = if self.now >= invocation.start_deadline {
             LATE_TIER
         } else {
@@ -460,7 +528,8 @@
         self.set_queue_timer(id);
     }
 
-    /// The last word of an invocation that is not to be forwarded any more.
+    /// Answers an invocation that is not forwarded any more: throttled if a client's retry is safe, otherwise
+    /// an error.
     fn give_up(&mut self, id: &Id) {
         let Some(invocation) = self.invocations.get(id).filter(|invocation| !invocation.answered) else {
             return;
@@ -481,7 +550,8 @@
         self.close(id);
     }
 
-    /// Nothing more is owed; a forward still out keeps its entry until it ends.
+    /// Ends an invocation that needs no further answer; while a forward is in flight its entry stays until
+    /// that ends.
     fn close(&mut self, id: &Id) {
         let Some(invocation) = self.invocations.get_mut(id) else { return };
         invocation.answered = true;
@@ -497,6 +567,7 @@
         }
     }
 
+    /// Cancels the forward in flight, if cancelling is allowed and its response has not started.
     fn cancel(&mut self, id: &Id) {
         let Some(current) =
             self.invocations.get_mut(id).and_then(|invocation| invocation.current_forward.as_mut())
@@ -509,6 +580,7 @@
         }
     }
 
+    /// Forwards the first 64 queued invocations as far as runners and the retry budget allow.
     fn dispatch_queue(&mut self) {
         if self.queue.is_empty() {
             return;
@@ -541,14 +613,15 @@
         }
     }
 
-    /// Whether one more forward beyond an invocation's first is within the budget. The second half of what the
-    /// window allows is kept for high work.
+    /// Whether the retry budget allows one more retry. The second half of what the window allows is reserved
+    /// for high-priority work.
     fn has_retry_budget(&self, operation: usize) -> bool {
         let Some(budget) = &self.settings.retry_budget else { return true };
         let (used, allowed) = self.retry_window.usage(budget, self.now);
         used + 1.0 <= allowed && (self.is_high_priority[operation] || used < allowed / 2.0)
     }
 
+    /// Forwards an invocation to runner `r` and starts its timers.
     fn forward(&mut self, id: &Id, r: usize) {
         let work = self.estimated_work(&self.invocations[id]);
         let silence_timeout = self.silence_timeout(false);
@@ -591,15 +664,15 @@
             dedup_constraint.map(|constraint| constraint.since + op.deduplication_window - ANSWER_MARGIN);
         self.actions.push(Action::Forward { invocation: id.clone(), runner: runner.id.clone(), latest });
         if self.settings.roster_reports_load() && self.settings.can_probe_load() && runner.slots.is_none() {
-            // The list tells of load in shares of slots, but not how many these are.
+            // The list gives load as a share of slots, but not the number of slots.
             self.probe(r);
         }
         self.set_invocation_timer(id, Some(self.now + silence_timeout));
         self.set_start_timer(id);
     }
 
-    /// Where runners tell of starts, a forward that has not begun is looked at when it may move, and when it
-    /// can no more be in time.
+    /// Where runners report starts, schedules a check of a forward that has not started: when it may move to
+    /// another runner, and when it can no longer meet its objective.
     fn set_start_timer(&mut self, id: &Id) {
         let Some(invocation) = self.invocations.get(id).filter(|_| self.settings.reports_start) else {
             return;
@@ -618,8 +691,9 @@
         }
     }
 
-    /// A forward that has to wait for a new connection is given longer: moves would dial again and again. So is
-    /// one where many are turned away: a place in a queue is then worth keeping.
+    /// How long a forward may wait to start before it moves to another runner. It is longer after a dial, as
+    /// each move could need a new connection again, and where many forwards are rejected, as a place in a
+    /// runner's queue is then worth keeping.
     fn start_timeout(&self, invocation: &InvocationState, current: &ForwardState) -> Micros {
         let objective = self.settings.operations[invocation.operation].latency_objective;
         let accepted_share =
@@ -631,7 +705,7 @@
         }
     }
 
-    /// The forward that has shown life, if it is the one that is out.
+    /// Records a sign of life of a forward and returns its state; `None` if it is not the forward in flight.
     fn record_activity(&mut self, id: &Id, forward: u32) -> Option<&mut ForwardState> {
         let current = self
             .invocations
@@ -644,6 +718,7 @@
         Some(current)
     }
 
+    /// Records that a forward has started and how long it waited.
     fn handle_started(&mut self, id: &Id, forward: u32) {
         let silence_timeout = self.silence_timeout(true);
         let Some(current) = self.record_activity(id, forward).filter(|current| !current.started) else {
@@ -652,12 +727,12 @@
         current.started = true;
         let (sent_at, dialled) = (current.sent_at, current.dialled);
         if self.settings.roster_reports_load() || self.settings.load_is_unknown() {
-            // Where nothing tells of loads, what begins within an objective has found a slot soon enough.
+            // Where load is unknown, a job that starts within an objective has found a slot soon enough.
             let is_prompt = !self.settings.load_is_unknown() || self.now - sent_at <= self.shortest_objective;
             self.free_slot_share.record(f64::from(u8::from(is_prompt)), 0.2, self.now);
         }
         self.set_invocation_timer(id, Some(self.now + silence_timeout));
-        // One slowed runner's waits are to say nothing of the others'.
+        // Bounded, so that the waits of one slow runner say little about the others.
         let wait = (self.now - sent_at).min(self.shortest_objective * 3 / 2) as f64;
         if dialled {
             self.dial_wait_excess.record(wait - self.mean_start_wait.value, 0.1, self.now);
@@ -666,6 +741,7 @@
         }
     }
 
+    /// Ends a forward: updates the runner's state, then closes, retries or gives up the invocation.
     fn handle_outcome(&mut self, outcome: Outcome) {
         let Some(invocation) = self.invocations.get_mut(&outcome.invocation) else { return };
         let Some(current) = invocation.current_forward.take_if(|current| current.number == outcome.forward)
@@ -694,7 +770,7 @@
             invocation.retry_constraint = Some(RetryConstraint { zone, cell, since: current.sent_at });
         }
         self.apply_report(current.runner_index, &outcome.report);
-        // Where runners tell of starts these have been counted.
+        // Where runners report starts, accepted forwards have been counted at the start.
         let taken = outcome.result == ForwardResult::Succeeded && !self.settings.reports_start;
         if self.forwards_indicate_load()
             && !self.settings.load_is_unknown()
@@ -705,14 +781,14 @@
         if outcome.result == ForwardResult::Overloaded
             && let Some(free) = self.settings.free_slots(&outcome.report)
         {
-            // Turned away as full with a report that shows a free slot: the report is late.
+            // Rejected as full with a report that shows a free slot: the report is late.
             self.add_lateness_evidence(if free > 0.5 { 2.1 } else { -0.14 });
         }
         self.record_health(current.runner_index, operation, &outcome);
         if answered { self.close(&outcome.invocation) } else { self.retry_or_give_up(&outcome.invocation) }
     }
 
-    /// Whether the forward that has ended is to be followed by another one.
+    /// Retries an invocation whose forward has ended, or gives it up if no retry is allowed or useful.
     fn retry_or_give_up(&mut self, id: &Id) {
         let Some(invocation) = self.invocations.get_mut(id) else { return };
         let op = &self.settings.operations[invocation.operation];
@@ -733,15 +809,16 @@
         invocation.give_up_at = retry_until;
         let (operation, start_deadline, moved) =
             (invocation.operation, invocation.start_deadline, invocation.moved_from.is_some());
-        // Turned away, low work would else ask on at the cost of high work.
+        // Without admission control here, rejected low-priority work would keep sampling at the cost of
+        // high-priority work.
         let admitted =
             !self.forwards_indicate_load() || moved || self.should_admit(operation, start_deadline);
         if admitted { self.enqueue(id) } else { self.give_up(id) }
     }
 
-    // The design.
+    // Choice of a runner (Pod-SSP).
 
-    /// A runner for this invocation, or none while probes are out or no draw has room.
+    /// Chooses a runner for an invocation; `None` while probes are pending or if no candidate has room.
     fn choose_runner(&mut self, id: &Id) -> Option<usize> {
         let mut invocation = self.invocations.remove(id)?;
         let found = self.choose_from_pools(&mut invocation);
@@ -752,6 +829,8 @@
         found
     }
 
+    /// Samples one pool after the other until a candidate is acceptable; with no pool left, sets the time to
+    /// start again.
     fn choose_from_pools(&mut self, invocation: &mut InvocationState) -> Option<usize> {
         if invocation.pools_sampled == 0 {
             invocation.pool_order =
@@ -781,8 +860,9 @@
         }
     }
 
-    /// Whether the least of the draws will do, or the next pool is to be drawn from as well. Low work waits
-    /// here, not in runners: there it would take the few waiting places from high work.
+    /// Whether the least loaded candidate is acceptable, or the next pool has to be sampled as well.
+    /// Low-priority work waits in this queue rather than in runners, where it would take the few queue places
+    /// from high-priority work.
     fn is_acceptable(&self, pool: CandidatePool, r: usize, invocation: &InvocationState) -> bool {
         let is_free = self.has_free_slot(r);
         let is_good_enough = is_free
@@ -793,36 +873,40 @@
             CandidatePool::Homes => true,
             CandidatePool::ConnectedOwnZone => enough && is_free,
             CandidatePool::Connected => enough && is_good_enough,
-            // Late averages do not tell when a zone of its own runs short.
+            // Averages that come late do not show when the own zone alone runs short.
             CandidatePool::OwnZone => is_free && !self.settings.roster_reports_load(),
             CandidatePool::All => is_free,
             CandidatePool::Cold => is_good_enough,
         }
     }
 
-    /// Jobs are whole, but reports are noisy: 2.97 of 3 slots taken is a full runner, and by count below slots
-    /// every other full one would look free, to all dispatchers at once. What the list tells is an average.
+    /// Whether a runner has a free slot. Jobs are whole but reports are noisy: 2.97 of 3 slots taken is a
+    /// full runner, and with a plain count below slots every second full runner would look free, to all
+    /// dispatchers at once. Loads from the list are averages, so any fraction counts there.
     fn has_free_slot(&self, r: usize) -> bool {
         let least = if self.settings.roster_reports_load() { f64::MIN_POSITIVE } else { 0.5 };
         self.slots(r) - self.job_count(r) >= least
     }
 
+    /// Whether probes indicate load: they are allowed, report it, and reports are not believed to come late.
     fn probes_indicate_load(&self) -> bool {
         self.settings.can_probe_load()
             && !self.settings.roster_reports_load()
             && self.late_reports_log_odds <= 0.0
     }
 
-    /// Whether a new connection is priced, or has been seen to take a good part of an objective.
+    /// Whether a new connection is priced, or has been observed to take a large part of an objective.
     fn dials_are_costly(&self) -> bool {
         let excess = self.dial_wait_excess.value_at(self.now, USUAL_LOAD_DECAY * self.mean_forward_time);
         self.settings.connections_are_priced || excess > self.shortest_objective as f64 * SLOW_DIAL_RATIO
     }
 
+    /// How many runners to sample from each pool.
     fn sample_size(&self, invocation: &InvocationState) -> usize {
         if self.is_high_priority[invocation.operation] { HIGH_PRIORITY_SAMPLES } else { LOW_PRIORITY_SAMPLES }
     }
 
+    /// Samples runners from a pool and adds them to the invocation's candidates.
     fn sample(&mut self, pool: CandidatePool, invocation: &mut InvocationState) {
         if invocation.pools_sampled == 0 {
             invocation.candidates.clear();
@@ -856,22 +940,24 @@
             let r = from.swap_remove(self.pick_index(&from));
             let fits = match pool {
                 CandidatePool::ConnectedOwnZone | CandidatePool::OwnZone => self.runners[r].in_own_zone,
-                // Unpriced, a connection is worth keeping to only if it is free: else it would have to be dialled.
+                // Where connections are not priced, only a free one is worth preferring: otherwise a new one
+                // has to be dialled anyway.
                 CandidatePool::Connected => {
                     self.settings.connections_are_priced
                         || self.runners[r].connections > self.runners[r].in_flight
                 }
                 CandidatePool::Homes | CandidatePool::All | CandidatePool::Cold => true,
             };
-            // Only fresh word tells against a draw: a runner rejected on old word would not be heard again.
-            let is_fresh = !self.probes_indicate_load() || !self.report_is_stale(r);
-            // Whoever has just been left for not starting is no better now.
+            // Only a fresh report excludes a candidate: a runner rejected by an old report would not be
+            // probed again.
+            let report_counts = !self.probes_indicate_load() || !self.report_is_stale(r);
+            // A runner that the invocation has just left because it did not start there is no better now.
             let is_excluded = invocation.candidates.contains(&r)
                 || invocation.moved_from == Some(r) && self.listed.len() > 1;
             if fits
                 && !is_excluded
                 && self.is_eligible(r, invocation)
-                && (!is_fresh || self.has_room(r, invocation))
+                && (!report_counts || self.has_room(r, invocation))
             {
                 invocation.candidates.push(r);
                 remaining -= 1;
@@ -882,7 +968,9 @@
         }
     }
 
-    /// Where sizes move with load, draws go by them: whoever took the least of the late list would meet all others.
+    /// Picks an index at random. Where sizes move with load, or load is unknown, picks are weighted by
+    /// capacity: if all dispatchers took the least loaded of the late list, they would all choose the same
+    /// runner.
     fn pick_index(&mut self, from: &[usize]) -> usize {
         if !self.settings.roster_reports_load() && !self.settings.load_is_unknown() {
             return self.rng.below(from.len() as u64) as usize;
@@ -891,8 +979,9 @@
         self.rng.weighted_index(&weights)
     }
 
-    /// Where probes are allowed, draws with old reports are probed first: among many dispatchers own sends
-    /// say next to nothing of a runner's load. True while answers may still come.
+    /// Probes candidates with stale reports before the choice, where probes indicate load: among many
+    /// dispatchers, a runner's own forwards say next to nothing about its load. Returns true while answers
+    /// may still arrive.
     fn probe_candidates(&mut self, invocation: &mut InvocationState) -> bool {
         if !self.probes_indicate_load() {
             return false;
@@ -911,6 +1000,7 @@
         is_waiting && self.now < invocation.probe_deadline
     }
 
+    /// Sends a probe, unless one is pending.
     fn probe(&mut self, r: usize) {
         let runner = &mut self.runners[r];
         if !std::mem::replace(&mut runner.probe_pending, true) {
@@ -918,11 +1008,12 @@
         }
     }
 
-    /// Pod-SSP among the draws, which stand in the order of chance.
+    /// Chooses the least loaded candidate by Pod-SSP; candidates are in random order, which breaks ties.
     fn least_loaded(&mut self, invocation: &InvocationState) -> Option<usize> {
         let mut best: Option<(f64, f64, usize)> = None;
         for &r in &invocation.candidates {
-            // What was drawn to be probed, and is not heard, has its turns at most.
+            // A candidate that was sampled to be probed and has no fresh report may only use its slow-start
+            // budget.
             let is_unreported =
                 self.report_is_stale(r) && !self.within_cold_budget(r, self.estimated_work(invocation));
             let is_skipped = self.probes_indicate_load() && (self.runners[r].probe_pending || is_unreported);
@@ -933,7 +1024,8 @@
             let high_load =
                 if is_high { f64::from(self.runners[r].in_flight_high) / self.slots(r) } else { 0.0 };
             let fetch_penalty = if invocation.next_home == Some(r) { FETCH_PENALTY_JOBS } else { 0.0 };
-            // Where no load is told the order of chance, which goes by size, decides among equals.
+            // Where load is unknown, ties are broken by the random order of the candidates, which is weighted
+            // by size.
             let new_job = if self.settings.load_is_unknown() { 0.0 } else { 1.0 };
             let load = (self.estimate_jobs(r) + new_job + fetch_penalty) / self.capacity(r);
             if best.is_none_or(|best| (high_load, load) < (best.0, best.1)) {
@@ -943,18 +1035,20 @@
         best.map(|(_, _, r)| r)
     }
 
-    /// A runner must fetch what a key needs unless it has it, and one store serves all fetches. Every dispatcher finds
-    /// the same homes for a key by hashing, and as many as the key's share of the work asks for: a popular key would
-    /// swamp a single home unseen. The last one returned is the next home by hash.
+    /// The homes of a key that are open to this invocation; the last one returned is the next home in the
+    /// ranking. A runner must fetch what a key needs unless it has it, and one store serves all fetches.
+    /// Every dispatcher finds the same homes by rendezvous hashing, and as many as the key's share of the
+    /// work requires: a popular key would overload a single home before any report shows it.
     fn homes_of_key(&mut self, key: u64, invocation: &InvocationState) -> Vec<usize> {
         let mut length = 8;
         loop {
             self.rank_homes(key, length);
             let Some(key_state) = self.key_usage.by_hash.get(&key) else { return Vec::new() };
-            // Less the use that made it known: one use seen among few is no popularity.
+            // Without the use that first recorded the key: a single use among few does not make it popular.
             let share = (key_state.uses - 1.0).max(0.0) / self.key_usage.total_uses;
             let mut missing_weight = HOMES_PER_RUNNER_SHARE * share * self.total_weight;
-            // Own forwards out bound a home before any report could, more strictly where work would wait.
+            // Own forwards in flight limit a home before any report could, and more strictly where work would
+            // wait.
             let is_within_bound = |r: &&usize| {
                 let share = f64::from(self.total_in_flight + 1) * self.weight(**r) / self.total_weight;
                 let bound = if self.has_free_slot(**r) { HOME_LOAD_BOUND } else { 1.0 };
@@ -976,7 +1070,7 @@
         }
     }
 
-    /// Sees that so many homes of a key are known.
+    /// Ensures that at least `length` homes of a key are ranked, or as many as there are runners.
     fn rank_homes(&mut self, key: u64, length: usize) {
         let length = length.min(self.rendezvous_entries.len());
         let Some(key_state) = self.key_usage.by_hash.get_mut(&key) else { return };
@@ -987,7 +1081,8 @@
         key_state.ranking_generation = self.ranking_generation;
     }
 
-    /// Whether a runner may be drawn for this invocation.
+    /// Whether a runner may be a candidate for this invocation: listed, suitable, not ejected, full or
+    /// silent, and within its slow-start limits.
     fn is_eligible(&self, r: usize, invocation: &InvocationState) -> bool {
         let runner = &self.runners[r];
         let op = &self.settings.operations[invocation.operation];
@@ -1009,18 +1104,20 @@
                 || self.holds_few_jobs(r, self.estimated_work(invocation)))
     }
 
-    /// Where probes keep counts fresh, waiting is done here rather than in a runner's few waiting places.
-    /// Where the list tells loads, what it says is too old to bar anybody.
+    /// Whether a runner has room for an invocation. Where probes keep counts fresh, work waits in this queue
+    /// rather than in the few queue places of a runner. Loads from the list are too old to exclude a runner.
     fn has_room(&self, r: usize, invocation: &InvocationState) -> bool {
         if self.settings.roster_reports_load() {
             return true;
         }
         let (slots, count) = (self.slots(r), self.job_count(r));
         let room = if self.settings.can_probe_load() {
-            // Own forwards tell here when they end, so a job may as well wait here for their slots; where
-            // others hold the slots, none would tell, and it waits in the runner.
+            // The end of an own forward is visible here, so a job may as well wait here for that slot. Where
+            // other dispatchers' jobs hold the slots, their end is not visible, and the job waits in the
+            // runner.
             let other_share = 1.0 - f64::from(self.runners[r].in_flight) / count.max(1.0);
-            // Counts in doubt are averages: what seems just full may have a slot free, the likelier the more of it is own.
+            // Uncertain counts are averages: a runner that seems just full may have a free slot, the more
+            // likely the larger the own share of the work.
             let own_share = 1.0 / f64::from(self.settings.dispatchers.max(1));
             let tolerance = if self.probes_indicate_load() { 0.0 } else { 0.5 + 0.5 * own_share.powi(4) };
             (slots * (self.warmth(r) + other_share * QUEUE_PLACES_PER_SLOT)).round().max(1.0) + tolerance
@@ -1031,9 +1128,9 @@
         count + invocation.slots <= room.max(invocation.slots)
     }
 
-    /// All-class count: own forwards out and what the latest report leaves for others. As it ages, the jobs counted end:
-    /// then only that runner's usual figure says more, and in the long run the fleet's mean, or one once full would be
-    /// shunned for good.
+    /// All jobs of a runner: own forwards in flight plus the other jobs of the latest report. As the report
+    /// ages, the jobs that it counted end; then the runner's usual load says more, and in the long run the
+    /// mean of the fleet. Without the latter a runner that was once full would be avoided for good.
     fn job_count(&self, r: usize) -> f64 {
         let runner = &self.runners[r];
         let mean = self.mean_other_jobs.value_at(self.now, 8.0 * self.mean_forward_time) * self.capacity(r);
@@ -1041,7 +1138,7 @@
         let usual = mean + (-age / USUAL_LOAD_DECAY).exp() * (runner.usual_other_jobs.max(0.0) - mean);
         let other_jobs = match runner.reported_at {
             None => mean,
-            // While reports are late, one runner's say little; the fleet's mean still holds.
+            // While reports come late, one runner's report says little; the mean of the fleet still holds.
             Some(_) if self.late_reports_log_odds > 0.0 || self.settings.roster_reports_load() => {
                 (usual + mean) / 2.0
             }
@@ -1050,8 +1147,9 @@
         f64::from(runner.in_flight) + other_jobs.max(0.0)
     }
 
-    /// A count that may be true. An average is off by about its root at any time, and where all hear the same
-    /// late list, who went by its figures as they stand would meet all others.
+    /// A plausible job count. Where loads come from the list, they are averages that are off by about their
+    /// square root, and all dispatchers see the same late list: if they used its figures as they are, they
+    /// would all choose the same runner. So normal noise is added.
     fn estimate_jobs(&mut self, r: usize) -> f64 {
         let count = self.job_count(r);
         if !self.settings.roster_reports_load() {
@@ -1060,14 +1158,17 @@
         (count + count.max(1.0).sqrt() * self.rng.normal()).max(f64::from(self.runners[r].in_flight))
     }
 
+    /// Age of a runner's latest report in microseconds; `f64::MAX` if there is none.
     fn report_age(&self, r: usize) -> f64 {
         self.runners[r].reported_at.map_or(f64::MAX, |at| (self.now - at) as f64)
     }
 
+    /// Whether a runner's latest report is too old to choose by.
     fn report_is_stale(&self, r: usize) -> bool {
         self.report_age(r) > STALE_REPORT_AGE * self.mean_forward_time
     }
 
+    /// Recomputes the mean forward time over the operations in use; at least 1.
     fn update_mean_forward_time(&mut self) {
         let used = self.settings.operations.iter().zip(&self.forward_times).filter(|(op, _)| op.in_use);
         let forward_times: Vec<f64> = used.map(|(_, forward_time)| forward_time.value).collect();
@@ -1075,42 +1176,47 @@
             (forward_times.iter().sum::<f64>() / (forward_times.len() as f64).max(1.0)).max(1.0);
     }
 
+    /// A runner's slots as reported; otherwise the fewest of any runner, or 1.
     fn slots(&self, r: usize) -> f64 {
         self.runners[r].slots.unwrap_or(if self.min_slots > 0.0 { self.min_slots } else { 1.0 })
     }
 
-    /// What a count is weighed by: the registered size, or else slots; less what is still cold.
+    /// Capacity that job counts are divided by: the weight, reduced while the runner is cold.
     fn capacity(&self, r: usize) -> f64 {
         self.weight(r) * self.warmth(r)
     }
 
+    /// A runner's weight when warm: its registered size where the roster gives one, otherwise its slots.
     fn weight(&self, r: usize) -> f64 {
         let size = self.runners[r].size;
         if self.settings.size_source != SizeSource::Unknown && size > 0.0 { size } else { self.slots(r) }
     }
 
-    // Cold runners.
+    // Slow start of cold runners.
 
-    /// The share of its full capacity that a runner surely has.
+    /// The share of its full capacity that a runner is sure to have, rising linearly from its start.
     fn warmth(&self, r: usize) -> f64 {
         let Some(launched) = self.runners[r].launched else { return 1.0 };
         let age = (self.now - launched).max(0) as f64 / self.settings.warm_up_span.max(1) as f64;
         (self.settings.cold_capacity_share + (1.0 - self.settings.cold_capacity_share) * age).min(1.0)
     }
 
-    /// While heavy work fails the pace is that of light work, so what the client tells counts where it is more.
+    /// Estimated work of an invocation in slot-microseconds. While heavy jobs fail, mean forward times are
+    /// those of light jobs, so the client's hint counts if it is greater.
     fn estimated_work(&self, invocation: &InvocationState) -> f64 {
         self.forward_times[invocation.operation].value.max(invocation.work_hint) * invocation.slots
     }
 
-    /// What all dispatchers together may send a cold runner in the span that the rule looks at.
+    /// The work that all dispatchers together may send to a cold runner within the overload window.
     fn cold_budget(&self, r: usize) -> f64 {
         let most = self.settings.overload_factor * self.warmth(r) * self.slots(r);
         most * self.settings.overload_window as f64 * COLD_BUDGET_SAFETY_FACTOR
     }
 
-    /// An even share of it, or the portion agreed on. Where a share is less than one job, dispatchers take turns by
-    /// their own numbers, a time slice each, at whole jobs. Two slices touch any span, so each has half the budget.
+    /// Whether `work` is within this dispatcher's part of a cold runner's budget: an even share, or the share
+    /// agreed on. Where a share is less than one job, dispatchers take turns of one time slice each, by their
+    /// indexes, and send whole jobs. Any overload window touches two slices, so each slice gets half the
+    /// budget.
     fn within_cold_budget(&self, r: usize, work: f64) -> bool {
         if self.warmth(r) >= 1.0 {
             return true;
@@ -1134,9 +1240,11 @@
         turn % (turn_count as u64).max(1) == 0 && runner.work_sent_since(slice * span) + work <= limit
     }
 
-    /// What a runner is sent in a span is what it does in it, its capacity at most, and what it holds at its end: safe
-    /// while it holds no more than the rule leaves beyond its capacity, some jobs that others may be sending it now
-    /// counted in, and only by word known to be prompt. One with no fresh word may be drawn, to be probed.
+    /// Whether a cold runner holds so few jobs that more work is safe without budget. The work sent to a
+    /// runner in a window is what it completes in it, at most its capacity, plus what it holds at the end. It
+    /// is safe while it holds no more than the overload rule leaves beyond its capacity, including jobs that
+    /// other dispatchers may be sending now. This needs reports that are known to be prompt; a runner without
+    /// a fresh report may be sampled, to be probed.
     fn holds_few_jobs(&self, r: usize, work: f64) -> bool {
         if !self.probes_indicate_load()
             || self.prompt_reports < MIN_PROMPT_REPORTS
@@ -1150,8 +1258,9 @@
             <= most * self.settings.overload_window as f64 * COLD_BUDGET_SAFETY_FACTOR
     }
 
-    // What runners show of themselves.
+    // Runner reports and health.
 
+    /// Updates slots and load from a runner's load report, if it has values.
     fn apply_report(&mut self, r: usize, values: &[f64]) {
         let of = [ReportField::InFlight, ReportField::FreeSlots, ReportField::Waiting];
         let [inflight, free, waiting] = of.map(|field| self.settings.field(values, field));
@@ -1169,12 +1278,13 @@
         }
         let settled = self.record_load(r, inflight);
         if settled > 0.0 {
-            // A fresh report counts at least what has long been there; one that does not is late.
+            // A fresh report counts at least the own forwards that have been there for long; one that does
+            // not is late.
             self.add_lateness_evidence(if inflight + 0.5 < settled { 2.3 } else { -0.1 });
         }
     }
 
-    /// What a runner is said to hold. Gives the own forwards that this must count.
+    /// Records the jobs that a runner is reported to hold. Returns how many own forwards this must include.
     fn record_load(&mut self, r: usize, held: f64) -> f64 {
         let settled = self.runners[r].record_load(held, self.now, REPORT_LAG);
         let level = self.runners[r].other_jobs.max(0.0) / self.weight(r);
@@ -1182,13 +1292,15 @@
         settled
     }
 
-    /// Evidence on whether reports come late, in log-odds; neither belief grows too firm to turn.
+    /// Adds evidence, as a log-likelihood ratio, that reports come late (positive) or are prompt (negative).
+    /// The bound keeps either belief reversible.
     fn add_lateness_evidence(&mut self, evidence: f64) {
         self.late_reports_log_odds =
             (self.late_reports_log_odds + evidence).clamp(-MAX_LATENESS_LOG_ODDS, MAX_LATENESS_LOG_ODDS);
         self.prompt_reports = if evidence > 0.0 { 0 } else { self.prompt_reports.saturating_add(1) };
     }
 
+    /// Updates a runner's health from the outcome of a forward, and ejects it if needed.
     fn record_health(&mut self, r: usize, operation: usize, outcome: &Outcome) {
         let now = self.now;
         let (mean_forward_time, slots) = (self.mean_forward_time, self.slots(r));
@@ -1203,11 +1315,11 @@
                 runner.ejection_count = 0;
                 self.slot_freed = true;
                 let forward_time = &mut self.forward_times[operation];
-                // One slowed runner's times are to say little of the others'.
+                // Bounded, so that the times of one slow runner say little about the others.
                 forward_time.record((outcome.elapsed as f64).min(4.0 * forward_time.value), 0.05, now);
                 self.update_mean_forward_time();
             }
-            // A connection that breaks may say nothing of its runner: one that is down refuses the next dial.
+            // A broken connection may say nothing about its runner: one that is down refuses the next dial.
             ForwardResult::Errored | ForwardResult::Broken => {
                 runner.failures += 1.0;
                 runner.silent_since = now;
@@ -1223,7 +1335,7 @@
                 }
             }
             ForwardResult::Unreachable => {
-                // Where all dials are slow, one that took too long says nothing against its runner.
+                // Where all dials are slow, one that timed out is no evidence against its runner.
                 let slow = outcome.elapsed as f64 > self.shortest_objective as f64 * SLOW_DIAL_RATIO;
                 if slow && !self.settings.connections_are_priced {
                     self.dial_wait_excess.record(outcome.elapsed as f64, 0.1, now);
@@ -1241,6 +1353,7 @@
         }
     }
 
+    /// Ejects an outlier for a while. Afterwards it gets one forward at a time until one succeeds.
     fn eject(&mut self, r: usize, reason: &str) {
         let runner = &mut self.runners[r];
         if self.now < runner.ejected_until {
@@ -1257,13 +1370,14 @@
         )));
     }
 
-    /// Listed runners that are set aside at this time.
+    /// Number of listed runners that are ejected at this time.
     pub fn ejected_runners(&self, now: Micros) -> usize {
         self.listed.iter().filter(|r| now < self.runners[**r].ejected_until).count()
     }
 
-    /// How long a runner may show no sign of life. Progress is told at a known gap, so its lack tells a hang sooner than
-    /// any time-out. What has not begun owes none: where no load is told it waits in the runner, and looks like a hang.
+    /// How long a runner may show no sign of life. Progress is reported at a known interval, so its absence
+    /// reveals a hang sooner than any timeout. A job that has not started reports none: where load is unknown
+    /// it may wait in the runner's queue, which would look like a hang.
     fn silence_timeout(&self, started: bool) -> Micros {
         let progress_timeout = self.settings.progress_interval * 3 / 2;
         if progress_timeout > 0 && (started || !self.settings.load_is_unknown()) {
@@ -1275,11 +1389,13 @@
         )
     }
 
+    /// Whether a runner with forwards in flight has shown no sign of life for too long.
     fn is_silent(&self, r: usize, started: bool) -> bool {
         let runner = &self.runners[r];
         runner.in_flight > 0 && self.now - runner.silent_since >= self.silence_timeout(started)
     }
 
+    /// Checks a forward in flight: cancels it to move the invocation, gives up or checks again later.
     fn check_stalled(&mut self, id: &Id) {
         let Some(invocation) = self.invocations.get(id).filter(|invocation| !invocation.answered) else {
             return;
@@ -1291,11 +1407,12 @@
         else {
             return;
         };
-        // Where no load is told a move is a guess as good as the first, and a cancel that stops nothing makes two
-        // jobs of one: no setting says whether it does.
+        // Where load is unknown, another runner is no better choice than the first, and a cancel that stops
+        // nothing makes two jobs of one; no setting says whether a cancel stops the job.
         let not_started = self.settings.reports_start && !current.started && !self.settings.load_is_unknown();
         if not_started && self.now >= invocation.start_deadline && self.settings.may_cancel {
-            // Not begun, and late whatever comes: to go on would take a slot from what can still be in time.
+            // Not started, and late in any case: continuing would take a slot from work that can still meet
+            // its objective.
             return self.give_up(id);
         }
         let op = &self.settings.operations[invocation.operation];
@@ -1328,6 +1445,7 @@
         }
     }
 
+    /// Records the answer to a probe, or its failure.
     fn handle_probe_end(&mut self, id: &Id, alive: bool, report: &[f64]) {
         let Some(&r) = self.by_id.get(id) else { return };
         self.runners[r].probe_pending = false;
--- a/src/routing_policy/slow_start.rs
+++ b/src/routing_policy/slow_start.rs
@@ -1,19 +1,22 @@
-//! What one dispatcher's module has sent to cold runners, for the process that takes over from it: both count
-//! as one; and what it is told of its portions of their budgets. Nothing is decided here. Nothing else goes
-//! along: a module that also took over loads, paces and shares did worse in a shortage than one that begins
-//! anew (docs/operations.md).
+//! Slow-start state that is exchanged with other processes: the work sent to cold runners, which the next
+//! process of this dispatcher takes over so that both count as one, and this dispatcher's shares of cold
+//! runners' budgets. No decisions are made here.
+//!
+//! Nothing else is handed over: a policy that also took over loads, forward times and free-slot shares did
+//! worse in a shortage than one that starts afresh (docs/operations.md).
 
 use super::RoutingPolicy;
 use crate::{Id, Micros};
 
-/// Work sent to a runner, and when.
+/// Runner, and the work sent to it: when each forward was sent and its estimated work in slot-microseconds.
 pub type SlowStartUsage = (Id, Vec<(Micros, f64)>);
 
-/// The share of a cold runner's budget that is this dispatcher's own until then; afterwards it is an even one.
+/// Runner, this dispatcher's share of its slow-start budget, and until when that holds; afterwards the share
+/// is an even one.
 pub type SlowStartShare = (Id, f64, Micros);
 
 impl RoutingPolicy {
-    /// What counts, now or later, against the budgets of cold runners.
+    /// The sent work that counts against the budgets of cold runners, now or later.
     pub fn slow_start_usage(&self, now: Micros) -> Vec<SlowStartUsage> {
         let counts = |at: Micros| at >= now - self.settings.overload_window;
         let cold = self.cold.iter().map(|r| &self.runners[*r]);
@@ -24,6 +27,7 @@
         usage.filter(|(_, work)| !work.is_empty()).collect()
     }
 
+    /// Adds work that another process of this dispatcher has sent.
     pub(super) fn add_slow_start_usage(&mut self, usage: Vec<SlowStartUsage>) {
         for (id, work) in usage {
             if let Some(&r) = self.by_id.get(&id) {
@@ -32,6 +36,7 @@
         }
     }
 
+    /// Sets the agreed shares of runners' slow-start budgets.
     pub(super) fn set_slow_start_shares(&mut self, shares: Vec<SlowStartShare>) {
         for (id, share, until) in shares {
             if let Some(&r) = self.by_id.get(&id) {
--- a/src/state_tables.rs
+++ b/src/state_tables.rs
@@ -1,78 +1,100 @@
-//! What a dispatcher keeps on runners, invocations and keys. Plain entries: the brain decides.
+//! State that a dispatcher keeps about runners, invocations and keys. Plain entries and their arithmetic; the
+//! decisions are in `routing_policy.rs`. Spans and times are in microseconds.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::{Id, Micros, RetryBudget};
 
-/// An average that is believed less as time passes with nothing new.
+/// An exponentially weighted average whose value decays while no new samples arrive.
 #[derive(Clone, Default)]
 pub struct DecayingAverage {
     pub value: f64,
+    /// Time of the latest sample; `None` before the first.
     pub updated_at: Option<Micros>,
 }
 
 impl DecayingAverage {
+    /// Adds a sample with this weight; the first sample counts fully.
     pub fn record(&mut self, value: f64, weight: f64, now: Micros) {
         let weight = if self.updated_at.is_some() { weight } else { 1.0 };
         self.value += weight * (value - self.value);
         self.updated_at = Some(now);
     }
 
+    /// The value at `now`, decayed by 1/e for every `decay_time` since the latest sample; 0 without samples.
     pub fn value_at(&self, now: Micros, decay_time: f64) -> f64 {
         self.updated_at.map_or(0.0, |at| self.value * (-((now - at) as f64) / decay_time).exp())
     }
 }
 
-/// What remains of a sum that counts half after each half-life.
+/// The share of a count that remains after `age`, when it halves every `half_life`.
 fn remaining_share(age: Micros, half_life: f64) -> f64 {
     0.5f64.powf(age as f64 / half_life)
 }
 
+/// A runner as this dispatcher sees it.
 #[derive(Default)]
 pub struct RunnerState {
     pub id: Id,
+    /// Hash of the id, for rendezvous hashing and turns of slow start.
     pub hash: u64,
+    /// Whether the roster lists it as up.
     pub listed: bool,
     pub machine_type: Id,
     pub zone: Id,
+    /// Whether it is in this dispatcher's zone.
     pub in_own_zone: bool,
     pub cell: i64,
-    /// Its size against others', at rest where the roster's sizes move with load; as last listed.
+    /// Its size relative to other runners; that of the idle runner where the roster's sizes move with load.
     pub size: f64,
+    /// Its size as last listed.
     pub listed_size: f64,
+    /// Time of its last start, if known.
     pub launched: Option<Micros>,
+    /// Own forwards in flight.
     pub in_flight: u32,
+    /// Own forwards in flight that had high priority when they were sent.
     pub in_flight_high: u32,
-    /// Connections that are up, as far as is known here, and when one was last used.
+    /// Open connections, as far as this dispatcher knows.
     pub connections: u32,
+    /// When a connection was last used.
     pub last_used_at: Micros,
+    /// A probe has been sent and has not ended.
     pub probe_pending: bool,
-    /// Others' jobs by the latest report: what it says less own forwards out at that time.
+    /// Other dispatchers' jobs by the latest report: its job count less the own forwards that it must
+    /// include.
     pub other_jobs: f64,
-    /// The same, averaged over reports: what remains to go by when the latest is old or comes late.
+    /// `other_jobs` averaged over reports, used when the latest report is old or reports come late.
     pub usual_other_jobs: f64,
+    /// Time of the latest report; `None` if there is none since its start.
     pub reported_at: Option<Micros>,
+    /// Slots, averaged over reports; `None` if they have not been reported.
     pub slots: Option<f64>,
-    /// It has turned work away as full, and no slot can have come free since.
+    /// It has rejected work as full, and until then no slot is expected to become free.
     pub full_until: Micros,
+    /// Recent successes; decayed.
     pub successes: f64,
+    /// Recent failures; decayed.
     pub failures: f64,
+    /// When `successes` and `failures` were last decayed.
     pub health_updated_at: Micros,
+    /// End of its latest outlier ejection.
     pub ejected_until: Micros,
+    /// Ejections since its last success.
     pub ejection_count: u32,
-    /// Back from the bench, one forward at a time until it succeeds.
+    /// After an ejection: it gets one forward at a time until one succeeds.
     pub on_trial: bool,
-    /// Since when it has shown no sign of life while it held a forward of ours.
+    /// Since when it has shown no sign of life while it held an own forward.
     pub silent_since: Micros,
-    /// Work sent of late, and when.
+    /// Recent own forwards: when each was sent and its estimated work.
     pub sent_work: VecDeque<(Micros, f64)>,
-    /// The share of its cold budget that was told to be this dispatcher's own, and until when.
+    /// The agreed share of its slow-start budget for this dispatcher, and until when that holds.
     pub slow_start_share: Option<(f64, Micros)>,
 }
 
 impl RunnerState {
-    /// Whether a forward sent now has to wait for a new connection, which it then has. What has been idle for
-    /// too long has been closed.
+    /// Reserves a connection for a forward sent now and returns whether a new one must be opened. Connections
+    /// idle for `idle_timeout` have been closed by the runner.
     pub fn reserve_connection(&mut self, now: Micros, idle_timeout: Micros) -> bool {
         if now - self.last_used_at >= idle_timeout {
             self.connections = self.in_flight;
@@ -83,8 +105,8 @@
         must_dial
     }
 
-    /// Takes what it is said to hold, by word that need not count forwards younger than so much. Gives the own
-    /// forwards that this must count.
+    /// Records the reported number of jobs. The report may miss own forwards younger than `report_lag`.
+    /// Returns how many own forwards it must include.
     pub fn record_load(&mut self, held: f64, now: Micros, report_lag: Micros) -> f64 {
         let just_sent = self.sent_work.iter().filter(|(at, _)| *at > now - report_lag).count();
         let settled = (f64::from(self.in_flight) - just_sent as f64).max(0.0);
@@ -95,23 +117,24 @@
         settled
     }
 
-    /// Work sent from then on.
+    /// Estimated work of own forwards sent at or after `from`.
     pub fn work_sent_since(&self, from: Micros) -> f64 {
         self.sent_work.iter().filter(|(at, _)| *at >= from).map(|(_, work)| work).sum()
     }
 
-    /// The share of a cold budget that dispatchers agree on; an even one once that is over.
+    /// This dispatcher's share of the slow-start budget: as agreed, an even one once that has expired, 0
+    /// before any agreement.
     pub fn budget_share(&self, now: Micros, dispatchers: u32) -> f64 {
         let even_share = 1.0 / f64::from(dispatchers.max(1));
         self.slow_start_share.map_or(0.0, |(share, until)| if now < until { share } else { even_share })
     }
 
-    /// The share of failures. Two successes are granted in advance: one failure alone condemns nobody.
+    /// The share of failures. Two successes are added, so that a single failure is not decisive.
     pub fn failure_share(&self) -> f64 {
         self.failures / (self.successes + self.failures + 2.0)
     }
 
-    /// Its failures and successes count half after each half-life.
+    /// Decays the counts of successes and failures to `now`.
     pub fn decay_health(&mut self, now: Micros, half_life: f64) {
         let remaining = remaining_share(now - self.health_updated_at, half_life);
         self.health_updated_at = now;
@@ -120,8 +143,8 @@
     }
 }
 
-/// What counts against a budget of further forwards: when invocations were taken, and when forwards beyond
-/// their first were made.
+/// Sliding window of a retry budget: arrival times of invocations, and times of forwards beyond each
+/// invocation's first.
 #[derive(Default)]
 pub struct RetryBudgetWindow {
     arrivals: VecDeque<Micros>,
@@ -129,24 +152,28 @@
 }
 
 impl RetryBudgetWindow {
+    /// Records an invocation that arrives now.
     pub fn record_arrival(&mut self, budget: &RetryBudget, now: Micros) {
         self.drop_expired(budget, now);
         self.arrivals.push_back(now);
     }
 
+    /// Records a forward beyond an invocation's first that is sent now.
     pub fn record_retry(&mut self, budget: &RetryBudget, now: Micros) {
         self.drop_expired(budget, now);
         self.retries.push_back(now);
     }
 
+    /// Drops entries older than the window.
     fn drop_expired(&mut self, budget: &RetryBudget, now: Micros) {
         let from = now - budget.window;
         self.arrivals.drain(..self.arrivals.partition_point(|at| *at <= from));
         self.retries.drain(..self.retries.partition_point(|at| *at < from));
     }
 
-    /// Further forwards in the window that ends now, and what it allows. A forward on its edge still counts, an
-    /// invocation there does no more: whoever judges may count either way.
+    /// Retries in the window that ends now, and how many it allows. A retry on the edge of the window still
+    /// counts and an arrival on it does not, so that the budget holds whichever way an observer counts the
+    /// edge.
     pub fn usage(&self, budget: &RetryBudget, now: Micros) -> (f64, f64) {
         let from = now - budget.window;
         let arrivals = self.arrivals.len() - self.arrivals.partition_point(|at| *at <= from);
@@ -154,26 +181,31 @@
         (retries as f64, budget.floor + budget.share * arrivals as f64)
     }
 
-    /// When the oldest forward in the window counts no more.
+    /// When the oldest retry leaves the window; `None` if there is none.
     pub fn next_release(&self, budget: &RetryBudget, now: Micros) -> Option<Micros> {
         let from = now - budget.window;
         self.retries.get(self.retries.partition_point(|at| *at < from)).map(|at| at + budget.window + 1)
     }
 }
 
-/// A key's uses count half after this.
+/// Half-life of the counted uses of a key, in microseconds.
 const KEY_USE_HALF_LIFE: f64 = 3e7;
+/// Number of keys above which those unused for a half-life are dropped.
 const MAX_KEYS: usize = 10_000;
 
+/// Use counts of affinity keys.
 #[derive(Default)]
 pub struct KeyUsage {
+    /// Keys by the hash of their text.
     pub by_hash: HashMap<u64, KeyState>,
-    /// Uses of all keys, as they count now.
+    /// Uses of all keys, decayed.
     pub total_uses: f64,
+    /// When any key was last used.
     last_used_at: Micros,
 }
 
 impl KeyUsage {
+    /// Records a use of a key.
     pub fn record(&mut self, key: u64, now: Micros) {
         let decay = |since: Micros| remaining_share(now - since, KEY_USE_HALF_LIFE);
         let key_state = self.by_hash.entry(key).or_default();
@@ -187,85 +219,117 @@
     }
 }
 
-/// How often a key has been asked for, when last, and its first homes as of some roster with newcomers.
+/// Decayed use count of a key, its last use and its homes.
 #[derive(Default)]
 pub struct KeyState {
+    /// Uses, decayed to `last_used_at`.
     pub uses: f64,
     pub last_used_at: Micros,
+    /// Its first homes in the order of rendezvous hashing, by runner index.
     pub homes: Vec<usize>,
+    /// The ranking generation in which `homes` were computed.
     pub ranking_generation: u64,
 }
 
+/// A forward in flight.
 #[derive(Default)]
 pub struct ForwardState {
     pub runner_index: usize,
+    /// 0 for an invocation's first forward, then counting up.
     pub number: u32,
-    /// Whether its operation was high when it was sent.
+    /// Whether its operation had high priority when it was sent.
     pub is_high_priority: bool,
+    /// A cancel has been sent.
     pub cancelled: bool,
-    /// It had to wait for a new connection.
+    /// It needed a new connection.
     pub dialled: bool,
+    /// The response is being passed to the client.
     pub response_started: bool,
+    /// The runner has reported that the job started.
     pub started: bool,
     pub sent_at: Micros,
+    /// Time of its last sign of life.
     pub last_activity: Micros,
 }
 
-/// The first forward that may have run binds what may follow.
+/// The first forward of an invocation that may have run. It limits where and until when a deduplicated
+/// invocation may be forwarded again, and excludes retries of a non-idempotent one.
 pub struct RetryConstraint {
     pub zone: Id,
     pub cell: i64,
+    /// When that forward was sent.
     pub since: Micros,
 }
 
-/// Where draws are made, the cheapest first; the next is drawn from only where the draws so far have no room.
+/// Pools that candidates are sampled from, the cheapest first. The next pool is used only if the candidates
+/// so far have no room.
 #[derive(Clone, Copy, PartialEq)]
 pub enum CandidatePool {
     /// The homes of the invocation's key.
     Homes,
-    /// Runners with a connection, in this zone and in all: a new connection may cost more than a wait.
+    /// Runners of the own zone with an open connection: a new connection may cost more than a wait.
     ConnectedOwnZone,
+    /// Runners with an open connection.
     Connected,
+    /// Runners of the own zone.
     OwnZone,
+    /// All listed runners.
     All,
-    /// Cold runners: among many warm ones their budget would seldom be drawn.
+    /// Cold runners: among many warm ones they would seldom be sampled and their budget would stay unused.
     Cold,
 }
 
+/// What to do when a timer fires.
 pub enum Timer {
+    /// Check an invocation, queued or in flight.
     Revisit(Id),
+    /// Subscribe to the roster, if that is needed.
     Subscribe,
 }
 
-/// Order in the queue: what is at stake, then who can wait least.
+/// Position in the queue: tier, start deadline, serial number. Lower tiers first, then the invocation that
+/// can wait least.
 pub type QueuePosition = (u8, Micros, u64);
 
+/// An invocation that is queued or in flight.
 #[derive(Default)]
 pub struct InvocationState {
+    /// Index into the settings' operations.
     pub operation: usize,
+    /// When its client times out.
     pub deadline: Micros,
-    /// Until when a start is still in time.
+    /// Latest start with which it can still meet its objective.
     pub start_deadline: Micros,
+    /// When it is given up if no forward has been sent.
     pub give_up_at: Micros,
     pub slots: f64,
-    /// Its work as the client tells it; 0 where it does not.
+    /// Its work as hinted by the client; 0 without a hint.
     pub work_hint: f64,
+    /// Hash of its affinity key.
     pub key: Option<u64>,
+    /// Forwards sent so far.
     pub forwards: u32,
+    /// The forward in flight.
     pub current_forward: Option<ForwardState>,
     pub retry_constraint: Option<RetryConstraint>,
-    /// The runner that it was last taken from, as it had not begun there.
+    /// The runner of the previous forward, if that was withdrawn.
     pub moved_from: Option<usize>,
+    /// It needs no further answer.
     pub answered: bool,
+    /// Its position, while it is queued.
     pub queue_position: Option<QueuePosition>,
+    /// The key of its timer.
     pub timer: Option<(Micros, u64)>,
-    /// Draws made so far, and from how many pools.
+    /// Runners sampled so far.
     pub candidates: Vec<usize>,
+    /// Number of pools sampled so far.
     pub pools_sampled: usize,
-    /// Which order of pools these are taken from.
+    /// Index of the pool order that these pools are taken from.
     pub pool_order: usize,
-    /// The draw that is no home of its key yet.
+    /// The candidate that is the next in the ranking of homes and not yet a home of the key.
     pub next_home: Option<usize>,
+    /// Until when probes of its candidates may be answered; 0 before they are sent.
     pub probe_deadline: Micros,
+    /// It is not considered before this time, unless a slot becomes free.
     pub wait_until: Micros,
 }
