--- a/src/random.rs
+++ b/src/random.rs
@@ -68,7 +68,9 @@
 /// Weighted rendezvous hashing, the same at every dispatcher: the first `length` candidates for a key, in
 /// order. A candidate is its hash, 1 / weight and the index that is returned.
 pub fn rendezvous_rank(key: u64, candidates: &[(u64, f64, usize)], length: usize) -> Vec<usize> {
-    let rank = |(hash, weight, r): &(u64, f64, usize)| (-unit_interval(key ^ hash).ln() * weight, *r);
+    let rank = |(hash, inverse_weight, r): &(u64, f64, usize)| {
+        (-unit_interval(key ^ hash).ln() * inverse_weight, *r)
+    };
     let mut ranks: Vec<(f64, usize)> = candidates.iter().map(rank).collect();
     if length < ranks.len() {
         ranks.select_nth_unstable_by(length, |a, b| a.0.total_cmp(&b.0));
--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -170,7 +170,7 @@
     free_slot_share: DecayingAverage,
     /// Log-odds that reports come late.
     late_reports_log_odds: f64,
-    /// Pieces of evidence for prompt reports since the last for late ones.
+    /// Consecutive pieces of evidence that reports are prompt.
     prompt_reports: u32,
     /// Time of successful forwards, by operation.
     forward_times: Vec<DecayingAverage>,
@@ -251,9 +251,9 @@
 
     /// The only entry point for events: takes what happened up to `now`, in order, and returns the actions to
     /// carry out now, in order.
-    pub fn decide(&mut self, now: Micros, happened: Vec<Event>) -> Vec<Action> {
+    pub fn decide(&mut self, now: Micros, events: Vec<Event>) -> Vec<Action> {
         self.now = now;
-        for event in happened {
+        for event in events {
             match event {
                 Event::Arrival(arrival) => self.handle_arrival(arrival),
                 Event::ResponseStarted { invocation, forward } => {
@@ -312,8 +312,8 @@
     fn set_invocation_timer(&mut self, id: &Id, at: Option<Micros>) {
         let timer = at.map(|at| self.add_timer(at, Timer::Revisit(id.clone())));
         let Some(invocation) = self.invocations.get_mut(id) else { return };
-        if let Some(before) = std::mem::replace(&mut invocation.timer, timer) {
-            self.timers.remove(&before);
+        if let Some(previous) = std::mem::replace(&mut invocation.timer, timer) {
+            self.timers.remove(&previous);
         }
     }
 
@@ -356,9 +356,9 @@
     fn update_roster(&mut self, roster: Roster) {
         match roster.listing {
             Listing::Refused => {
-                // A restarted fleet subscribes all at once, and the registry fails requests that wait too long:
-                // retries are spread out at random around a mean that grows up to a quarter of the span after
-                // which dispatchers count as notified of changes (docs/design.md).
+                // A restarted fleet subscribes all at once, and the registry fails requests that wait too
+                // long: retries are spread out at random around a mean that grows up to a quarter of the span
+                // after which dispatchers count as notified of changes (docs/design.md).
                 self.is_subscribed = false;
                 self.failed_subscriptions += 1;
                 let mean_delay = (100_000 << self.failed_subscriptions.min(3))
@@ -376,7 +376,7 @@
             self.failed_subscriptions = 0;
         }
         roster.entries.into_iter().for_each(|entry| self.update_runner(entry));
-        let before = std::mem::take(&mut self.listed);
+        let listed_before = std::mem::take(&mut self.listed);
         self.listed = (0..self.runners.len()).filter(|r| self.runners[*r].listed).collect();
         if self.settings.roster_reports_load() {
             self.read_listed_loads();
@@ -385,7 +385,7 @@
         self.total_weight = self.listed.iter().map(|r| self.weight(*r)).sum();
         // Homes that are no longer listed are skipped; ranks are computed again only when there is a new
         // runner.
-        if self.listed.iter().any(|r| before.binary_search(r).is_err()) {
+        if self.listed.iter().any(|r| listed_before.binary_search(r).is_err()) {
             self.ranking_generation += 1;
             let rendezvous_entry = |r: &usize| (self.runners[*r].hash, 1.0 / self.weight(*r), *r);
             self.rendezvous_entries = self.listed.iter().map(rendezvous_entry).collect();
@@ -421,14 +421,14 @@
     /// fallen below that of an idle runner, which is the greatest size ever listed for its machine type. A
     /// runner missing from an update has not changed.
     fn read_listed_loads(&mut self) {
-        let mut at_rest: BTreeMap<Id, f64> = BTreeMap::new();
+        let mut idle_sizes: BTreeMap<Id, f64> = BTreeMap::new();
         for runner in &self.runners {
-            let most = at_rest.entry(runner.machine_type.clone()).or_default();
-            *most = most.max(runner.size);
+            let largest = idle_sizes.entry(runner.machine_type.clone()).or_default();
+            *largest = largest.max(runner.size);
         }
         for r in self.listed.clone() {
             let runner = &mut self.runners[r];
-            runner.size = at_rest[&runner.machine_type];
+            runner.size = idle_sizes[&runner.machine_type];
             let held = (runner.size / runner.listed_size.max(f64::MIN_POSITIVE) - 1.0).min(MAX_JOBS_PER_CORE);
             self.record_load(r, held * self.slots(r));
         }
@@ -771,12 +771,12 @@
         }
         self.apply_report(current.runner_index, &outcome.report);
         // Where runners report starts, accepted forwards have been counted at the start.
-        let taken = outcome.result == ForwardResult::Succeeded && !self.settings.reports_start;
+        let accepted = outcome.result == ForwardResult::Succeeded && !self.settings.reports_start;
         if self.forwards_indicate_load()
             && !self.settings.load_is_unknown()
-            && (taken || outcome.result == ForwardResult::Overloaded)
+            && (accepted || outcome.result == ForwardResult::Overloaded)
         {
-            self.free_slot_share.record(f64::from(u8::from(taken)), 0.2, self.now);
+            self.free_slot_share.record(f64::from(u8::from(accepted)), 0.2, self.now);
         }
         if outcome.result == ForwardResult::Overloaded
             && let Some(free) = self.settings.free_slots(&outcome.report)
@@ -884,8 +884,8 @@
     /// full runner, and with a plain count below slots every second full runner would look free, to all
     /// dispatchers at once. Loads from the list are averages, so any fraction counts there.
     fn has_free_slot(&self, r: usize) -> bool {
-        let least = if self.settings.roster_reports_load() { f64::MIN_POSITIVE } else { 0.5 };
-        self.slots(r) - self.job_count(r) >= least
+        let min_free = if self.settings.roster_reports_load() { f64::MIN_POSITIVE } else { 0.5 };
+        self.slots(r) - self.job_count(r) >= min_free
     }
 
     /// Whether probes indicate load: they are allowed, report it, and reports are not believed to come late.
@@ -914,7 +914,7 @@
         }
         invocation.pools_sampled += 1;
         invocation.probe_deadline = 0;
-        let mut from = match (pool, invocation.key) {
+        let mut pool_runners = match (pool, invocation.key) {
             (CandidatePool::Homes, Some(key)) => self.homes_of_key(key, invocation),
             (CandidatePool::ConnectedOwnZone | CandidatePool::Connected, _) if !self.dials_are_costly() => {
                 Vec::new()
@@ -932,12 +932,12 @@
             }
             _ => self.listed.clone(),
         };
-        if pool == CandidatePool::Homes && from.len() > 1 {
-            invocation.next_home = from.pop();
+        if pool == CandidatePool::Homes && pool_runners.len() > 1 {
+            invocation.next_home = pool_runners.pop();
         }
         let mut remaining = self.sample_size(invocation);
-        while remaining > 0 && !from.is_empty() {
-            let r = from.swap_remove(self.pick_index(&from));
+        while remaining > 0 && !pool_runners.is_empty() {
+            let r = pool_runners.swap_remove(self.pick_index(&pool_runners));
             let fits = match pool {
                 CandidatePool::ConnectedOwnZone | CandidatePool::OwnZone => self.runners[r].in_own_zone,
                 // Where connections are not priced, only a free one is worth preferring: otherwise a new one
@@ -971,11 +971,11 @@
     /// Picks an index at random. Where sizes move with load, or load is unknown, picks are weighted by
     /// capacity: if all dispatchers took the least loaded of the late list, they would all choose the same
     /// runner.
-    fn pick_index(&mut self, from: &[usize]) -> usize {
+    fn pick_index(&mut self, runners: &[usize]) -> usize {
         if !self.settings.roster_reports_load() && !self.settings.load_is_unknown() {
-            return self.rng.below(from.len() as u64) as usize;
+            return self.rng.below(runners.len() as u64) as usize;
         }
-        let weights: Vec<f64> = from.iter().map(|r| self.capacity(*r).max(1e-6)).collect();
+        let weights: Vec<f64> = runners.iter().map(|r| self.capacity(*r).max(1e-6)).collect();
         self.rng.weighted_index(&weights)
     }
 
@@ -1209,8 +1209,8 @@
 
     /// The work that all dispatchers together may send to a cold runner within the overload window.
     fn cold_budget(&self, r: usize) -> f64 {
-        let most = self.settings.overload_factor * self.warmth(r) * self.slots(r);
-        most * self.settings.overload_window as f64 * COLD_BUDGET_SAFETY_FACTOR
+        let max_rate = self.settings.overload_factor * self.warmth(r) * self.slots(r);
+        max_rate * self.settings.overload_window as f64 * COLD_BUDGET_SAFETY_FACTOR
     }
 
     /// Whether `work` is within this dispatcher's part of a cold runner's budget: an even share, or the share
@@ -1253,9 +1253,9 @@
             return false;
         }
         let held = if self.report_is_stale(r) { 0.0 } else { self.job_count(r) };
-        let most = (self.settings.overload_factor - 1.0) * self.warmth(r) * self.slots(r);
+        let spare_rate = (self.settings.overload_factor - 1.0) * self.warmth(r) * self.slots(r);
         (held + CONCURRENT_JOBS_ALLOWANCE) * self.mean_forward_time + work
-            <= most * self.settings.overload_window as f64 * COLD_BUDGET_SAFETY_FACTOR
+            <= spare_rate * self.settings.overload_window as f64 * COLD_BUDGET_SAFETY_FACTOR
     }
 
     // Runner reports and health.
@@ -1268,28 +1268,28 @@
         runner.sent_work.retain(|(at, _)| *at >= self.now - self.settings.overload_window);
         let Some(inflight) = inflight else { return };
         if let Some(free) = free.filter(|free| *free > 0.5 || waiting.is_some()) {
-            let seen = (free + inflight - waiting.unwrap_or(0.0)).round().max(1.0);
-            let slots = runner.slots.map_or(seen, |slots| slots + 0.2 * (seen - slots));
+            let reported_slots = (free + inflight - waiting.unwrap_or(0.0)).round().max(1.0);
+            let slots = runner.slots.map_or(reported_slots, |slots| slots + 0.2 * (reported_slots - slots));
             runner.slots = Some(slots);
             self.min_slots = if self.min_slots > 0.0 { self.min_slots.min(slots) } else { slots };
         }
         if self.settings.roster_reports_load() {
             return;
         }
-        let settled = self.record_load(r, inflight);
-        if settled > 0.0 {
+        let expected_own = self.record_load(r, inflight);
+        if expected_own > 0.0 {
             // A fresh report counts at least the own forwards that have been there for long; one that does
             // not is late.
-            self.add_lateness_evidence(if inflight + 0.5 < settled { 2.3 } else { -0.1 });
+            self.add_lateness_evidence(if inflight + 0.5 < expected_own { 2.3 } else { -0.1 });
         }
     }
 
     /// Records the jobs that a runner is reported to hold. Returns how many own forwards this must include.
     fn record_load(&mut self, r: usize, held: f64) -> f64 {
-        let settled = self.runners[r].record_load(held, self.now, REPORT_LAG);
+        let expected_own = self.runners[r].record_load(held, self.now, REPORT_LAG);
         let level = self.runners[r].other_jobs.max(0.0) / self.weight(r);
         self.mean_other_jobs.record(level, 0.05, self.now);
-        settled
+        expected_own
     }
 
     /// Adds evidence, as a log-likelihood ratio, that reports come late (positive) or are prompt (negative).
@@ -1336,11 +1336,13 @@
             }
             ForwardResult::Unreachable => {
                 // Where all dials are slow, one that timed out is no evidence against its runner.
-                let slow = outcome.elapsed as f64 > self.shortest_objective as f64 * SLOW_DIAL_RATIO;
-                if slow && !self.settings.connections_are_priced {
+                let was_slow = outcome.elapsed as f64 > self.shortest_objective as f64 * SLOW_DIAL_RATIO;
+                if was_slow && !self.settings.connections_are_priced {
                     self.dial_wait_excess.record(outcome.elapsed as f64, 0.1, now);
                 }
-                if !(slow && self.dials_are_costly() && self.runners[r].silent_since > now - outcome.elapsed)
+                if !(was_slow
+                    && self.dials_are_costly()
+                    && self.runners[r].silent_since > now - outcome.elapsed)
                 {
                     self.eject(r, "no connection");
                 }
--- a/src/state_tables.rs
+++ b/src/state_tables.rs
@@ -109,12 +109,12 @@
     /// Returns how many own forwards it must include.
     pub fn record_load(&mut self, held: f64, now: Micros, report_lag: Micros) -> f64 {
         let just_sent = self.sent_work.iter().filter(|(at, _)| *at > now - report_lag).count();
-        let settled = (f64::from(self.in_flight) - just_sent as f64).max(0.0);
-        self.other_jobs = held - settled;
+        let expected_own = (f64::from(self.in_flight) - just_sent as f64).max(0.0);
+        self.other_jobs = held - expected_own;
         let weight = if self.reported_at.is_some() { 0.2 } else { 1.0 };
         self.usual_other_jobs += weight * (self.other_jobs - self.usual_other_jobs);
         self.reported_at = Some(now);
-        settled
+        expected_own
     }
 
     /// Estimated work of own forwards sent at or after `from`.
