--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -1,18 +1,23 @@
+//! Test harness around one routing policy.
+
 use std::collections::{BTreeMap, BTreeSet};
 use topazsail::*;
 
-/// One dispatcher, told what happens in a few words; what it does comes back as lines.
+/// A dispatcher for tests: takes events in short form and records its actions as lines of a trace.
 pub struct PolicyHarness {
     policy: RoutingPolicy,
     now: Micros,
+    /// Times of the timers that were set and have not fired.
     armed: BTreeSet<Micros>,
-    /// Other dispatchers' jobs as runners tell them; those not here do not answer probes.
-    loads: BTreeMap<String, Vec<f64>>,
-    /// Where each forward still out is.
-    out: BTreeMap<String, String>,
+    /// Reports of other dispatchers' jobs by runner; runners missing here do not answer probes.
+    reports: BTreeMap<String, Vec<f64>>,
+    /// The runner of each forward in flight, by invocation.
+    in_flight: BTreeMap<String, String>,
+    /// One line per action since the trace was last taken.
     trace: String,
 }
 
+/// An operation with default values.
 pub fn operation(effect: Effect) -> Operation {
     Operation {
         in_use: true,
@@ -26,6 +31,7 @@
     }
 }
 
+/// Settings with default values: all features are available, with two dispatchers.
 pub fn settings(operations: Vec<Operation>) -> Settings {
     Settings {
         operations,
@@ -55,21 +61,24 @@
 }
 
 impl PolicyHarness {
-    /// Runners `a`, `b`, ... in zone east, then west, turn by turn.
+    /// A dispatcher with runners `a`, `b`, ..., alternately in the zones east and west.
     pub fn new(settings: Settings, runners: &str) -> PolicyHarness {
         let policy = RoutingPolicy::new(settings, 7);
-        let (armed, loads, out) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
-        let mut harness = PolicyHarness { policy, now: 1_000_000, armed, loads, out, trace: String::new() };
+        let (armed, reports, in_flight) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
+        let mut harness =
+            PolicyHarness { policy, now: 1_000_000, armed, reports, in_flight, trace: String::new() };
         harness.roster(Listing::Remembered, runners, Readiness::Up, None);
         harness
     }
 
+    /// Moves the clock without firing timers.
     pub fn after(&mut self, ms: Micros) -> &mut PolicyHarness {
         self.now += ms * 1000;
         self
     }
 
-    fn tell(&mut self, event: Event) -> &mut PolicyHarness {
+    /// Passes an event to the policy, records the actions and answers the probes among them.
+    fn apply(&mut self, event: Event) -> &mut PolicyHarness {
         let mut answers = Vec::new();
         for action in self.policy.decide(self.now, vec![event]) {
             let line = match action {
@@ -78,19 +87,19 @@
                     self.armed.insert(self.now + after);
                     continue;
                 }
-                Action::Forward { invocation: inv, runner: tgt, .. } => {
-                    self.out.insert(inv.to_string(), tgt.to_string());
-                    format!("{inv} -> {tgt}")
+                Action::Forward { invocation, runner, .. } => {
+                    self.in_flight.insert(invocation.to_string(), runner.to_string());
+                    format!("{invocation} -> {runner}")
                 }
-                Action::Cancel { invocation: inv, forward } => format!("cancel {inv} #{forward}"),
-                Action::Throttle { invocation: inv, retry_after: come_back } => {
-                    format!("throttle {inv}, back in {come_back:?}")
+                Action::Cancel { invocation, forward } => format!("cancel {invocation} #{forward}"),
+                Action::Throttle { invocation, retry_after } => {
+                    format!("throttle {invocation}, back in {retry_after:?}")
                 }
-                Action::Error { invocation: inv } => format!("error {inv}"),
-                Action::Probe { runner: tgt } => {
-                    let line = format!("probe {tgt}");
-                    if let Some(report) = self.load(&tgt) {
-                        answers.push(Event::ProbeEnded { runner: tgt, alive: true, report });
+                Action::Error { invocation } => format!("error {invocation}"),
+                Action::Probe { runner } => {
+                    let line = format!("probe {runner}");
+                    if let Some(report) = self.report(&runner) {
+                        answers.push(Event::ProbeEnded { runner, alive: true, report });
                     }
                     line
                 }
@@ -99,22 +108,24 @@
             self.trace += &format!("{} {line}\n", self.now / 1000);
         }
         for answer in answers {
-            self.tell(answer);
+            self.apply(answer);
         }
         self
     }
 
-    fn load(&self, tgt: &str) -> Option<Vec<f64>> {
-        let own = self.out.values().filter(|out| *out == tgt).count() as f64;
-        let [free, waiting, inflight] = self.loads.get(tgt)?[..] else { return None };
+    /// A runner's current report, with own forwards included; `None` if it does not answer probes.
+    fn report(&self, runner: &str) -> Option<Vec<f64>> {
+        let own = self.in_flight.values().filter(|in_flight| *in_flight == runner).count() as f64;
+        let [free, waiting, inflight] = self.reports.get(runner)?[..] else { return None };
         Some(vec![(free - own).max(0.0), waiting + (own - free).max(0.0), inflight + own])
     }
 
-    /// A renewed list in which these runners have this size.
-    pub fn sizes(&mut self, runners: &str, size: f64) -> &mut PolicyHarness {
-        self.list(Listing::Changes, runners, size, Readiness::Up, None)
+    /// A roster update in which these runners have this size.
+    pub fn list_sizes(&mut self, runners: &str, size: f64) -> &mut PolicyHarness {
+        self.update_roster(Listing::Changes, runners, size, Readiness::Up, None)
     }
 
+    /// A roster update for these runners.
     pub fn roster(
         &mut self,
         listing: Listing,
@@ -122,10 +133,11 @@
         readiness: Readiness,
         launched: Option<Micros>,
     ) {
-        self.list(listing, runners, 1.0, readiness, launched);
+        self.update_roster(listing, runners, 1.0, readiness, launched);
     }
 
-    fn list(
+    /// A roster update for these runners with this size.
+    fn update_roster(
         &mut self,
         listing: Listing,
         runners: &str,
@@ -143,140 +155,153 @@
             launched,
         });
         let entries = entries.collect();
-        self.tell(Event::Roster(Roster { listing, entries }))
+        self.apply(Event::Roster(Roster { listing, entries }))
     }
 
-    pub fn arrives(&mut self, inv: &str, operation: usize) -> &mut PolicyHarness {
-        self.arrives_with(inv, operation, None)
+    /// An invocation arrives.
+    pub fn arrives(&mut self, invocation: &str, operation: usize) -> &mut PolicyHarness {
+        self.arrives_with(invocation, operation, None)
     }
 
-    pub fn arrives_with(&mut self, inv: &str, operation: usize, key: Option<&str>) -> &mut PolicyHarness {
-        self.comes(inv, operation, 5_000_000, key, None)
+    /// An invocation with an affinity key arrives.
+    pub fn arrives_with(
+        &mut self,
+        invocation: &str,
+        operation: usize,
+        key: Option<&str>,
+    ) -> &mut PolicyHarness {
+        self.arrive(invocation, operation, 5_000_000, key, None)
     }
 
-    /// A client's repeat, whose first try came one and a half seconds before.
-    pub fn repeats(&mut self, inv: &str, operation: usize) -> &mut PolicyHarness {
-        self.comes(inv, operation, 3_500_000, None, None)
+    /// A client's retry arrives 1.5 seconds after its first try.
+    pub fn client_retries(&mut self, invocation: &str, operation: usize) -> &mut PolicyHarness {
+        self.arrive(invocation, operation, 3_500_000, None, None)
     }
 
-    /// An invocation whose client tells its work.
-    pub fn hinted(&mut self, inv: &str, operation: usize, hint: Micros) -> &mut PolicyHarness {
-        self.comes(inv, operation, 5_000_000, None, Some(hint))
+    /// An invocation with a work hint arrives.
+    pub fn arrives_with_hint(
+        &mut self,
+        invocation: &str,
+        operation: usize,
+        work_hint: Micros,
+    ) -> &mut PolicyHarness {
+        self.arrive(invocation, operation, 5_000_000, None, Some(work_hint))
     }
 
-    fn comes(
+    /// An invocation arrives with this time left.
+    fn arrive(
         &mut self,
-        inv: &str,
+        invocation: &str,
         operation: usize,
-        expires_in: Micros,
+        time_left: Micros,
         key: Option<&str>,
-        hint: Option<Micros>,
+        work_hint: Option<Micros>,
     ) -> &mut PolicyHarness {
-        let (inv, key) = (inv.into(), key.map(Id::from));
-        self.tell(Event::Arrival(Arrival {
-            invocation: inv,
-            operation,
-            time_left: expires_in,
-            slots: 1.0,
-            work_hint: hint,
-            key,
-        }))
+        let (invocation, key) = (invocation.into(), key.map(Id::from));
+        self.apply(Event::Arrival(Arrival { invocation, operation, time_left, slots: 1.0, work_hint, key }))
     }
 
+    /// A forward ends; the policy is given 0.3 seconds as its time.
     pub fn ends(
         &mut self,
-        inv: &str,
+        invocation: &str,
         forward: u32,
-        ending: ForwardResult,
+        result: ForwardResult,
         report: &[f64],
     ) -> &mut PolicyHarness {
-        let tgt = self.out.remove(inv).unwrap_or_default().into();
-        self.tell(Event::Outcome(Outcome {
-            invocation: inv.into(),
+        let runner = self.in_flight.remove(invocation).unwrap_or_default().into();
+        self.apply(Event::Outcome(Outcome {
+            invocation: invocation.into(),
             forward,
-            runner: tgt,
-            result: ending,
-            answered: ending == ForwardResult::Succeeded,
+            runner,
+            result,
+            answered: result == ForwardResult::Succeeded,
             elapsed: 300_000,
             report: report.to_vec(),
         }))
     }
 
-    /// Others' jobs in the runner from now on, told at once and with every answer to a probe.
-    pub fn reports(&mut self, tgt: &str, report: &[f64]) -> &mut PolicyHarness {
-        self.loads.insert(tgt.to_owned(), report.to_vec());
-        self.tell(Event::ProbeEnded { runner: tgt.into(), alive: true, report: report.to_vec() })
+    /// Sets a runner's report of other dispatchers' jobs, which it sends now and with every answer to a
+    /// probe.
+    pub fn reports(&mut self, runner: &str, report: &[f64]) -> &mut PolicyHarness {
+        self.reports.insert(runner.to_owned(), report.to_vec());
+        self.apply(Event::ProbeEnded { runner: runner.into(), alive: true, report: report.to_vec() })
     }
 
-    /// The number of the latest forward of an invocation that is out.
-    pub fn forwards(&self, inv: &str) -> Option<u32> {
-        let sent = format!(" {inv} -> ");
+    /// The number of the forward of an invocation that is in flight.
+    pub fn current_forward(&self, invocation: &str) -> Option<u32> {
+        let sent = format!(" {invocation} -> ");
         let sent = self.trace.lines().filter(|line| line.contains(&sent)).count() as u32;
-        self.out.contains_key(inv).then(|| sent - 1)
+        self.in_flight.contains_key(invocation).then(|| sent - 1)
     }
 
-    /// When forwards beyond an invocation's first were made, in milliseconds.
-    pub fn further(&self) -> Vec<Micros> {
+    /// The times of all retries in the trace, in milliseconds.
+    pub fn retry_times(&self) -> Vec<Micros> {
         let mut seen = BTreeSet::new();
         let sent = self.trace.lines().filter_map(|line| {
             let (at, rest) = line.split_once(' ')?;
-            let (inv, _) = rest.split_once(" -> ")?;
-            (!seen.insert(inv)).then(|| at.parse().unwrap())
+            let (invocation, _) = rest.split_once(" -> ")?;
+            (!seen.insert(invocation)).then(|| at.parse().unwrap())
         });
         sent.collect()
     }
 
-    /// This share of a cold runner's budget is this dispatcher's for so many milliseconds.
-    pub fn portion(&mut self, tgt: &str, share: f64, ms: Micros) -> &mut PolicyHarness {
+    /// This dispatcher's share of a cold runner's budget is `share` for `ms` milliseconds.
+    pub fn slow_start_share(&mut self, runner: &str, share: f64, ms: Micros) -> &mut PolicyHarness {
         let until = self.now + ms * 1000;
-        self.tell(Event::SlowStartShares(vec![(tgt.into(), share, until)]))
+        self.apply(Event::SlowStartShares(vec![(runner.into(), share, until)]))
     }
 
-    pub fn retuned(&mut self, settings: Settings) -> &mut PolicyHarness {
-        self.tell(Event::SettingsChanged(Box::new(settings)))
+    /// The settings change.
+    pub fn change_settings(&mut self, settings: Settings) -> &mut PolicyHarness {
+        self.apply(Event::SettingsChanged(Box::new(settings)))
     }
 
-    pub fn gone(&mut self, inv: &str) -> &mut PolicyHarness {
-        self.tell(Event::ClientLeft { invocation: inv.into() })
+    /// The client of an invocation leaves.
+    pub fn client_leaves(&mut self, invocation: &str) -> &mut PolicyHarness {
+        self.apply(Event::ClientLeft { invocation: invocation.into() })
     }
 
-    pub fn starts(&mut self, inv: &str, forward: u32) -> &mut PolicyHarness {
-        self.tell(Event::Started { invocation: inv.into(), forward })
+    /// A runner reports that a forward has started.
+    pub fn starts(&mut self, invocation: &str, forward: u32) -> &mut PolicyHarness {
+        self.apply(Event::Started { invocation: invocation.into(), forward })
     }
 
-    /// Lets time pass; the timer goes off when it was armed for.
-    pub fn passes(&mut self, ms: Micros) -> &mut PolicyHarness {
+    /// Moves the clock and fires each timer at its time.
+    pub fn advance(&mut self, ms: Micros) -> &mut PolicyHarness {
         let end = self.now + ms * 1000;
         while let Some(at) = self.armed.first().copied().filter(|at| *at <= end) {
             self.armed.remove(&at);
             self.now = at;
-            self.tell(Event::TimerFired);
+            self.apply(Event::TimerFired);
         }
         self.now = end;
         self
     }
 
-    /// What was done since, runner names in order: `a2 b1`.
-    pub fn counts(&mut self) -> String {
+    /// Takes the trace and returns the forwards per runner, ordered by name: `a2 b1`.
+    pub fn forward_counts(&mut self) -> String {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
-        for tgt in std::mem::take(&mut self.trace).lines().filter_map(|line| line.split(" -> ").nth(1)) {
-            *counts.entry(tgt.to_owned()).or_default() += 1;
+        for runner in std::mem::take(&mut self.trace).lines().filter_map(|line| line.split(" -> ").nth(1)) {
+            *counts.entry(runner.to_owned()).or_default() += 1;
         }
-        counts.iter().map(|(tgt, count)| format!("{tgt}{count} ")).collect()
+        counts.iter().map(|(runner, count)| format!("{runner}{count} ")).collect()
     }
 
-    /// Forwards by runner and the number of probes, where the order of chance says nothing.
-    pub fn shows_counts(&mut self, expected: expect_test::Expect) {
+    /// Compares the forwards per runner and the number of probes, where their random order does not matter.
+    pub fn expect_counts(&mut self, expected: expect_test::Expect) {
         let probes = self.trace.lines().filter(|line| line.contains(" probe ")).count();
-        let counts = self.counts();
+        let counts = self.forward_counts();
         expected.assert_eq(&format!("{counts}probes {probes}"));
     }
 
+    /// The trace since it was last taken.
     pub fn trace(&self) -> &str {
         &self.trace
     }
 
-    pub fn shows(&mut self, expected: expect_test::Expect) {
+    /// Takes the trace and compares it.
+    pub fn expect_trace(&mut self, expected: expect_test::Expect) {
         expected.assert_eq(&std::mem::take(&mut self.trace));
     }
 }
