--- a/faults/src/errno.rs
+++ b/faults/src/errno.rs
@@ -1,13 +1,13 @@
-//! The errors that Linux documents for the calls in a plan, by their symbolic names.
+//! Error numbers that Linux documents for the system calls in a plan, by symbolic name.
 
 use serde::{Deserialize, Serialize};
 
-/// An error number that a plan may use; written by its symbolic name.
+/// An error number that a plan may use; serialized as its symbolic name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Errno(i32);
 
-const KNOWN: [(&str, i32); 19] = [
+const SUPPORTED: [(&str, i32); 19] = [
     ("EADDRNOTAVAIL", libc::EADDRNOTAVAIL),
     ("EAGAIN", libc::EAGAIN),
     ("ECONNABORTED", libc::ECONNABORTED),
@@ -30,19 +30,19 @@
 ];
 
 impl Errno {
-    /// The error of this symbolic name, if it is one that a plan may use.
+    /// Returns the error with this symbolic name, or `None` if a plan may not use it.
     pub fn named(name: &str) -> Option<Errno> {
-        KNOWN.iter().find(|(known, _)| *known == name).map(|(_, code)| Errno(*code))
+        SUPPORTED.iter().find(|(supported, _)| *supported == name).map(|(_, code)| Errno(*code))
     }
 
-    /// The number that the kernel uses.
+    /// The value of `errno`.
     pub fn code(self) -> i32 {
         self.0
     }
 
     /// The symbolic name, such as `ENFILE`.
     pub fn name(self) -> &'static str {
-        KNOWN.iter().find(|(_, code)| *code == self.0).map_or("?", |(name, _)| name)
+        SUPPORTED.iter().find(|(_, code)| *code == self.0).map_or("?", |(name, _)| name)
     }
 }
 
--- a/faults/src/lib.rs
+++ b/faults/src/lib.rs
@@ -1,7 +1,7 @@
 //! Plans of system-call faults: which call fails, how, how often and when.
 //!
-//! A [`Plan`] is data. The shim package (`faults/shim`) is loaded into a process under test with `LD_PRELOAD`, reads
-//! the plan from [`PLAN_VARIABLE`] and applies it; tests and the lab write plans and never link the shim themselves.
+//! The shim package (`faults/shim`) is loaded into the process under test with `LD_PRELOAD`, reads a [`Plan`]
+//! from [`PLAN_VARIABLE`] and applies it. Tests and the lab only write plans; they do not link the shim.
 #![warn(missing_docs)]
 
 mod errno;
--- a/faults/src/plan.rs
+++ b/faults/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan itself: its rules, how it is written down, and which fault an individual call gets.
+//! The fault plan: its rules, its JSON form, and the choice of the fault for each call.
 
 use serde::{Deserialize, Serialize};
 
@@ -30,46 +30,46 @@
     Log,
 }
 
-/// Which descriptors a rule for sockets applies to.
+/// Which descriptors a rule applies to, by how the process opened them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Endpoint {
     /// Every descriptor.
     #[default]
     Any,
-    /// Sockets that the process connected itself.
+    /// Sockets that the process connected.
     Dialled,
     /// Sockets that the process accepted.
     Accepted,
 }
 
-/// What a call does instead of succeeding.
+/// What a selected call does instead of succeeding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// It fails with this error.
+    /// The call fails with this error.
     Errno(Errno),
-    /// It transfers one byte only.
+    /// The call transfers at most one byte.
     Short,
 }
 
-/// One kind of fault.
+/// One kind of fault: which calls it affects, how, how often and when.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// The calls that may fail.
+    /// The calls that the rule applies to.
     pub call: Call,
-    /// Which descriptors they may fail on.
+    /// The descriptors that the rule applies to.
     #[serde(default)]
     pub endpoint: Endpoint,
-    /// How they fail.
+    /// What a selected call does.
     pub effect: Effect,
-    /// The share of calls that fail, from 0 to 1.
+    /// The share of calls that are selected, from 0 to 1.
     pub rate: f64,
-    /// Milliseconds after the start of the process at which the rule begins to apply.
+    /// Milliseconds after the start of the process from which the rule applies.
     #[serde(default)]
     pub from_ms: u64,
-    /// Milliseconds after the start of the process at which the rule ceases to apply.
+    /// Milliseconds after the start of the process from which the rule no longer applies.
     #[serde(default = "forever")]
     pub until_ms: u64,
 }
@@ -84,7 +84,7 @@
 pub struct ClockStep {
     /// Milliseconds after the start of the process.
     pub at_ms: u64,
-    /// Milliseconds by which the wall clock is moved, negative for back.
+    /// Milliseconds by which the wall clock is moved; negative values move it back.
     pub by_ms: i64,
 }
 
@@ -92,9 +92,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Seeds the choice of calls that fail.
+    /// The seed of the pseudo-random choice of calls.
     pub seed: u64,
-    /// The faults; the first rule that chooses a call decides its fate.
+    /// The rules; the first one that selects a call determines its effect.
     #[serde(default)]
     pub rules: Vec<Rule>,
     /// Steps of the wall clock.
@@ -102,63 +102,64 @@
     pub clock_steps: Vec<ClockStep>,
 }
 
-/// Why a plan cannot be used.
+/// The reason why a plan cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// It is not JSON of the expected form; the message names the field or the value.
+    /// The text is not JSON of the expected form; the message names the field or the value.
     #[error("fault plan: {0}")]
-    Form(#[from] serde_json::Error),
-    /// A rate is not a share.
+    Json(#[from] serde_json::Error),
+    /// A rate is not from 0 to 1.
     #[error("fault plan: rules.{rule}.rate is {rate}, and must be from 0 to 1")]
     Rate {
-        /// The position of the rule.
+        /// The index of the rule.
         rule: usize,
-        /// The rate that was given.
+        /// The rate in the plan.
         rate: f64,
     },
 }
 
 impl Plan {
-    /// Reads a plan from JSON.
+    /// Parses a plan from JSON.
     ///
     /// # Errors
     ///
-    /// The first field that is unknown, missing or out of range.
+    /// Returns an error that names the first field that is unknown, missing or out of range.
     pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = serde_json::from_str(text)?;
-        for (rule, told) in plan.rules.iter().enumerate() {
-            if !(0.0..=1.0).contains(&told.rate) {
-                return Err(PlanError::Rate { rule, rate: told.rate });
+        for (index, rule) in plan.rules.iter().enumerate() {
+            if !(0.0..=1.0).contains(&rule.rate) {
+                return Err(PlanError::Rate { rule: index, rate: rule.rate });
             }
         }
         Ok(plan)
     }
 
-    /// The plan as JSON, as [`Plan::parse`] reads it.
+    /// Serializes the plan to the JSON that [`Plan::parse`] accepts.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// What happens to the `nth` call of this kind, made `at_ms` after the start of the process.
+    /// Returns the effect on the `nth` call of this kind, made `at_ms` milliseconds after the start of the
+    /// process, or `None` if the call is left alone. The same arguments always give the same result.
     pub fn effect(&self, call: Call, endpoint: Endpoint, nth: u64, at_ms: u64) -> Option<Effect> {
         let applies = |rule: &Rule| {
             rule.call == call
                 && (rule.endpoint == Endpoint::Any || rule.endpoint == endpoint)
                 && (rule.from_ms..rule.until_ms).contains(&at_ms)
         };
-        let chosen = |position: usize, rule: &Rule| draw(self.seed, position as u64, nth) < rule.rate;
+        let is_selected = |index: usize, rule: &Rule| uniform(self.seed, index as u64, nth) < rule.rate;
         let mut rules = self.rules.iter().enumerate().filter(|(_, rule)| applies(rule));
-        rules.find(|(position, rule)| chosen(*position, rule)).map(|(_, rule)| rule.effect)
+        rules.find(|(index, rule)| is_selected(*index, rule)).map(|(_, rule)| rule.effect)
     }
 
-    /// Milliseconds by which the wall clock is off, `at_ms` after the start of the process.
+    /// Milliseconds by which the wall clock is shifted, `at_ms` milliseconds after the start of the process.
     pub fn clock_offset_ms(&self, at_ms: u64) -> i64 {
         self.clock_steps.iter().filter(|step| step.at_ms <= at_ms).map(|step| step.by_ms).sum()
     }
 }
 
-/// A number from 0 to 1 that depends on its arguments only (SplitMix64).
-fn draw(seed: u64, stream: u64, nth: u64) -> f64 {
+/// Hashes its arguments to a uniformly distributed number in `0.0..1.0` (SplitMix64).
+fn uniform(seed: u64, stream: u64, nth: u64) -> f64 {
     let mut bits =
         seed ^ stream.wrapping_mul(0xd1b5_4a32_d192_ed03) ^ nth.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/faults/src/shim.rs
+++ b/faults/src/shim.rs
@@ -7,13 +7,14 @@
 
 use crate::{PLAN_VARIABLE, Plan};
 
-const LIBRARY: &str = "libtopazsail_fault_shim.so";
+const LIBRARY_FILE: &str = "libtopazsail_fault_shim.so";
 
-/// The path of the shim for tests: built once a process, into the target folder that the running test came from.
+/// Returns the path of the shim. The first call of a process builds it into the target directory that the
+/// running executable is in.
 ///
 /// # Errors
 ///
-/// The build has failed, or this is not a test that Cargo built.
+/// Returns an error if the build fails or the running executable is not in a Cargo target directory.
 pub fn library() -> io::Result<&'static Path> {
     static BUILT: OnceLock<Result<PathBuf, String>> = OnceLock::new();
     let built = BUILT.get_or_init(|| build().map_err(|error| error.to_string()));
@@ -21,22 +22,23 @@
 }
 
 fn build() -> io::Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    // target/PROFILE/deps/test, or target/PROFILE/program.
-    let target = own.ancestors().find(|folder| folder.join("CACHEDIR.TAG").is_file());
-    let target = target.ok_or_else(|| io::Error::other("not in a target folder"))?;
+    let executable = std::env::current_exe()?;
+    // The executable is target/PROFILE/deps/TEST or target/PROFILE/PROGRAM.
+    let target = executable.ancestors().find(|directory| directory.join("CACHEDIR.TAG").is_file());
+    let target =
+        target.ok_or_else(|| io::Error::other("the executable is not in a Cargo target directory"))?;
     let manifest = concat!(env!("CARGO_MANIFEST_DIR"), "/shim/Cargo.toml");
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut command = Command::new(cargo);
     command.args(["build", "--locked", "--quiet", "--manifest-path", manifest, "--target-dir"]).arg(target);
     let status = command.status()?;
     if !status.success() {
-        return Err(io::Error::other(format!("the build of the shim ended with {status}")));
+        return Err(io::Error::other(format!("building the fault shim failed: {status}")));
     }
-    Ok(target.join("debug").join(LIBRARY))
+    Ok(target.join("debug").join(LIBRARY_FILE))
 }
 
-/// Has a command run under the shim with this plan.
+/// Makes a command run under the shim with this plan.
 pub fn inject(command: &mut Command, library: &Path, plan: &Plan) {
     command.env("LD_PRELOAD", library).env(PLAN_VARIABLE, plan.to_json());
 }
--- a/faults/tests/plans.rs
+++ b/faults/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans: what is read, what is refused by name, and which calls they choose.
+//! Fault plans: parsing, error messages for invalid plans, and the selection of calls.
 
 use topazsail_faults::{Call, Effect, Endpoint, Errno, Plan};
 
@@ -14,10 +14,13 @@
 #[test]
 fn a_rule_chooses_its_share_of_its_calls_within_its_span() {
     let plan = Plan::parse(ACCEPTS_FAIL).unwrap();
-    let chosen =
+    let selected =
         |call, at_ms| (0..10_000).filter(|n| plan.effect(call, Endpoint::Any, *n, at_ms).is_some()).count();
-    assert!((2_300..2_700).contains(&chosen(Call::Accept, 150)), "{}", chosen(Call::Accept, 150));
-    assert_eq!([chosen(Call::Accept, 99), chosen(Call::Accept, 200), chosen(Call::Connect, 150)], [0; 3]);
+    assert!((2_300..2_700).contains(&selected(Call::Accept, 150)), "{}", selected(Call::Accept, 150));
+    assert_eq!(
+        [selected(Call::Accept, 99), selected(Call::Accept, 200), selected(Call::Connect, 150)],
+        [0; 3]
+    );
     let enfile = Effect::Errno(Errno::named("ENFILE").unwrap());
     assert!((0..100).filter_map(|n| plan.effect(Call::Accept, Endpoint::Any, n, 150)).all(|e| e == enfile));
     assert_eq!([plan.clock_offset_ms(49), plan.clock_offset_ms(50)], [0, -3_600_000]);
@@ -32,8 +35,8 @@
         (r#"{"seed":1,"rules":[{"call":"send","effect":"short","rate":1,"often":2}]}"#, "often"),
         (r#"{"rules":[]}"#, "seed"),
     ];
-    for (text, named) in cases {
+    for (text, expected) in cases {
         let error = Plan::parse(text).unwrap_err().to_string();
-        assert!(error.contains(named), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
 }
