--- a/node/tests/helper/mod.rs
+++ b/node/tests/helper/mod.rs
@@ -13,20 +13,20 @@
 use topazsail_faults::{Plan, shim};
 
 /// Far more than any step takes; only a step that never comes gets there.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub struct Peer(pub BufReader<TcpStream>);
+pub struct Connection(pub BufReader<TcpStream>);
 
-impl Peer {
-    pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Peer(BufReader::new(stream))
+impl Connection {
+    pub fn new(stream: TcpStream) -> Connection {
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+        Connection(BufReader::new(stream))
     }
 
     /// The next to come; nobody is waited for without a bound.
-    pub fn from(listener: &TcpListener) -> Peer {
+    pub fn accept(listener: &TcpListener) -> Connection {
         listener.set_nonblocking(true).unwrap();
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + STEP_TIMEOUT;
         let stream = loop {
             match listener.accept() {
                 Ok((stream, _)) => break stream,
@@ -36,15 +36,15 @@
         };
         listener.set_nonblocking(false).unwrap();
         stream.set_nonblocking(false).unwrap();
-        Peer::new(stream)
+        Connection::new(stream)
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
     /// A whole message: first line, the value of `X-Request-Id` and the body.
-    pub fn hear(&mut self) -> String {
+    pub fn receive(&mut self) -> String {
         let (mut said, mut length) = (String::new(), 0);
         loop {
             let mut line = String::new();
@@ -64,60 +64,60 @@
     }
 
     /// A line of the watch: one runner, of this size.
-    pub fn lists(&mut self, runner: &TcpListener, weight: f64) {
+    pub fn list_runner(&mut self, runner: &TcpListener, weight: f64) {
         let line = format!(
             "{{\"generation\":1,\"reset\":true,\"instances\":[{{\"instanceId\":\"s-a\",\"lifecycle\":\"up\",\
              \"weight\":{weight},\"hostPort\":\"{}\"}}]}}\n",
             runner.local_addr().unwrap()
         );
-        self.tells(&line);
+        self.send_chunk(&line);
     }
 
     /// A call-back, taken.
-    pub fn calls_back(&mut self, told: &str) {
-        self.say(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{told}", told.len()));
-        assert_eq!(self.hear(), "HTTP/1.1 200 OK ");
+    pub fn call_back(&mut self, told: &str) {
+        self.send(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{told}", told.len()));
+        assert_eq!(self.receive(), "HTTP/1.1 200 OK ");
     }
 
     /// Ends it with a reset.
-    pub fn resets(self) {
+    pub fn reset(self) {
         Socket::from(self.0.into_inner()).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
     /// One line of a watch, in a chunk of its own.
-    pub fn tells(&mut self, line: &str) {
-        self.say(&format!("{:x}\r\n{line}\r\n", line.len()));
+    pub fn send_chunk(&mut self, line: &str) {
+        self.send(&format!("{:x}\r\n{line}\r\n", line.len()));
     }
 
-    pub fn is_ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         self.0.read(&mut [0]).is_ok_and(|read| read == 0)
     }
 }
 
 /// The head of a watch's answer.
-pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-pub const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
 /// The watch that a program has opened, answered.
-pub fn watched(discovery: &TcpListener) -> Peer {
-    watched_since(discovery, 0)
+pub fn accept_watch(discovery: &TcpListener) -> Connection {
+    accept_watch_since(discovery, 0)
 }
 
-pub fn watched_since(discovery: &TcpListener, since: u64) -> Peer {
-    let mut watch = Peer::from(discovery);
-    assert_eq!(watch.hear(), format!("GET /v1/servers?follow=1&since={since} HTTP/1.1 "));
-    watch.say(WATCH);
+pub fn accept_watch_since(discovery: &TcpListener, since: u64) -> Connection {
+    let mut watch = Connection::accept(discovery);
+    assert_eq!(watch.receive(), format!("GET /v1/servers?follow=1&since={since} HTTP/1.1 "));
+    watch.send(WATCH_HEAD);
     watch
 }
 
 /// An address of one test's own. The port stays bound here beside the program's listener, which lets others bind it too, as
 /// in an upgrade: in between nobody else is given it. Connections go to whoever listens.
-pub fn free_address(own: u8) -> SocketAddr {
+pub fn free_address(octet: u8) -> SocketAddr {
     let [_, .., high, low] = std::process::id().to_be_bytes();
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
     socket.set_reuse_port(true).unwrap();
-    socket.bind(&SocketAddr::from((Ipv4Addr::new(127, own, high, low), 0)).into()).unwrap();
+    socket.bind(&SocketAddr::from((Ipv4Addr::new(127, octet, high, low), 0)).into()).unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     std::mem::forget(socket);
     address
@@ -133,15 +133,15 @@
     }
 }
 
-pub fn signal(program: &Program, name: &str) {
+pub fn send_signal(program: &Program, name: &str) {
     let kill = format!("kill -{name} {}", program.0.id());
     assert!(Command::new("sh").arg("-c").arg(kill).status().unwrap().success());
 }
 
 /// What an operator is answered.
-pub fn called(admin: SocketAddr, line: &str) -> String {
+pub fn admin_command(admin: SocketAddr, line: &str) -> String {
     let mut caller = TcpStream::connect(admin).unwrap();
-    caller.set_read_timeout(Some(PATIENCE)).unwrap();
+    caller.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     caller.write_all(format!("{line}\n").as_bytes()).unwrap();
     let mut answer = String::new();
     caller.read_to_string(&mut answer).unwrap();
@@ -161,14 +161,14 @@
 }
 
 /// A call-back, taken; the connection that it came on.
-pub fn calls_back(listen: SocketAddr, told: &str) -> Peer {
-    let mut call = Peer::new(TcpStream::connect(listen).unwrap());
-    call.calls_back(told);
+pub fn call_back(listen: SocketAddr, told: &str) -> Connection {
+    let mut call = Connection::new(TcpStream::connect(listen).unwrap());
+    call.call_back(told);
     call
 }
 
 /// A listener whose queue of connections can be filled.
-pub fn narrow() -> Socket {
+pub fn listener_with_minimal_backlog() -> Socket {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
     listener.listen(0).unwrap();
@@ -176,7 +176,7 @@
 }
 
 /// Fills that queue, which holds one or two more than it was told, until nobody has come up for so long.
-pub fn fill(address: SocketAddr, within: Duration) -> Vec<Socket> {
+pub fn fill_backlog(address: SocketAddr, within: Duration) -> Vec<Socket> {
     let mut before = Vec::new();
     loop {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -193,49 +193,51 @@
     pub program: Program,
     pub started: Instant,
     pub listen: SocketAddr,
-    pub path: PathBuf,
+    pub configuration_path: PathBuf,
     log: Receiver<String>,
     pub discovery: TcpListener,
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
-        let _ = fs::remove_file(&self.path);
+        let _ = fs::remove_file(&self.configuration_path);
     }
 }
 
 impl Node {
     /// A program of a test's own, by a configuration that is changed as it says.
-    pub fn new(own: u8, change: impl Fn(String) -> String) -> Node {
-        Node::limited(own, 0, change)
+    pub fn new(octet: u8, change: impl Fn(String) -> String) -> Node {
+        Node::with_descriptor_limit(octet, 0, change)
     }
 
     /// The same with so many descriptors; as many as this test has, for 0.
-    pub fn limited(own: u8, descriptors: usize, change: impl Fn(String) -> String) -> Node {
+    pub fn with_descriptor_limit(octet: u8, descriptors: usize, change: impl Fn(String) -> String) -> Node {
         let limit = if descriptors > 0 { format!("ulimit -n {descriptors}; ") } else { String::new() };
-        Node::started(own, &limit, |_| {}, change)
+        Node::spawn(octet, &limit, |_| {}, change)
     }
 
     /// The same under the fault shim with this plan.
-    pub fn failing(own: u8, plan: &Plan, change: impl Fn(String) -> String) -> Node {
+    pub fn with_faults(octet: u8, plan: &Plan, change: impl Fn(String) -> String) -> Node {
         let library = shim::library().unwrap();
-        Node::started(own, "", |command| shim::inject(command, library, plan), change)
+        Node::spawn(octet, "", |command| shim::inject(command, library, plan), change)
     }
 
     /// The same by a shell that does this before, with a command that is prepared by this.
-    pub fn started(
-        own: u8,
+    pub fn spawn(
+        octet: u8,
         before: &str,
         prepare: impl Fn(&mut Command),
         change: impl Fn(String) -> String,
     ) -> Node {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-        let listen = free_address(own);
-        let path = env::temp_dir().join(format!("topazsail-ends-{own}-{}.json", std::process::id()));
-        fs::write(&path, change(configuration(listen, discovery.local_addr().unwrap()))).unwrap();
+        let listen = free_address(octet);
+        let configuration_path =
+            env::temp_dir().join(format!("topazsail-ends-{octet}-{}.json", std::process::id()));
+        fs::write(&configuration_path, change(configuration(listen, discovery.local_addr().unwrap())))
+            .unwrap();
         let mut command = Command::new("sh");
         command.args(["-c", &format!("{before}exec \"$0\" \"$@\""), env!("CARGO_BIN_EXE_topazsail")]);
-        command.args(["serve", "--config"]).arg(&path).stderr(Stdio::piped()).env("TMPDIR", "");
+        command.args(["serve", "--config"]).arg(&configuration_path).stderr(Stdio::piped()).env("TMPDIR", "");
         prepare(&mut command);
         let started = Instant::now();
         let mut program = Program(command.spawn().unwrap());
@@ -244,12 +246,12 @@
             let lines = BufReader::new(stderr).lines();
             std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| says.send(line)));
         }
-        Node { program, started, listen, path, log, discovery }
+        Node { program, started, listen, configuration_path, log, discovery }
     }
 
     /// Waits until the program has said this.
-    pub fn logged(&mut self, holds: &str) {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_log(&mut self, holds: &str) {
+        let until = Instant::now() + STEP_TIMEOUT;
         let mut said = Vec::new();
         loop {
             let line = self.log.recv_timeout(until.saturating_duration_since(Instant::now()));
@@ -261,14 +263,14 @@
         }
     }
 
-    pub fn client(&self) -> Peer {
-        Peer::new(TcpStream::connect(self.listen).unwrap())
+    pub fn connect_client(&self) -> Connection {
+        Connection::new(TcpStream::connect(self.listen).unwrap())
     }
 
     /// A client that has asked for this.
-    pub fn asks(&self, id: &str) -> Peer {
-        let mut client = self.client();
-        client.say(&request(id, 25_000));
+    pub fn send_invocation(&self, id: &str) -> Connection {
+        let mut client = self.connect_client();
+        client.send(&request(id, 25_000));
         client
     }
 }
@@ -277,10 +279,10 @@
     format!("POST /plan HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: {ms}\r\n\r\n")
 }
 
-pub fn lists(watch: &mut Peer, generation: u32, runner: SocketAddr, state: &str) {
+pub fn list_runner(watch: &mut Connection, generation: u32, runner: SocketAddr, state: &str) {
     let line = format!(
         "{{\"generation\":{generation},\"reset\":true,\"instances\":[{{\"instanceId\":\"s-a\",\
          \"lifecycle\":\"{state}\",\"weight\":1,\"hostPort\":\"{runner}\"}}]}}\n"
     );
-    watch.tells(&line);
+    watch.send_chunk(&line);
 }
--- a/node/tests/loopback.rs
+++ b/node/tests/loopback.rs
@@ -27,44 +27,44 @@
     command.args(["serve", "--config"]).arg(&path).stderr(Stdio::piped());
     let mut program = Program(command.spawn().unwrap());
 
-    let mut watch = watched(&discovery);
-    watch.lists(&runner, 1.0);
+    let mut watch = accept_watch(&discovery);
+    watch.list_runner(&runner, 1.0);
 
-    let mut client = Peer::new(TcpStream::connect(listen).unwrap());
-    client.say("GET /healthz HTTP/1.1\r\n\r\n");
-    assert_eq!(client.hear(), "HTTP/1.1 200 OK ");
-    client.say("POST /plan?a=b HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 25000\r\n");
-    client.say("Content-Length: 2\r\n\r\nhi");
-    let mut forward = Peer::from(&runner);
-    assert_eq!(forward.hear(), "POST /plan?a=b HTTP/1.1 i1 hi");
-    forward.say("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+    let mut client = Connection::new(TcpStream::connect(listen).unwrap());
+    client.send("GET /healthz HTTP/1.1\r\n\r\n");
+    assert_eq!(client.receive(), "HTTP/1.1 200 OK ");
+    client.send("POST /plan?a=b HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 25000\r\n");
+    client.send("Content-Length: 2\r\n\r\nhi");
+    let mut forward = Connection::accept(&runner);
+    assert_eq!(forward.receive(), "POST /plan?a=b HTTP/1.1 i1 hi");
+    forward.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
 
     // Neither a file that is half written nor none at all changes anything; a new discovery is asked at once.
     let mut log = BufReader::new(program.0.stderr.take().unwrap()).lines();
-    let mut logged = |code: &str| while !log.next().unwrap().unwrap().starts_with(code) {};
+    let mut wait_for_log = |code: &str| while !log.next().unwrap().unwrap().starts_with(code) {};
     fs::write(&path, r#"{"name":"n0","listen":"#).unwrap();
-    signal(&program, "HUP");
-    logged("configuration-refused");
+    send_signal(&program, "HUP");
+    wait_for_log("configuration-refused");
     fs::remove_file(&path).unwrap();
-    signal(&program, "HUP");
-    logged("configuration-refused");
+    send_signal(&program, "HUP");
+    wait_for_log("configuration-refused");
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
     fs::write(&path, configuration(listen, elsewhere.local_addr().unwrap())).unwrap();
-    signal(&program, "HUP");
-    logged("reloaded");
-    assert!(watch.is_ended());
-    let mut watch = Peer::from(&elsewhere);
-    assert_eq!(watch.hear(), "GET /v1/servers HTTP/1.1 ");
+    send_signal(&program, "HUP");
+    wait_for_log("reloaded");
+    assert!(watch.is_closed());
+    let mut watch = Connection::accept(&elsewhere);
+    assert_eq!(watch.receive(), "GET /v1/servers HTTP/1.1 ");
     let list = r#"{"generation":5,"reset":true,"instances":[]}"#;
-    watch.say(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
-    assert_eq!(watch.hear(), "GET /v1/servers?follow=1&since=5 HTTP/1.1 ");
+    watch.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
+    assert_eq!(watch.receive(), "GET /v1/servers?follow=1&since=5 HTTP/1.1 ");
 
     // Told to end, it answers what it has taken, and lets runners tell it what became of that.
-    signal(&program, "TERM");
-    logged("going-down");
-    let _call = calls_back(listen, r#"{"id":"i1","from":"s-a","state":"done","result":"plan"}"#);
-    assert_eq!(client.hear(), "HTTP/1.1 200 OK plan");
-    assert!(client.is_ended());
+    send_signal(&program, "TERM");
+    wait_for_log("going-down");
+    let _call = call_back(listen, r#"{"id":"i1","from":"s-a","state":"done","result":"plan"}"#);
+    assert_eq!(client.receive(), "HTTP/1.1 200 OK plan");
+    assert!(client.is_closed());
     assert_eq!(program.0.wait().unwrap().code(), Some(0));
     fs::remove_file(path).unwrap();
 }
@@ -92,43 +92,43 @@
     fs::write(&path, text.replacen('{', &format!("{{\"admin_addr\":\"{}\",", admins[0]), 1)).unwrap();
     // The file says where operators call, and the environment goes before it.
     let mut first = start(&folder, listen, None);
-    let mut watch = watched(&discovery);
-    watch.lists(&runner, 1.0);
-    let mut client = Peer::new(TcpStream::connect(listen).unwrap());
-    client.say("POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 25000\r\n\r\n");
-    let mut forward = Peer::from(&runner);
-    assert_eq!(forward.hear(), "POST /plan HTTP/1.1 i1 ");
-    assert_eq!(called(admins[0], "status"), "YES\n");
-    assert_eq!(called(admins[0], "maint-on s-a"), "YES\n");
+    let mut watch = accept_watch(&discovery);
+    watch.list_runner(&runner, 1.0);
+    let mut client = Connection::new(TcpStream::connect(listen).unwrap());
+    client.send("POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 25000\r\n\r\n");
+    let mut forward = Connection::accept(&runner);
+    assert_eq!(forward.receive(), "POST /plan HTTP/1.1 i1 ");
+    assert_eq!(admin_command(admins[0], "status"), "YES\n");
+    assert_eq!(admin_command(admins[0], "maint-on s-a"), "YES\n");
 
     // The file is no good any more: the configuration in force is handed over.
     fs::write(&path, "{").unwrap();
     let _second = start(&folder, listen, Some(admins[1]));
-    let mut watch = Peer::from(&discovery);
-    assert_eq!(watch.hear(), "GET /v1/servers?follow=1&since=1 HTTP/1.1 ");
-    assert_eq!(called(admins[1], "status"), "YES\n");
-    assert!(called(admins[1], "stats").contains("edge_relay.skipped_runners=1\n"));
-    signal(&first, "TERM");
+    let mut watch = Connection::accept(&discovery);
+    assert_eq!(watch.receive(), "GET /v1/servers?follow=1&since=1 HTTP/1.1 ");
+    assert_eq!(admin_command(admins[1], "status"), "YES\n");
+    assert!(admin_command(admins[1], "stats").contains("edge_relay.skipped_runners=1\n"));
+    send_signal(&first, "TERM");
     // On a new connection, which the second process has: it passes on what it is told.
-    let _call = calls_back(listen, r#"{"id":"i1","from":"s-a","state":"done","result":"plan"}"#);
-    assert_eq!(client.hear(), "HTTP/1.1 200 OK close plan");
+    let _call = call_back(listen, r#"{"id":"i1","from":"s-a","state":"done","result":"plan"}"#);
+    assert_eq!(client.receive(), "HTTP/1.1 200 OK close plan");
     assert_eq!(first.0.wait().unwrap().code(), Some(0));
 
-    let mut client = Peer::new(TcpStream::connect(listen).unwrap());
-    client.say("POST /plan HTTP/1.1\r\nX-Request-Id: i2\r\nX-Deadline-Ms: 25000\r\n\r\n");
-    assert_eq!(called(admins[1], "maint-off s-a"), "YES\n");
-    let mut forward = Peer::from(&runner);
-    assert_eq!(forward.hear(), "POST /plan HTTP/1.1 i2 ");
+    let mut client = Connection::new(TcpStream::connect(listen).unwrap());
+    client.send("POST /plan HTTP/1.1\r\nX-Request-Id: i2\r\nX-Deadline-Ms: 25000\r\n\r\n");
+    assert_eq!(admin_command(admins[1], "maint-off s-a"), "YES\n");
+    let mut forward = Connection::accept(&runner);
+    assert_eq!(forward.receive(), "POST /plan HTTP/1.1 i2 ");
     drop(watch);
     fs::remove_dir_all(folder).unwrap();
 }
 
 /// A runner that takes whatever comes and is done at once; what it has been given, in order.
 /// The answer of a call once it holds what is waited for.
-fn called_until(admin: SocketAddr, line: &str, holds: &str) -> String {
-    let until = std::time::Instant::now() + PATIENCE;
+fn admin_command_until(admin: SocketAddr, line: &str, holds: &str) -> String {
+    let until = std::time::Instant::now() + STEP_TIMEOUT;
     loop {
-        let answer = TcpStream::connect(admin).map_or_else(|_| String::new(), |_| called(admin, line));
+        let answer = TcpStream::connect(admin).map_or_else(|_| String::new(), |_| admin_command(admin, line));
         if answer.contains(holds) {
             return answer;
         }
@@ -149,19 +149,19 @@
     let kept = format!("{{\"store\":{{\"folder\":{:?},\"require\":true}},", store.display().to_string());
     fs::write(folder.join("config.json"), text.replacen('{', &kept, 1)).unwrap();
     let mut first = start(&folder, listen, Some(admins[0]));
-    let mut watch = watched(&discovery);
-    watch.lists(&runner, 1.0);
-    assert_eq!(called_until(admins[0], "status", "serving"), "YES stage=serving boot=1 store=well\n");
-    assert_eq!(called_until(admins[0], "maint-on s-a", "YES"), "YES\n");
+    let mut watch = accept_watch(&discovery);
+    watch.list_runner(&runner, 1.0);
+    assert_eq!(admin_command_until(admins[0], "status", "serving"), "YES stage=serving boot=1 store=well\n");
+    assert_eq!(admin_command_until(admins[0], "maint-on s-a", "YES"), "YES\n");
 
     // An upgrade: the new process has the folder, and calls are its own from then on.
     let second = start(&folder, listen, Some(admins[1]));
-    let _watch = watched_since(&discovery, 1);
-    called_until(admins[1], "status", "boot=2");
-    assert_eq!(called(admins[0], "maint-off s-a"), "NO another process takes over: call that one\n");
-    called_until(admins[1], "stats", "skipped_runners=0");
-    assert_eq!(called(admins[1], "maint-on s-a"), "YES\n");
-    signal(&first, "TERM");
+    let _watch = accept_watch_since(&discovery, 1);
+    admin_command_until(admins[1], "status", "boot=2");
+    assert_eq!(admin_command(admins[0], "maint-off s-a"), "NO another process takes over: call that one\n");
+    admin_command_until(admins[1], "stats", "skipped_runners=0");
+    assert_eq!(admin_command(admins[1], "maint-on s-a"), "YES\n");
+    send_signal(&first, "TERM");
     assert_eq!(first.0.wait().unwrap().code(), Some(0));
 
     // Nobody else gets it meanwhile, and says so before it listens.
@@ -177,25 +177,25 @@
     // Killed outright, then begun anew: the ban holds, by the list from before as well.
     drop(second);
     let _third = start(&folder, listen, Some(admins[0]));
-    let mut watch = Peer::from(&discovery);
-    assert_eq!(watch.hear(), "GET /v1/servers?follow=1&since=1 HTTP/1.1 ");
-    watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    called_until(admins[0], "status", "boot=3");
-    called_until(admins[0], "stats", "skipped_runners=1");
+    let mut watch = Connection::accept(&discovery);
+    assert_eq!(watch.receive(), "GET /v1/servers?follow=1&since=1 HTTP/1.1 ");
+    watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    admin_command_until(admins[0], "status", "boot=3");
+    admin_command_until(admins[0], "stats", "skipped_runners=1");
     fs::remove_dir_all(folder).unwrap();
 }
 
 fn obliging(runner: TcpListener, listen: SocketAddr, given: Arc<Mutex<Vec<String>>>) {
     for stream in runner.incoming() {
-        let (mut forwards, given) = (Peer::new(stream.unwrap()), given.clone());
+        let (mut forwards, given) = (Connection::new(stream.unwrap()), given.clone());
         thread::spawn(move || {
             loop {
-                let heard = forwards.hear();
+                let heard = forwards.receive();
                 let Some(id) = heard.strip_prefix("POST /plan HTTP/1.1 ") else { return };
                 given.lock().unwrap().push(id.trim().to_owned());
-                forwards.say("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+                forwards.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
                 let told = format!(r#"{{"id":"{}","from":"s-a","state":"done","result":"r"}}"#, id.trim());
-                calls_back(listen, &told);
+                call_back(listen, &told);
             }
         });
     }
@@ -213,15 +213,15 @@
     let text = configuration(listen, discovery.local_addr().unwrap());
     fs::write(folder.join("config.json"), text).unwrap();
     let mut first = start(&folder, listen, Some(admins[0]));
-    let mut watch = watched(&discovery);
-    watch.lists(&runner, 1.0);
+    let mut watch = accept_watch(&discovery);
+    watch.list_runner(&runner, 1.0);
     let given = Arc::new(Mutex::new(Vec::new()));
     let seen = given.clone();
     thread::spawn(move || obliging(runner, listen, seen));
     // Once the list has been heard it is handed over as of then.
-    let mut peer = Peer::new(TcpStream::connect(listen).unwrap());
-    peer.say("POST /plan HTTP/1.1\r\nX-Request-Id: first\r\nX-Deadline-Ms: 25000\r\n\r\n");
-    assert_eq!(peer.hear(), "HTTP/1.1 200 OK r");
+    let mut peer = Connection::new(TcpStream::connect(listen).unwrap());
+    peer.send("POST /plan HTTP/1.1\r\nX-Request-Id: first\r\nX-Deadline-Ms: 25000\r\n\r\n");
+    assert_eq!(peer.receive(), "HTTP/1.1 200 OK r");
     let over = Arc::new(AtomicBool::new(false));
     let client = |nth: usize| {
         let over = over.clone();
@@ -229,10 +229,10 @@
             let (mut asked, mut connection) = (0, None);
             while !over.load(Ordering::Relaxed) {
                 let mut peer =
-                    connection.take().unwrap_or_else(|| Peer::new(TcpStream::connect(listen).unwrap()));
+                    connection.take().unwrap_or_else(|| Connection::new(TcpStream::connect(listen).unwrap()));
                 let head = format!("X-Request-Id: c{nth}-{asked}\r\nX-Deadline-Ms: 25000");
-                peer.say(&format!("POST /plan HTTP/1.1\r\n{head}\r\n\r\n"));
-                let answer = peer.hear();
+                peer.send(&format!("POST /plan HTTP/1.1\r\n{head}\r\n\r\n"));
+                let answer = peer.receive();
                 assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
                 asked += 1;
                 connection = Some(peer).filter(|_| !answer.contains(" close "));
@@ -242,14 +242,14 @@
     };
     let clients: Vec<_> = (0..3).map(client).collect();
     let silent: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(admins[0]).unwrap()).collect();
-    assert_eq!(called(admins[0], "status"), "YES\n");
+    assert_eq!(admin_command(admins[0], "status"), "YES\n");
     let _second = start(&folder, listen, Some(admins[1]));
-    let _watch = watched_since(&discovery, 1);
-    assert_eq!(called(admins[1], "status"), "YES\n");
-    signal(&first, "TERM");
+    let _watch = accept_watch_since(&discovery, 1);
+    assert_eq!(admin_command(admins[1], "status"), "YES\n");
+    send_signal(&first, "TERM");
     assert_eq!(first.0.wait().unwrap().code(), Some(0));
     drop(silent);
-    assert_eq!(called(admins[1], "status"), "YES\n");
+    assert_eq!(admin_command(admins[1], "status"), "YES\n");
     over.store(true, Ordering::Relaxed);
     let asked = 1 + clients.into_iter().map(|client| client.join().unwrap()).sum::<usize>();
     let mut given = given.lock().unwrap().clone();
@@ -321,19 +321,19 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_topazsail"));
     let mut program =
         Program(command.args(["serve", "--config", &new]).stderr(Stdio::null()).spawn().unwrap());
-    let mut watch = watched(&discovery);
-    watch.lists(&runner, 3.0);
-    watch.lists(&runner, 0.5);
-    let mut client = Peer::new(TcpStream::connect(listen).unwrap());
-    client.say("POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 25000\r\nX-Cost-Hint: 120.5\r\n");
-    client.say("Content-Length: 2\r\n\r\nhi");
+    let mut watch = accept_watch(&discovery);
+    watch.list_runner(&runner, 3.0);
+    watch.list_runner(&runner, 0.5);
+    let mut client = Connection::new(TcpStream::connect(listen).unwrap());
+    client.send("POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 25000\r\nX-Cost-Hint: 120.5\r\n");
+    client.send("Content-Length: 2\r\n\r\nhi");
     // The forward, and one probe that asks how many slots there are.
-    let mut both = [Peer::from(&runner), Peer::from(&runner)];
-    let mut heard = both.each_mut().map(Peer::hear);
+    let mut both = [Connection::accept(&runner), Connection::accept(&runner)];
+    let mut heard = both.each_mut().map(Connection::receive);
     heard.sort();
     assert_eq!(heard, ["GET /load HTTP/1.1 ", "POST /plan HTTP/1.1 i1 hi"]);
     drop(both);
-    assert_eq!(client.hear(), "HTTP/1.1 502 Bad Gateway ");
+    assert_eq!(client.receive(), "HTTP/1.1 502 Bad Gateway ");
     program.0.kill().unwrap();
     fs::remove_dir_all(folder).unwrap();
 }
--- a/node/tests/momentary_failures.rs
+++ b/node/tests/momentary_failures.rs
@@ -31,7 +31,7 @@
 }
 
 /// The status of the next answer, or none if the connection ends or nothing comes within this.
-fn status(client: &mut Peer, within: Duration) -> Option<u16> {
+fn status(client: &mut Connection, within: Duration) -> Option<u16> {
     client.0.get_ref().set_read_timeout(Some(within)).unwrap();
     let mut line = String::new();
     client.0.read_line(&mut line).ok()?;
@@ -39,7 +39,7 @@
 }
 
 /// The head of the next message.
-fn head(peer: &mut Peer) -> String {
+fn head(peer: &mut Connection) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         assert!(peer.0.read_line(&mut head).unwrap() > 0, "ended after {head:?}");
@@ -48,19 +48,19 @@
 }
 
 /// The first connection, old or new, on which something is said.
-fn speaking<'a>(runner: &TcpListener, connections: &'a mut Vec<Peer>) -> &'a mut Peer {
-    let patience = Instant::now() + PATIENCE;
+fn speaking<'a>(runner: &TcpListener, connections: &'a mut Vec<Connection>) -> &'a mut Connection {
+    let patience = Instant::now() + STEP_TIMEOUT;
     runner.set_nonblocking(true).unwrap();
     loop {
         assert!(Instant::now() < patience, "nothing was said");
         if let Ok((stream, _)) = runner.accept() {
             stream.set_nonblocking(false).unwrap();
-            connections.push(Peer::new(stream));
+            connections.push(Connection::new(stream));
         }
-        let speaks = |peer: &mut Peer| {
+        let speaks = |peer: &mut Connection| {
             peer.0.get_ref().set_read_timeout(Some(Duration::from_millis(1))).unwrap();
             let speaks = peer.0.fill_buf().is_ok_and(|bytes| !bytes.is_empty());
-            peer.0.get_ref().set_read_timeout(Some(PATIENCE)).unwrap();
+            peer.0.get_ref().set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
             speaks
         };
         if let Some(at) = connections.iter_mut().position(speaks) {
@@ -82,17 +82,17 @@
 }
 
 /// Discovery lists one server to the program.
-fn one_runner(node: &Node) -> (TcpListener, Peer) {
+fn one_runner(node: &Node) -> (TcpListener, Connection) {
     let runner = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut watch = watched(&node.discovery);
-    lists(&mut watch, 1, runner.local_addr().unwrap(), "up");
+    let mut watch = accept_watch(&node.discovery);
+    list_runner(&mut watch, 1, runner.local_addr().unwrap(), "up");
     (runner, watch)
 }
 
 /// The server takes this request and ends it; its client is answered with that.
-fn is_served(node: &Node, id: &str, forward: &mut Peer, client: &mut Peer) -> bool {
-    forward.say(TAKEN);
-    calls_back(node.listen, &format!(r#"{{"id":"{id}","from":"s-a","state":"done","result":"r"}}"#));
+fn is_served(node: &Node, id: &str, forward: &mut Connection, client: &mut Connection) -> bool {
+    forward.send(ACCEPTED);
+    call_back(node.listen, &format!(r#"{{"id":"{id}","from":"s-a","state":"done","result":"r"}}"#));
     status(client, PROMPT) == Some(200)
 }
 
@@ -100,34 +100,34 @@
 fn asked_during(node: &Node, runner: &TcpListener) -> (String, Instant) {
     until(node, 1_050);
     let gives_up = Instant::now() + Duration::from_secs(3);
-    let mut client = node.client();
-    client.say(&request("waited", 3_000));
+    let mut client = node.connect_client();
+    client.send(&request("waited", 3_000));
     // A connection that is given up before its request has left carries nothing.
     (head(speaking(runner, &mut Vec::new())), gives_up)
 }
 
 /// Connections with a request out on each, so that none of them may be ended to make room.
-fn busy(node: &Node, count: usize) -> Vec<Peer> {
-    (0..count).map(|nth| node.asks(&format!("busy{nth}"))).collect()
+fn busy(node: &Node, count: usize) -> Vec<Connection> {
+    (0..count).map(|nth| node.send_invocation(&format!("busy{nth}"))).collect()
 }
 
 fn healthy(node: &Node) -> Option<u16> {
-    let mut client = node.client();
-    client.say("GET /healthz HTTP/1.1\r\n\r\n");
+    let mut client = node.connect_client();
+    client.send("GET /healthz HTTP/1.1\r\n\r\n");
     status(&mut client, PROMPT)
 }
 
 #[test]
 fn accept_failing_once_does_not_stop_new_connections_for_good() {
-    for (own, call, errno) in
+    for (octet, call, errno) in
         [(201, Call::Accept, "ENFILE"), (202, Call::Accept, "ENOBUFS"), (203, Call::Socket, "EMFILE")]
     {
-        let node = Node::failing(own, &plan([fails(call, errno, 1_000..1_200)]), |text| text);
+        let node = Node::with_faults(octet, &plan([fails(call, errno, 1_000..1_200)]), |text| text);
         let _listed = one_runner(&node);
         let _busy = busy(&node, 20);
         until(&node, 1_050);
         // One that needs a connection to its server, and one that has to be accepted.
-        let _during = node.asks("during");
+        let _during = node.send_invocation("during");
         until(&node, 1_500);
         let answers: Vec<Option<u16>> = (0..4).map(|_| healthy(&node)).collect();
         assert_eq!(answers, [Some(200); 4], "{errno} from {call:?}");
@@ -139,30 +139,32 @@
     let mut node = Node::new(204, |text| text.replace("\"sockets\":256", "\"sockets\":64"));
     let _listed = one_runner(&node);
     let _busy = busy(&node, 60);
-    node.logged("accept-paused");
-    signal(&node.program, "TERM");
-    node.logged("going-down");
-    let mut queued: Vec<Peer> = (0..5).map(|nth| node.asks(&format!("queued{nth}"))).collect();
-    let answers: Vec<Option<u16>> = queued.iter_mut().map(|client| status(client, PATIENCE)).collect();
+    node.wait_for_log("accept-paused");
+    send_signal(&node.program, "TERM");
+    node.wait_for_log("going-down");
+    let mut queued: Vec<Connection> =
+        (0..5).map(|nth| node.send_invocation(&format!("queued{nth}"))).collect();
+    let answers: Vec<Option<u16>> = queued.iter_mut().map(|client| status(client, STEP_TIMEOUT)).collect();
     assert_eq!(answers.iter().filter(|status| status.is_some()).count(), 5, "{answers:?}");
 }
 
 #[test]
 fn a_request_queued_while_accept_fails_is_answered_before_the_process_ends() {
-    let mut node = Node::failing(221, &plan([fails(Call::Accept, "ENFILE", 1_000..4_500)]), |text| text);
-    let _watch = watched(&node.discovery);
+    let mut node = Node::with_faults(221, &plan([fails(Call::Accept, "ENFILE", 1_000..4_500)]), |text| text);
+    let _watch = accept_watch(&node.discovery);
     let _busy = busy(&node, 3);
     until(&node, 1_100);
-    signal(&node.program, "TERM");
-    node.logged("going-down");
-    let mut queued: Vec<Peer> = (0..5).map(|nth| node.asks(&format!("queued{nth}"))).collect();
-    let answers: Vec<Option<u16>> = queued.iter_mut().map(|client| status(client, PATIENCE)).collect();
+    send_signal(&node.program, "TERM");
+    node.wait_for_log("going-down");
+    let mut queued: Vec<Connection> =
+        (0..5).map(|nth| node.send_invocation(&format!("queued{nth}"))).collect();
+    let answers: Vec<Option<u16>> = queued.iter_mut().map(|client| status(client, STEP_TIMEOUT)).collect();
     assert_eq!(answers, [Some(503); 5]);
 }
 
 #[test]
 fn the_deadline_passed_on_leaves_out_the_wait_before_accept() {
-    let node = Node::failing(205, &plan([fails(Call::Accept, "ENFILE", 1_000..1_600)]), |text| text);
+    let node = Node::with_faults(205, &plan([fails(Call::Accept, "ENFILE", 1_000..1_600)]), |text| text);
     let (runner, _watch) = one_runner(&node);
     let (told, gives_up) = asked_during(&node, &runner);
     tells_what_is_left(&told, gives_up);
@@ -170,9 +172,9 @@
 
 #[test]
 fn the_deadline_passed_on_leaves_out_the_time_in_which_nothing_can_be_read() {
-    let mut node = Node::failing(223, &plan([fails(Call::Receive, "ENOMEM", 1_000..1_600)]), |text| text);
+    let mut node = Node::with_faults(223, &plan([fails(Call::Receive, "ENOMEM", 1_000..1_600)]), |text| text);
     let (runner, _watch) = one_runner(&node);
-    node.logged("watch-up");
+    node.wait_for_log("watch-up");
     let (told, gives_up) = asked_during(&node, &runner);
     tells_what_is_left(&told, gives_up);
 }
@@ -180,9 +182,9 @@
 #[test]
 fn the_deadline_passed_on_leaves_out_the_time_in_which_writes_are_interrupted() {
     let interrupted = Rule { endpoint: Endpoint::Dialled, ..fails(Call::Send, "EINTR", 1_000..1_600) };
-    let mut node = Node::failing(224, &plan([interrupted]), |text| text);
+    let mut node = Node::with_faults(224, &plan([interrupted]), |text| text);
     let (runner, _watch) = one_runner(&node);
-    node.logged("watch-up");
+    node.wait_for_log("watch-up");
     let (told, gives_up) = asked_during(&node, &runner);
     tells_what_is_left(&told, gives_up);
 }
@@ -191,14 +193,14 @@
 fn the_deadline_passed_on_leaves_out_the_wait_behind_an_earlier_request() {
     let node = Node::new(206, |text| text);
     let (runner, _watch) = one_runner(&node);
-    let mut client = node.client();
-    client.say(&(request("first", 20_000) + &request("second", 3_000)));
+    let mut client = node.connect_client();
+    client.send(&(request("first", 20_000) + &request("second", 3_000)));
     let gives_up = Instant::now() + Duration::from_secs(3);
-    let mut forward = Peer::from(&runner);
+    let mut forward = Connection::accept(&runner);
     head(&mut forward);
-    forward.say(TAKEN);
+    forward.send(ACCEPTED);
     sleep(Duration::from_millis(600));
-    calls_back(node.listen, r#"{"id":"first","from":"s-a","state":"done","result":"r"}"#);
+    call_back(node.listen, r#"{"id":"first","from":"s-a","state":"done","result":"r"}"#);
     tells_what_is_left(&head(&mut forward), gives_up);
 }
 
@@ -208,14 +210,14 @@
     let slow =
         |call| Rule { rate: 0.98, endpoint: Endpoint::Dialled, ..fails(call, "ENOBUFS", 1_000..2_000) };
     let short = Rule { effect: Effect::Short, rate: 1.0, ..slow(Call::Send) };
-    let mut node = Node::failing(220, &plan([slow(Call::Send), short]), |text| text);
+    let mut node = Node::with_faults(220, &plan([slow(Call::Send), short]), |text| text);
     let (runner, _watch) = one_runner(&node);
-    node.logged("watch-up");
+    node.wait_for_log("watch-up");
     until(&node, 1_050);
     let gives_up = Instant::now() + Duration::from_secs(6);
-    let mut client = node.client();
+    let mut client = node.connect_client();
     let body = "x".repeat(60_000);
-    client.say(&format!("POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 6000\r\nContent-Length: 60000\r\n\r\n{body}"));
+    client.send(&format!("POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 6000\r\nContent-Length: 60000\r\n\r\n{body}"));
     let mut connections = Vec::new();
     loop {
         let forward = speaking(&runner, &mut connections);
@@ -227,7 +229,7 @@
         if whole.ends_with(body.as_bytes()) {
             return tells_what_is_left(&String::from_utf8_lossy(&whole), gives_up);
         }
-        connections.retain_mut(|peer| !peer.is_ended());
+        connections.retain_mut(|peer| !peer.is_closed());
     }
 }
 
@@ -236,10 +238,10 @@
     let full = |command: &mut std::process::Command| {
         command.stderr(File::options().write(true).open("/dev/full").unwrap());
     };
-    let mut node = Node::started(207, "", full, |text| text);
+    let mut node = Node::spawn(207, "", full, |text| text);
     let (runner, _watch) = one_runner(&node);
-    let mut client = node.asks("i1");
-    let mut forward = Peer::from(&runner);
+    let mut client = node.send_invocation("i1");
+    let mut forward = Connection::accept(&runner);
     head(&mut forward);
     assert!(is_served(&node, "i1", &mut forward, &mut client));
     assert_eq!(node.program.0.try_wait().unwrap(), None);
@@ -247,30 +249,31 @@
 
 #[test]
 fn new_settings_are_read_again_when_their_file_cannot_be_opened_for_a_moment() {
-    let mut node = Node::failing(208, &plan([fails(Call::Open, "ENFILE", 1_000..1_400)]), |text| text);
-    let _watch = watched(&node.discovery);
+    let mut node = Node::with_faults(208, &plan([fails(Call::Open, "ENFILE", 1_000..1_400)]), |text| text);
+    let _watch = accept_watch(&node.discovery);
     let moved = TcpListener::bind("127.0.0.1:0").unwrap();
-    let text = std::fs::read_to_string(&node.path).unwrap();
+    let text = std::fs::read_to_string(&node.configuration_path).unwrap();
     let before = node.discovery.local_addr().unwrap().to_string();
-    std::fs::write(&node.path, text.replace(&before, &moved.local_addr().unwrap().to_string())).unwrap();
+    std::fs::write(&node.configuration_path, text.replace(&before, &moved.local_addr().unwrap().to_string()))
+        .unwrap();
     until(&node, 1_100);
-    signal(&node.program, "HUP");
-    node.logged("reloaded");
-    assert!(Peer::from(&moved).hear().starts_with("GET /v1/servers"));
+    send_signal(&node.program, "HUP");
+    node.wait_for_log("reloaded");
+    assert!(Connection::accept(&moved).receive().starts_with("GET /v1/servers"));
 }
 
 #[test]
 fn a_start_tries_again_what_fails_for_a_moment() {
-    for (own, call, errno) in [
+    for (octet, call, errno) in [
         (209, Call::Socket, "ENOBUFS"),
         (210, Call::Open, "ENFILE"),
         (211, Call::Connect, "EADDRNOTAVAIL"),
         (212, Call::Accept, "ECONNABORTED"),
     ] {
-        let node = Node::failing(own, &plan([fails(call, errno, 0..500)]), |text| text);
+        let node = Node::with_faults(octet, &plan([fails(call, errno, 0..500)]), |text| text);
         let (runner, _watch) = one_runner(&node);
-        let mut client = node.asks("i1");
-        let mut forward = Peer::from(&runner);
+        let mut client = node.send_invocation("i1");
+        let mut forward = Connection::accept(&runner);
         head(&mut forward);
         assert!(is_served(&node, "i1", &mut forward, &mut client), "{errno} from {call:?}");
     }
@@ -278,17 +281,17 @@
 
 #[test]
 fn a_connection_that_cannot_be_made_for_a_moment_is_not_the_servers_fault() {
-    for (own, call, errno) in [
+    for (octet, call, errno) in [
         (213, Call::Socket, "ENOBUFS"),
         (214, Call::Connect, "EADDRNOTAVAIL"),
         (215, Call::Connect, "ENETUNREACH"),
         (216, Call::Connect, "EINTR"),
     ] {
-        let node = Node::failing(own, &plan([fails(call, errno, 1_000..1_300)]), |text| text);
+        let node = Node::with_faults(octet, &plan([fails(call, errno, 1_000..1_300)]), |text| text);
         let (runner, _watch) = one_runner(&node);
         until(&node, 1_050);
-        let mut client = node.asks("i1");
-        let mut forward = Peer::from(&runner);
+        let mut client = node.send_invocation("i1");
+        let mut forward = Connection::accept(&runner);
         head(&mut forward);
         let took = node.started.elapsed();
         // As soon as it can be made, and not after the wait of a server that is set aside.
@@ -301,14 +304,15 @@
 #[test]
 fn a_dial_that_this_host_keeps_from_beginning_is_given_up_in_its_time() {
     let brief = |text: String| text.replace("\"dialTimeout\":20000000", "\"dialTimeout\":300000");
-    let mut node = Node::failing(225, &plan([fails(Call::Connect, "EADDRNOTAVAIL", 1_000..4_000)]), brief);
+    let mut node =
+        Node::with_faults(225, &plan([fails(Call::Connect, "EADDRNOTAVAIL", 1_000..4_000)]), brief);
     let (_runner, watch) = one_runner(&node);
-    node.logged("watch-up");
+    node.wait_for_log("watch-up");
     until(&node, 1_050);
-    let _client = node.asks("i1");
-    node.logged("ending=void");
+    let _client = node.send_invocation("i1");
+    node.wait_for_log("ending=void");
     drop(watch);
-    node.logged("reason=not_dialled");
+    node.wait_for_log("reason=not_dialled");
     assert!(node.started.elapsed() < Duration::from_millis(3_900), "only once it could be dialled again");
 }
 
@@ -319,13 +323,13 @@
     let rules = [Call::Receive, Call::Send]
         .iter()
         .flat_map(|call| [some(*call, "EINTR"), some(*call, "ENOBUFS"), some(*call, "ENOMEM"), short(*call)]);
-    let mut node = Node::failing(217, &plan(rules.collect::<Vec<Rule>>()), |text| text);
+    let mut node = Node::with_faults(217, &plan(rules.collect::<Vec<Rule>>()), |text| text);
     let (runner, _watch) = one_runner(&node);
-    node.logged("watch-up");
+    node.wait_for_log("watch-up");
     let mut connections = Vec::new();
     for nth in 0..20 {
         let id = format!("i{nth}");
-        let mut client = node.asks(&id);
+        let mut client = node.send_invocation(&id);
         let forward = speaking(&runner, &mut connections);
         assert!(head(forward).contains(&format!("X-Request-Id: {id}\r\n")));
         assert!(is_served(&node, &id, forward, &mut client), "{id}");
@@ -336,14 +340,14 @@
 fn steps_of_the_wall_clock_move_no_deadline() {
     let steps = [(900, 3_600_000), (1_300, -7_200_000), (1_700, 1_000)];
     let clock_steps = steps.map(|(at_ms, by_ms)| ClockStep { at_ms, by_ms }).to_vec();
-    let node = Node::failing(218, &Plan { clock_steps, ..plan([]) }, |text| text);
-    let _watch = watched(&node.discovery);
+    let node = Node::with_faults(218, &Plan { clock_steps, ..plan([]) }, |text| text);
+    let _watch = accept_watch(&node.discovery);
     until(&node, 800);
     // Nobody is listed: each waits until its time is over.
-    let mut client = node.client();
-    client.say(&request("i1", 1_500));
+    let mut client = node.connect_client();
+    client.send(&request("i1", 1_500));
     let sent = Instant::now();
-    assert!(status(&mut client, PATIENCE).is_some());
+    assert!(status(&mut client, STEP_TIMEOUT).is_some());
     let took = sent.elapsed();
     assert!(took < Duration::from_millis(1_550), "{took:?}");
     let mut rest = Vec::new();
@@ -354,23 +358,23 @@
 
 #[test]
 fn a_signal_whose_pipe_cannot_be_written_is_heard() {
-    let mut node = Node::failing(222, &plan([fails(Call::Send, "ENOBUFS", 1_000..1_300)]), |text| text);
-    let _watch = watched(&node.discovery);
-    node.logged("serving");
+    let mut node = Node::with_faults(222, &plan([fails(Call::Send, "ENOBUFS", 1_000..1_300)]), |text| text);
+    let _watch = accept_watch(&node.discovery);
+    node.wait_for_log("serving");
     until(&node, 1_100);
-    signal(&node.program, "HUP");
-    node.logged("reloaded");
-    signal(&node.program, "TERM");
-    node.logged("going-down");
+    send_signal(&node.program, "HUP");
+    node.wait_for_log("reloaded");
+    send_signal(&node.program, "TERM");
+    node.wait_for_log("going-down");
 }
 
 #[test]
 fn signals_in_series_lose_nothing_at_the_end() {
     let mut node = Node::new(219, |text| text);
-    let _watch = watched(&node.discovery);
-    let mut clients: Vec<Peer> = (0..10).map(|_| node.client()).collect();
-    signal(&node.program, "TERM");
-    node.logged("going-down");
+    let _watch = accept_watch(&node.discovery);
+    let mut clients: Vec<Connection> = (0..10).map(|_| node.connect_client()).collect();
+    send_signal(&node.program, "TERM");
+    node.wait_for_log("going-down");
     let going_down = Instant::now();
     let mut refused = 0;
     while going_down.elapsed() < Duration::from_millis(3_700) {
