--- a/node/tests/helper/mod.rs
+++ b/node/tests/helper/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for discovery, runners and clients on loopback, a step at a time, and the program under them.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Starts the program under test and plays discovery, runners and clients over loopback, one step at a time.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -12,25 +12,28 @@
 use socket2::{Domain, Socket, Type};
 use topazsail_faults::{Plan, shim};
 
-/// Far more than any step takes; only a step that never comes gets there.
+/// The limit for waiting on one step. It is far longer than any step takes, so it is reached only if the step
+/// never happens.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// The test's end of a connection to the program; reads time out after [`STEP_TIMEOUT`].
 pub struct Connection(pub BufReader<TcpStream>);
 
 impl Connection {
+    /// Wraps a stream and sets its read timeout.
     pub fn new(stream: TcpStream) -> Connection {
         stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
         Connection(BufReader::new(stream))
     }
 
-    /// The next to come; nobody is waited for without a bound.
+    /// Accepts the next connection; panics if there is none within [`STEP_TIMEOUT`].
     pub fn accept(listener: &TcpListener) -> Connection {
         listener.set_nonblocking(true).unwrap();
-        let until = Instant::now() + STEP_TIMEOUT;
+        let deadline = Instant::now() + STEP_TIMEOUT;
         let stream = loop {
             match listener.accept() {
                 Ok((stream, _)) => break stream,
-                Err(error) => assert!(Instant::now() < until, "nobody came: {error}"),
+                Err(error) => assert!(Instant::now() < deadline, "no connection to accept: {error}"),
             }
             std::thread::sleep(Duration::from_millis(1));
         };
@@ -39,31 +42,33 @@
         Connection::new(stream)
     }
 
+    /// Writes this text as it is.
     pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// A whole message: first line, the value of `X-Request-Id` and the body.
+    /// Reads a whole message and returns its first line, the values of `X-Request-Id` and `Connection` if
+    /// present, and the body, separated by spaces.
     pub fn receive(&mut self) -> String {
-        let (mut said, mut length) = (String::new(), 0);
+        let (mut head, mut length) = (String::new(), 0);
         loop {
             let mut line = String::new();
             self.0.read_line(&mut line).unwrap();
             let line = line.trim_end();
             match line.split_once(": ") {
                 Some(("Content-Length", value)) => length = value.parse().unwrap(),
-                Some(("X-Request-Id" | "Connection", value)) => said += &format!(" {value}"),
+                Some(("X-Request-Id" | "Connection", value)) => head += &format!(" {value}"),
                 Some(_) => {}
                 None if line.is_empty() => break,
-                None => said += line,
+                None => head += line,
             }
         }
         let mut body = vec![0; length];
         self.0.read_exact(&mut body).unwrap();
-        format!("{said} {}", String::from_utf8(body).unwrap())
+        format!("{head} {}", String::from_utf8(body).unwrap())
     }
 
-    /// A line of the watch: one runner, of this size.
+    /// Sends a line of the watch that lists this runner only, with this weight.
     pub fn list_runner(&mut self, runner: &TcpListener, weight: f64) {
         let line = format!(
             "{{\"generation\":1,\"reset\":true,\"instances\":[{{\"instanceId\":\"s-a\",\"lifecycle\":\"up\",\
@@ -73,36 +78,39 @@
         self.send_chunk(&line);
     }
 
-    /// A call-back, taken.
-    pub fn call_back(&mut self, told: &str) {
-        self.send(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{told}", told.len()));
+    /// Sends a call-back with this event and checks that it is accepted.
+    pub fn call_back(&mut self, event: &str) {
+        self.send(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{event}", event.len()));
         assert_eq!(self.receive(), "HTTP/1.1 200 OK ");
     }
 
-    /// Ends it with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         Socket::from(self.0.into_inner()).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// One line of a watch, in a chunk of its own.
+    /// Sends one line of a watch as one chunk.
     pub fn send_chunk(&mut self, line: &str) {
         self.send(&format!("{:x}\r\n{line}\r\n", line.len()));
     }
 
+    /// Waits for the next byte, and returns whether the peer has closed the connection instead.
     pub fn is_closed(&mut self) -> bool {
         self.0.read(&mut [0]).is_ok_and(|read| read == 0)
     }
 }
 
-/// The head of a watch's answer.
+/// The head of discovery's response to a watch.
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// A runner's response to a forward that it accepts.
 pub const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-/// The watch that a program has opened, answered.
+/// Accepts the watch that the program opens at its start, and sends the head of the response.
 pub fn accept_watch(discovery: &TcpListener) -> Connection {
     accept_watch_since(discovery, 0)
 }
 
+/// Accepts a watch that asks for changes since this generation, and sends the head of the response.
 pub fn accept_watch_since(discovery: &TcpListener, since: u64) -> Connection {
     let mut watch = Connection::accept(discovery);
     assert_eq!(watch.receive(), format!("GET /v1/servers?follow=1&since={since} HTTP/1.1 "));
@@ -110,8 +118,12 @@
     watch
 }
 
-/// An address of one test's own. The port stays bound here beside the program's listener, which lets others bind it too, as
-/// in an upgrade: in between nobody else is given it. Connections go to whoever listens.
+/// Returns an address with a free port. The IP address is 127.`octet`.x.y with x and y from the process id;
+/// each test of a process uses octets of its own.
+///
+/// The port stays bound here until the test process ends, so that the system gives it to no other process
+/// before the program binds it or between two programs. Both sides set `SO_REUSEPORT`, which the program
+/// needs for upgrades anyway, and only sockets that listen receive connections.
 pub fn free_address(octet: u8) -> SocketAddr {
     let [_, .., high, low] = std::process::id().to_be_bytes();
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -123,7 +135,7 @@
     address
 }
 
-/// Ended with the test, whatever becomes of it.
+/// The program under test; it is killed when the test ends, also when the test panics.
 pub struct Program(pub Child);
 
 impl Drop for Program {
@@ -133,21 +145,23 @@
     }
 }
 
+/// Sends the signal of this name, without `SIG`, to the program.
 pub fn send_signal(program: &Program, name: &str) {
     let kill = format!("kill -{name} {}", program.0.id());
     assert!(Command::new("sh").arg("-c").arg(kill).status().unwrap().success());
 }
 
-/// What an operator is answered.
-pub fn admin_command(admin: SocketAddr, line: &str) -> String {
-    let mut caller = TcpStream::connect(admin).unwrap();
-    caller.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
-    caller.write_all(format!("{line}\n").as_bytes()).unwrap();
+/// Sends a command to the operators' socket and returns the whole answer.
+pub fn admin_command(admin: SocketAddr, command: &str) -> String {
+    let mut stream = TcpStream::connect(admin).unwrap();
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+    stream.write_all(format!("{command}\n").as_bytes()).unwrap();
     let mut answer = String::new();
-    caller.read_to_string(&mut answer).unwrap();
+    stream.read_to_string(&mut answer).unwrap();
     answer
 }
 
+/// The configuration that the tests start from.
 pub fn configuration(listen: SocketAddr, discovery: SocketAddr) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"1","limits":{{"sockets":256}},
@@ -160,14 +174,15 @@
     )
 }
 
-/// A call-back, taken; the connection that it came on.
-pub fn call_back(listen: SocketAddr, told: &str) -> Connection {
-    let mut call = Connection::new(TcpStream::connect(listen).unwrap());
-    call.call_back(told);
-    call
+/// Sends a call-back with this event on a new connection, checks that it is accepted and returns the
+/// connection.
+pub fn call_back(listen: SocketAddr, event: &str) -> Connection {
+    let mut connection = Connection::new(TcpStream::connect(listen).unwrap());
+    connection.call_back(event);
+    connection
 }
 
-/// A listener whose queue of connections can be filled.
+/// A listener with the shortest possible backlog, which [`fill_backlog`] can fill.
 pub fn listener_with_minimal_backlog() -> Socket {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     listener.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
@@ -175,20 +190,22 @@
     listener
 }
 
-/// Fills that queue, which holds one or two more than it was told, until nobody has come up for so long.
-pub fn fill_backlog(address: SocketAddr, within: Duration) -> Vec<Socket> {
-    let mut before = Vec::new();
+/// Opens connections until one is not established within `connect_timeout`, and returns all of their sockets.
+/// The backlog of a listener holds one or two connections more than it was set to, so their number is not
+/// known before.
+pub fn fill_backlog(address: SocketAddr, connect_timeout: Duration) -> Vec<Socket> {
+    let mut sockets = Vec::new();
     loop {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        let up = socket.connect_timeout(&address.into(), within);
-        before.push(socket);
-        if up.is_err() {
-            return before;
+        let connected = socket.connect_timeout(&address.into(), connect_timeout);
+        sockets.push(socket);
+        if connected.is_err() {
+            return sockets;
         }
     }
 }
 
-/// A program of a test's own, with the discovery that it asks.
+/// A program under test with its configuration file, its log and the listener of its discovery.
 pub struct Node {
     pub program: Program,
     pub started: Instant,
@@ -205,69 +222,71 @@
 }
 
 impl Node {
-    /// A program of a test's own, by a configuration that is changed as it says.
-    pub fn new(octet: u8, change: impl Fn(String) -> String) -> Node {
-        Node::with_descriptor_limit(octet, 0, change)
+    /// Starts the program with the [`configuration`] as edited. For `octet` see [`free_address`].
+    pub fn new(octet: u8, edit: impl Fn(String) -> String) -> Node {
+        Node::with_descriptor_limit(octet, 0, edit)
     }
 
-    /// The same with so many descriptors; as many as this test has, for 0.
-    pub fn with_descriptor_limit(octet: u8, descriptors: usize, change: impl Fn(String) -> String) -> Node {
+    /// Like [`Node::new`] with a limit of open file descriptors; 0 keeps the limit of this process.
+    pub fn with_descriptor_limit(octet: u8, descriptors: usize, edit: impl Fn(String) -> String) -> Node {
         let limit = if descriptors > 0 { format!("ulimit -n {descriptors}; ") } else { String::new() };
-        Node::spawn(octet, &limit, |_| {}, change)
+        Node::spawn(octet, &limit, |_| {}, edit)
     }
 
-    /// The same under the fault shim with this plan.
-    pub fn with_faults(octet: u8, plan: &Plan, change: impl Fn(String) -> String) -> Node {
+    /// Like [`Node::new`] under the fault shim with this plan.
+    pub fn with_faults(octet: u8, plan: &Plan, edit: impl Fn(String) -> String) -> Node {
         let library = shim::library().unwrap();
-        Node::spawn(octet, "", |command| shim::inject(command, library, plan), change)
+        Node::spawn(octet, "", |command| shim::inject(command, library, plan), edit)
     }
 
-    /// The same by a shell that does this before, with a command that is prepared by this.
+    /// Like [`Node::new`], from a shell that runs `shell_prefix` before the program, with a command that
+    /// `prepare` has changed.
     pub fn spawn(
         octet: u8,
-        before: &str,
+        shell_prefix: &str,
         prepare: impl Fn(&mut Command),
-        change: impl Fn(String) -> String,
+        edit: impl Fn(String) -> String,
     ) -> Node {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let listen = free_address(octet);
         let configuration_path =
             env::temp_dir().join(format!("topazsail-ends-{octet}-{}.json", std::process::id()));
-        fs::write(&configuration_path, change(configuration(listen, discovery.local_addr().unwrap())))
-            .unwrap();
+        fs::write(&configuration_path, edit(configuration(listen, discovery.local_addr().unwrap()))).unwrap();
         let mut command = Command::new("sh");
-        command.args(["-c", &format!("{before}exec \"$0\" \"$@\""), env!("CARGO_BIN_EXE_topazsail")]);
+        command.args(["-c", &format!("{shell_prefix}exec \"$0\" \"$@\""), env!("CARGO_BIN_EXE_topazsail")]);
         command.args(["serve", "--config"]).arg(&configuration_path).stderr(Stdio::piped()).env("TMPDIR", "");
         prepare(&mut command);
         let started = Instant::now();
         let mut program = Program(command.spawn().unwrap());
-        let (says, log) = mpsc::channel();
+        let (sender, log) = mpsc::channel();
         if let Some(stderr) = program.0.stderr.take() {
             let lines = BufReader::new(stderr).lines();
-            std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| says.send(line)));
+            std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
         }
         Node { program, started, listen, configuration_path, log, discovery }
     }
 
-    /// Waits until the program has said this.
-    pub fn wait_for_log(&mut self, holds: &str) {
-        let until = Instant::now() + STEP_TIMEOUT;
-        let mut said = Vec::new();
+    /// Waits for the next log line that contains this text; panics if there is none within [`STEP_TIMEOUT`].
+    pub fn wait_for_log(&mut self, text: &str) {
+        let deadline = Instant::now() + STEP_TIMEOUT;
+        let mut lines = Vec::new();
         loop {
-            let line = self.log.recv_timeout(until.saturating_duration_since(Instant::now()));
-            let line = line.unwrap_or_else(|error| panic!("it never said {holds}, but {said:?}: {error}"));
-            if line.contains(holds) {
+            let line = self.log.recv_timeout(deadline.saturating_duration_since(Instant::now()));
+            let line =
+                line.unwrap_or_else(|error| panic!("no log line with {text}, only {lines:?}: {error}"));
+            if line.contains(text) {
                 return;
             }
-            said.push(line);
+            lines.push(line);
         }
     }
 
+    /// Connects a client that has sent nothing yet.
     pub fn connect_client(&self) -> Connection {
         Connection::new(TcpStream::connect(self.listen).unwrap())
     }
 
-    /// A client that has asked for this.
+    /// Connects a client and sends a request for the invocation of this id.
     pub fn send_invocation(&self, id: &str) -> Connection {
         let mut client = self.connect_client();
         client.send(&request(id, 25_000));
@@ -275,14 +294,16 @@
     }
 }
 
-pub fn request(id: &str, ms: u32) -> String {
-    format!("POST /plan HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: {ms}\r\n\r\n")
+/// A request for the invocation of this id, with this many milliseconds until its deadline.
+pub fn request(id: &str, deadline_ms: u32) -> String {
+    format!("POST /plan HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: {deadline_ms}\r\n\r\n")
 }
 
-pub fn list_runner(watch: &mut Connection, generation: u32, runner: SocketAddr, state: &str) {
+/// Sends a line of the watch that lists this runner only, in this generation and lifecycle state.
+pub fn list_runner(watch: &mut Connection, generation: u32, runner: SocketAddr, lifecycle: &str) {
     let line = format!(
         "{{\"generation\":{generation},\"reset\":true,\"instances\":[{{\"instanceId\":\"s-a\",\
-         \"lifecycle\":\"{state}\",\"weight\":1,\"hostPort\":\"{runner}\"}}]}}\n"
+         \"lifecycle\":\"{lifecycle}\",\"weight\":1,\"hostPort\":\"{runner}\"}}]}}\n"
     );
     watch.send_chunk(&line);
 }
--- a/node/tests/loopback.rs
+++ b/node/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! The program itself over loopback sockets, from its start to a clean exit: this test stands in for
-//! discovery, one runner and one client, a step at a time.
+//! The real program over loopback sockets: start, reload, upgrade, store, migration and clean exit. The tests
+//! play discovery, the runner and the clients, one step at a time.
 
 mod helper;
 
@@ -39,7 +39,7 @@
     assert_eq!(forward.receive(), "POST /plan?a=b HTTP/1.1 i1 hi");
     forward.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
 
-    // Neither a file that is half written nor none at all changes anything; a new discovery is asked at once.
+    // A half-written or missing file changes nothing. A new discovery address is used at once.
     let mut log = BufReader::new(program.0.stderr.take().unwrap()).lines();
     let mut wait_for_log = |code: &str| while !log.next().unwrap().unwrap().starts_with(code) {};
     fs::write(&path, r#"{"name":"n0","listen":"#).unwrap();
@@ -59,7 +59,8 @@
     watch.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
     assert_eq!(watch.receive(), "GET /v1/servers?follow=1&since=5 HTTP/1.1 ");
 
-    // Told to end, it answers what it has taken, and lets runners tell it what became of that.
+    // After SIGTERM it still accepts call-backs for its unanswered invocations and answers them before it
+    // exits.
     send_signal(&program, "TERM");
     wait_for_log("going-down");
     let _call = call_back(listen, r#"{"id":"i1","from":"s-a","state":"done","result":"plan"}"#);
@@ -69,7 +70,8 @@
     fs::remove_file(path).unwrap();
 }
 
-/// A process of one dispatcher in its folder, where the others of an upgrade find it.
+/// Starts a process of the dispatcher with this folder as `TMPDIR`, where the processes of an upgrade find
+/// each other.
 fn start(folder: &Path, listen: SocketAddr, admin: Option<SocketAddr>) -> Program {
     let mut command = Command::new(env!("CARGO_BIN_EXE_topazsail"));
     command.args(["serve", "--config"]).arg(folder.join("config.json")).stderr(Stdio::null());
@@ -78,8 +80,8 @@
     Program(command.spawn().unwrap())
 }
 
-/// A second process takes the listener over: who waits at the door is served by it, what the first has taken is
-/// answered by that one, and calls on runners hold in both.
+/// A second process takes the listener over: it serves new connections, the first process answers the
+/// invocations that it has accepted, and admin overrides of runners hold in both.
 #[test]
 fn a_second_process_takes_over_from_the_first() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -90,7 +92,8 @@
     let path = folder.join("config.json");
     let text = configuration(listen, discovery.local_addr().unwrap());
     fs::write(&path, text.replacen('{', &format!("{{\"admin_addr\":\"{}\",", admins[0]), 1)).unwrap();
-    // The file says where operators call, and the environment goes before it.
+    // The first process has its admin address from the file, the second from the environment, which overrides
+    // it.
     let mut first = start(&folder, listen, None);
     let mut watch = accept_watch(&discovery);
     watch.list_runner(&runner, 1.0);
@@ -101,7 +104,7 @@
     assert_eq!(admin_command(admins[0], "status"), "YES\n");
     assert_eq!(admin_command(admins[0], "maint-on s-a"), "YES\n");
 
-    // The file is no good any more: the configuration in force is handed over.
+    // With an unreadable file, the second process must get the configuration in force from the first.
     fs::write(&path, "{").unwrap();
     let _second = start(&folder, listen, Some(admins[1]));
     let mut watch = Connection::accept(&discovery);
@@ -109,7 +112,7 @@
     assert_eq!(admin_command(admins[1], "status"), "YES\n");
     assert!(admin_command(admins[1], "stats").contains("edge_relay.skipped_runners=1\n"));
     send_signal(&first, "TERM");
-    // On a new connection, which the second process has: it passes on what it is told.
+    // The second process accepts this new connection, and must forward the call-back to the first.
     let _call = call_back(listen, r#"{"id":"i1","from":"s-a","state":"done","result":"plan"}"#);
     assert_eq!(client.receive(), "HTTP/1.1 200 OK close plan");
     assert_eq!(first.0.wait().unwrap().code(), Some(0));
@@ -123,22 +126,22 @@
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// A runner that takes whatever comes and is done at once; what it has been given, in order.
-/// The answer of a call once it holds what is waited for.
-fn admin_command_until(admin: SocketAddr, line: &str, holds: &str) -> String {
-    let until = std::time::Instant::now() + STEP_TIMEOUT;
+/// Repeats a command until its answer contains the expected text, and returns that answer.
+fn admin_command_until(admin: SocketAddr, command: &str, expected: &str) -> String {
+    let deadline = std::time::Instant::now() + STEP_TIMEOUT;
     loop {
-        let answer = TcpStream::connect(admin).map_or_else(|_| String::new(), |_| admin_command(admin, line));
-        if answer.contains(holds) {
+        let answer =
+            TcpStream::connect(admin).map_or_else(|_| String::new(), |_| admin_command(admin, command));
+        if answer.contains(expected) {
             return answer;
         }
-        assert!(std::time::Instant::now() < until, "{line}: {answer}");
+        assert!(std::time::Instant::now() < deadline, "{command}: {answer}");
         thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn a_store_changes_hands_and_what_it_holds_outlives_every_end() {
+fn a_store_is_handed_over_and_its_contents_survive_every_exit() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let runner = TcpListener::bind("127.0.0.1:0").unwrap();
     let (listen, admins) = (free_address(85), [free_address(86), free_address(87)]);
@@ -146,15 +149,17 @@
     let store = folder.join("store");
     fs::create_dir_all(&store).unwrap();
     let text = configuration(listen, discovery.local_addr().unwrap());
-    let kept = format!("{{\"store\":{{\"folder\":{:?},\"require\":true}},", store.display().to_string());
-    fs::write(folder.join("config.json"), text.replacen('{', &kept, 1)).unwrap();
+    let with_store =
+        format!("{{\"store\":{{\"folder\":{:?},\"require\":true}},", store.display().to_string());
+    fs::write(folder.join("config.json"), text.replacen('{', &with_store, 1)).unwrap();
     let mut first = start(&folder, listen, Some(admins[0]));
     let mut watch = accept_watch(&discovery);
     watch.list_runner(&runner, 1.0);
     assert_eq!(admin_command_until(admins[0], "status", "serving"), "YES stage=serving boot=1 store=well\n");
     assert_eq!(admin_command_until(admins[0], "maint-on s-a", "YES"), "YES\n");
 
-    // An upgrade: the new process has the folder, and calls are its own from then on.
+    // An upgrade: the new process takes over the store folder, and only it accepts admin commands from then
+    // on.
     let second = start(&folder, listen, Some(admins[1]));
     let _watch = accept_watch_since(&discovery, 1);
     admin_command_until(admins[1], "status", "boot=2");
@@ -164,17 +169,17 @@
     send_signal(&first, "TERM");
     assert_eq!(first.0.wait().unwrap().code(), Some(0));
 
-    // Nobody else gets it meanwhile, and says so before it listens.
+    // Another dispatcher cannot use the folder meanwhile; it reports that and exits before it listens.
     let other = folder.join("other.json");
     let text = fs::read_to_string(folder.join("config.json")).unwrap();
     fs::write(&other, text.replace(&listen.to_string(), &free_address(88).to_string())).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_topazsail"));
     let refused = command.args(["serve", "--config"]).arg(&other).env("TMPDIR", "").output().unwrap();
-    let said = String::from_utf8(refused.stderr).unwrap();
+    let stderr = String::from_utf8(refused.stderr).unwrap();
     let expected = format!("store.folder {}: another process uses this folder", store.display());
-    assert!(!refused.status.success() && said.contains(&expected), "{said}");
+    assert!(!refused.status.success() && stderr.contains(&expected), "{stderr}");
 
-    // Killed outright, then begun anew: the ban holds, by the list from before as well.
+    // Killed and started again: the admin override still holds, and applies to the stored roster.
     drop(second);
     let _third = start(&folder, listen, Some(admins[0]));
     let mut watch = Connection::accept(&discovery);
@@ -185,26 +190,29 @@
     fs::remove_dir_all(folder).unwrap();
 }
 
-fn obliging(runner: TcpListener, listen: SocketAddr, given: Arc<Mutex<Vec<String>>>) {
+/// Runs a runner that accepts every forward and reports it done at once; records the ids in `forwarded`, in
+/// order.
+fn complete_at_once(runner: TcpListener, listen: SocketAddr, forwarded: Arc<Mutex<Vec<String>>>) {
     for stream in runner.incoming() {
-        let (mut forwards, given) = (Connection::new(stream.unwrap()), given.clone());
+        let (mut connection, forwarded) = (Connection::new(stream.unwrap()), forwarded.clone());
         thread::spawn(move || {
             loop {
-                let heard = forwards.receive();
-                let Some(id) = heard.strip_prefix("POST /plan HTTP/1.1 ") else { return };
-                given.lock().unwrap().push(id.trim().to_owned());
-                forwards.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-                let told = format!(r#"{{"id":"{}","from":"s-a","state":"done","result":"r"}}"#, id.trim());
-                call_back(listen, &told);
+                let forward = connection.receive();
+                let Some(id) = forward.strip_prefix("POST /plan HTTP/1.1 ") else { return };
+                forwarded.lock().unwrap().push(id.trim().to_owned());
+                connection.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+                let event = format!(r#"{{"id":"{}","from":"s-a","state":"done","result":"r"}}"#, id.trim());
+                call_back(listen, &event);
             }
         });
     }
 }
 
-/// Clients go on all the while, each on a connection that it keeps as long as it may: every invocation is answered
-/// and reaches the runner once, and operators are answered though hundreds of callers say nothing.
+/// Clients send requests during the whole upgrade, each on a connection that it keeps until the program
+/// closes it. Every invocation is answered and reaches the runner once, and admin commands are answered
+/// although hundreds of admin connections send nothing.
 #[test]
-fn an_upgrade_under_load_meets_nobody_at_the_door() {
+fn an_upgrade_under_load_loses_and_repeats_no_invocation() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let runner = TcpListener::bind("127.0.0.1:0").unwrap();
     let (listen, admins) = (free_address(82), [free_address(83), free_address(84)]);
@@ -215,29 +223,30 @@
     let mut first = start(&folder, listen, Some(admins[0]));
     let mut watch = accept_watch(&discovery);
     watch.list_runner(&runner, 1.0);
-    let given = Arc::new(Mutex::new(Vec::new()));
-    let seen = given.clone();
-    thread::spawn(move || obliging(runner, listen, seen));
-    // Once the list has been heard it is handed over as of then.
-    let mut peer = Connection::new(TcpStream::connect(listen).unwrap());
-    peer.send("POST /plan HTTP/1.1\r\nX-Request-Id: first\r\nX-Deadline-Ms: 25000\r\n\r\n");
-    assert_eq!(peer.receive(), "HTTP/1.1 200 OK r");
-    let over = Arc::new(AtomicBool::new(false));
+    let forwarded = Arc::new(Mutex::new(Vec::new()));
+    let recorded = forwarded.clone();
+    thread::spawn(move || complete_at_once(runner, listen, recorded));
+    // This invocation is served only after the roster has arrived, so that the roster is part of the
+    // handover.
+    let mut first_client = Connection::new(TcpStream::connect(listen).unwrap());
+    first_client.send("POST /plan HTTP/1.1\r\nX-Request-Id: first\r\nX-Deadline-Ms: 25000\r\n\r\n");
+    assert_eq!(first_client.receive(), "HTTP/1.1 200 OK r");
+    let finished = Arc::new(AtomicBool::new(false));
     let client = |nth: usize| {
-        let over = over.clone();
+        let finished = finished.clone();
         thread::spawn(move || {
-            let (mut asked, mut connection) = (0, None);
-            while !over.load(Ordering::Relaxed) {
-                let mut peer =
-                    connection.take().unwrap_or_else(|| Connection::new(TcpStream::connect(listen).unwrap()));
-                let head = format!("X-Request-Id: c{nth}-{asked}\r\nX-Deadline-Ms: 25000");
-                peer.send(&format!("POST /plan HTTP/1.1\r\n{head}\r\n\r\n"));
-                let answer = peer.receive();
+            let (mut sent, mut kept) = (0, None);
+            while !finished.load(Ordering::Relaxed) {
+                let mut connection =
+                    kept.take().unwrap_or_else(|| Connection::new(TcpStream::connect(listen).unwrap()));
+                let head = format!("X-Request-Id: c{nth}-{sent}\r\nX-Deadline-Ms: 25000");
+                connection.send(&format!("POST /plan HTTP/1.1\r\n{head}\r\n\r\n"));
+                let answer = connection.receive();
                 assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
-                asked += 1;
-                connection = Some(peer).filter(|_| !answer.contains(" close "));
+                sent += 1;
+                kept = Some(connection).filter(|_| !answer.contains(" close "));
             }
-            asked
+            sent
         })
     };
     let clients: Vec<_> = (0..3).map(client).collect();
@@ -250,22 +259,23 @@
     assert_eq!(first.0.wait().unwrap().code(), Some(0));
     drop(silent);
     assert_eq!(admin_command(admins[1], "status"), "YES\n");
-    over.store(true, Ordering::Relaxed);
-    let asked = 1 + clients.into_iter().map(|client| client.join().unwrap()).sum::<usize>();
-    let mut given = given.lock().unwrap().clone();
-    assert!(asked > 3);
-    assert_eq!(given.len(), asked);
-    given.sort();
-    given.dedup();
-    assert_eq!(given.len(), asked);
+    finished.store(true, Ordering::Relaxed);
+    let sent = 1 + clients.into_iter().map(|client| client.join().unwrap()).sum::<usize>();
+    let mut forwarded = forwarded.lock().unwrap().clone();
+    assert!(sent > 3);
+    assert_eq!(forwarded.len(), sent);
+    forwarded.sort();
+    forwarded.dedup();
+    assert_eq!(forwarded.len(), sent);
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// The command's exit code, what it wrote to standard output and to standard error.
-fn migrates(words: &[&str]) -> (Option<i32>, String, String) {
-    let done = Command::new(env!("CARGO_BIN_EXE_topazsail")).arg("migrate").args(words).output().unwrap();
+/// Runs `topazsail migrate` with these arguments; returns its exit code, standard output and standard error.
+fn run_migrate(arguments: &[&str]) -> (Option<i32>, String, String) {
+    let output =
+        Command::new(env!("CARGO_BIN_EXE_topazsail")).arg("migrate").args(arguments).output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (done.status.code(), text(done.stdout), text(done.stderr))
+    (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
 #[test]
@@ -287,15 +297,15 @@
         .replace(r#""cancel":true"#, r#""cancel":true,"probes":true"#);
     fs::write(&old, &text).unwrap();
 
-    // A look that changes nothing, a zone that is none, and then the move; never over a file that is there.
+    // A dry run, an unknown zone, and then the migration, which never overwrites an existing file.
     let common = ["--config", &old, "--to", &new, "--dispatchers", "4", "--zones", "a,b"];
-    let (code, shown, said) = migrates(&[&common[..], &["--dry-run"]].concat());
-    assert_eq!((code, fs::exists(&new).unwrap()), (Some(0), false), "{said}");
-    let (code, _, said) = migrates(&[&common[..], &["--my-zone", "z"]].concat());
+    let (code, dry_run, stderr) = run_migrate(&[&common[..], &["--dry-run"]].concat());
+    assert_eq!((code, fs::exists(&new).unwrap()), (Some(0), false), "{stderr}");
+    let (code, _, stderr) = run_migrate(&[&common[..], &["--my-zone", "z"]].concat());
     assert_eq!((code, fs::exists(&new).unwrap()), (Some(1), false));
-    assert!(said.contains("settings.myZone 'z' is not in settings.localities"), "{said}");
-    let (code, _, said) = migrates(&common);
-    assert_eq!((code, fs::read_to_string(&new).unwrap()), (Some(0), shown));
+    assert!(stderr.contains("settings.myZone 'z' is not in settings.localities"), "{stderr}");
+    let (code, _, stderr) = run_migrate(&common);
+    assert_eq!((code, fs::read_to_string(&new).unwrap()), (Some(0), dry_run));
     expect_test::expect![[r#"
         changed: settings.registryMode: "subscribe" -> "automatic"
         changed: settings.weights: "off" -> "live"
@@ -309,15 +319,16 @@
         not carried over: settings.invariants.askWithin is kept and no longer read: the list is sent unasked
         not carried over: known: 1 runners were of the old shape; the list is sent at the start
         written: NEW
-    "#]].assert_eq(&said.replace(&new, "NEW"));
-    let before = fs::read_to_string(&new).unwrap();
-    let (code, _, said) = migrates(&common);
-    assert_eq!((code, fs::read_to_string(&new).unwrap()), (Some(1), before));
-    assert!(said.contains("nothing was written"), "{said}");
+    "#]].assert_eq(&stderr.replace(&new, "NEW"));
+    let migrated = fs::read_to_string(&new).unwrap();
+    let (code, _, stderr) = run_migrate(&common);
+    assert_eq!((code, fs::read_to_string(&new).unwrap()), (Some(1), migrated));
+    assert!(stderr.contains("nothing was written"), "{stderr}");
     assert_eq!(fs::read_to_string(&old).unwrap(), text);
     assert_eq!(fs::read_dir(&folder).unwrap().count(), 2);
 
-    // The list is watched though settings say that it comes unasked; its sizes move with load.
+    // The program watches discovery although the settings say that the roster comes unasked. The weights it
+    // lists change with load.
     let mut command = Command::new(env!("CARGO_BIN_EXE_topazsail"));
     let mut program =
         Program(command.args(["serve", "--config", &new]).stderr(Stdio::null()).spawn().unwrap());
@@ -327,12 +338,12 @@
     let mut client = Connection::new(TcpStream::connect(listen).unwrap());
     client.send("POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 25000\r\nX-Cost-Hint: 120.5\r\n");
     client.send("Content-Length: 2\r\n\r\nhi");
-    // The forward, and one probe that asks how many slots there are.
-    let mut both = [Connection::accept(&runner), Connection::accept(&runner)];
-    let mut heard = both.each_mut().map(Connection::receive);
-    heard.sort();
-    assert_eq!(heard, ["GET /load HTTP/1.1 ", "POST /plan HTTP/1.1 i1 hi"]);
-    drop(both);
+    // The forward, and one probe for the number of slots.
+    let mut connections = [Connection::accept(&runner), Connection::accept(&runner)];
+    let mut requests = connections.each_mut().map(Connection::receive);
+    requests.sort();
+    assert_eq!(requests, ["GET /load HTTP/1.1 ", "POST /plan HTTP/1.1 i1 hi"]);
+    drop(connections);
     assert_eq!(client.receive(), "HTTP/1.1 502 Bad Gateway ");
     program.0.kill().unwrap();
     fs::remove_dir_all(folder).unwrap();
