--- a/node/tests/ends.rs
+++ b/node/tests/ends.rs
@@ -1,6 +1,6 @@
-//! The program over loopback sockets at the instant of an end, with something still owed: the instant is made by a
-//! peer's own step (a dial that is not accepted, a byte held back, a signal between two steps), and what is waited
-//! for is what the program itself says of it.
+//! The program over loopback sockets when a client, a dial, a deduplication window or the process itself ends
+//! while invocations are unanswered. The tests fix the moment by their own steps as peers (a dial that is not
+//! accepted, a byte held back, a signal between two steps), and wait for the program's log lines.
 
 mod helper;
 
@@ -12,157 +12,160 @@
 use helper::*;
 use socket2::Socket;
 
+/// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Closing,
-    Resetting,
+enum Disconnect {
+    Close,
+    Reset,
 }
 
-fn leaves(client: Connection, how: Leaves) {
+fn disconnect(client: Connection, how: Disconnect) {
     match how {
-        Leaves::Closing => drop(client),
-        Leaves::Resetting => client.reset(),
+        Disconnect::Close => drop(client),
+        Disconnect::Reset => client.reset(),
     }
 }
 
-/// A runner whose dials do not come up before it lets them: its queue of connections is full.
-struct Shut {
+/// A runner whose backlog is full, so that dials to it do not complete until [`SaturatedRunner::unblock`].
+struct SaturatedRunner {
     listener: Socket,
     address: SocketAddr,
-    before: Vec<Socket>,
+    queued: Vec<Socket>,
 }
 
-impl Shut {
-    fn new() -> Shut {
+impl SaturatedRunner {
+    fn new() -> SaturatedRunner {
         let listener = listener_with_minimal_backlog();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
-        let before = fill_backlog(address, Duration::from_millis(100));
-        Shut { listener, address, before }
+        let queued = fill_backlog(address, Duration::from_millis(100));
+        SaturatedRunner { listener, address, queued }
     }
 
-    /// Lets those in that wait; the first to come up after that is the program's.
-    fn opens(mut self) -> TcpListener {
-        for _ in 1..self.before.len() {
+    /// Accepts the queued connections; the next one that the returned listener accepts is the program's.
+    fn unblock(mut self) -> TcpListener {
+        for _ in 1..self.queued.len() {
             self.listener.accept().unwrap();
         }
-        self.before.clear();
+        self.queued.clear();
         self.listener.into()
     }
 }
 
-fn no_cancel(text: String) -> String {
+fn without_cancel(text: String) -> String {
     text.replace(r#""cancel":true"#, r#""cancel":false"#)
 }
 
-/// All that a runner is given, on whichever connections, by the time that the one named has come and a dial has had
-/// time to be tried twice more.
-fn given(runner: &TcpListener, named: &str) -> Vec<String> {
+/// Returns the ids of all forwards that the runner receives on any connection, until the awaited one has
+/// arrived and a dial has had time to be retried twice.
+fn forwarded_ids(runner: &TcpListener, awaited: &str) -> Vec<String> {
     runner.set_nonblocking(true).unwrap();
-    let (mut peers, mut heard): (Vec<Connection>, Vec<String>) = Default::default();
-    let (mut until, last) = (None, Instant::now() + STEP_TIMEOUT);
-    while until.is_none_or(|until| Instant::now() < until) {
-        assert!(Instant::now() < last, "{named} never came: {heard:?}");
+    let (mut connections, mut ids): (Vec<Connection>, Vec<String>) = Default::default();
+    let (mut end, deadline) = (None, Instant::now() + STEP_TIMEOUT);
+    while end.is_none_or(|end| Instant::now() < end) {
+        assert!(Instant::now() < deadline, "{awaited} was not forwarded, only {ids:?}");
         while let Ok((stream, _)) = runner.accept() {
-            peers.push(Connection::new(stream));
+            connections.push(Connection::new(stream));
         }
-        for peer in &mut peers {
-            peer.0.get_ref().set_read_timeout(Some(Duration::from_millis(2))).unwrap();
-            if peer.0.fill_buf().is_ok_and(|bytes| !bytes.is_empty()) {
-                peer.0.get_ref().set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
-                heard.push(peer.receive().split(' ').nth(3).unwrap_or_default().to_owned());
+        for connection in &mut connections {
+            connection.0.get_ref().set_read_timeout(Some(Duration::from_millis(2))).unwrap();
+            if connection.0.fill_buf().is_ok_and(|bytes| !bytes.is_empty()) {
+                connection.0.get_ref().set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+                ids.push(connection.receive().split(' ').nth(3).unwrap_or_default().to_owned());
             }
         }
-        if until.is_none() && heard.iter().any(|id| id == named) {
-            until = Some(Instant::now() + Duration::from_millis(1500));
+        if end.is_none() && ids.iter().any(|id| id == awaited) {
+            end = Some(Instant::now() + Duration::from_millis(1500));
         }
         std::thread::sleep(Duration::from_millis(2));
     }
-    heard
+    ids
 }
 
 #[test]
 fn a_client_that_leaves_while_its_forward_is_dialled_is_not_served() {
-    for (octet, how) in [(101, Leaves::Closing), (102, Leaves::Resetting)] {
-        let mut node = Node::new(octet, no_cancel);
-        let shut = Shut::new();
+    for (octet, how) in [(101, Disconnect::Close), (102, Disconnect::Reset)] {
+        let mut node = Node::new(octet, without_cancel);
+        let saturated = SaturatedRunner::new();
         let mut watch = accept_watch(&node.discovery);
-        list_runner(&mut watch, 1, shut.address, "up");
+        list_runner(&mut watch, 1, saturated.address, "up");
         let client = node.send_invocation("left");
-        // Its forward is out: the next one waits for a dial of its own.
+        // The first forward has its dial under way, and the second one waits for another dial.
         let _waits = node.send_invocation("stays");
-        leaves(client, how);
+        disconnect(client, how);
         node.wait_for_log("side=client");
-        let runner = shut.opens();
-        assert_eq!(given(&runner, "stays"), ["stays"], "{how:?}");
+        let runner = saturated.unblock();
+        assert_eq!(forwarded_ids(&runner, "stays"), ["stays"], "{how:?}");
     }
 }
 
 #[test]
 fn a_client_that_leaves_while_its_invocation_waits_for_a_runner_is_not_served() {
-    for (octet, how) in [(103, Leaves::Closing), (104, Leaves::Resetting)] {
+    for (octet, how) in [(103, Disconnect::Close), (104, Disconnect::Reset)] {
         let mut node = Node::new(octet, |text| text);
         let mut watch = accept_watch(&node.discovery);
-        leaves(node.send_invocation("left"), how);
+        disconnect(node.send_invocation("left"), how);
         node.wait_for_log("side=client");
         let _waits = node.send_invocation("stays");
         let runner = TcpListener::bind("127.0.0.1:0").unwrap();
         list_runner(&mut watch, 1, runner.local_addr().unwrap(), "up");
-        assert_eq!(given(&runner, "stays"), ["stays"], "{how:?}");
+        assert_eq!(forwarded_ids(&runner, "stays"), ["stays"], "{how:?}");
     }
 }
 
-/// More than is kept of it is read on, however much, or its end would never be seen.
+/// The program reads on behind a request, beyond what it keeps and without a limit, because otherwise it
+/// would never see the end of the connection.
 #[test]
 fn a_client_that_sent_much_more_behind_its_request_and_left_is_not_served() {
     let mut node = Node::new(105, |text| text);
     let mut watch = accept_watch(&node.discovery);
     let mut client = node.send_invocation("left");
     client.send(&"x".repeat(8 << 20));
-    leaves(client, Leaves::Closing);
+    disconnect(client, Disconnect::Close);
     node.wait_for_log("side=client");
     let _waits = node.send_invocation("stays");
     let runner = TcpListener::bind("127.0.0.1:0").unwrap();
     list_runner(&mut watch, 1, runner.local_addr().unwrap(), "up");
-    assert_eq!(given(&runner, "stays"), ["stays"]);
+    assert_eq!(forwarded_ids(&runner, "stays"), ["stays"]);
 }
 
-/// One that reads nothing leaves its next requests unread behind a full socket, and then itself.
+/// A client that reads no answers has its further requests left unread behind full socket buffers, and then
+/// it disconnects.
 #[test]
 fn a_client_that_reads_nothing_and_left_is_not_served() {
     let mut node = Node::new(115, |text| text);
     let mut watch = accept_watch(&node.discovery);
     let mut client = node.connect_client();
-    // Answers that nobody reads fill both sockets' buffers; the request stands behind the looks.
-    let looks = "GET /healthz HTTP/1.1\r\n\r\n".repeat(1 << 16);
+    // The unread answers to these readiness checks fill the buffers of both sockets.
+    let readiness_checks = "GET /healthz HTTP/1.1\r\n\r\n".repeat(1 << 16);
     client.0.get_ref().set_nonblocking(true).unwrap();
-    let _ = client.0.get_mut().write_all(looks.as_bytes());
+    let _ = client.0.get_mut().write_all(readiness_checks.as_bytes());
     client.0.get_ref().set_nonblocking(false).unwrap();
-    leaves(client, Leaves::Resetting);
+    disconnect(client, Disconnect::Reset);
     node.wait_for_log("side=client");
-    leaves(node.send_invocation("left"), Leaves::Closing);
+    disconnect(node.send_invocation("left"), Disconnect::Close);
     let _waits = node.send_invocation("stays");
     let runner = TcpListener::bind("127.0.0.1:0").unwrap();
     list_runner(&mut watch, 1, runner.local_addr().unwrap(), "up");
-    assert_eq!(given(&runner, "stays"), ["stays"]);
+    assert_eq!(forwarded_ids(&runner, "stays"), ["stays"]);
 }
 
-/// The same id is asked for once more, by one that stays: what the first had asked for is not begun for it.
+/// Another client, which stays, sends the same id: the invocation of the first client is not started for it.
 #[test]
 fn a_client_that_left_is_not_served_for_one_that_asks_with_its_id() {
-    let mut node = Node::new(116, no_cancel);
-    let shut = Shut::new();
+    let mut node = Node::new(116, without_cancel);
+    let saturated = SaturatedRunner::new();
     let mut watch = accept_watch(&node.discovery);
-    list_runner(&mut watch, 1, shut.address, "up");
+    list_runner(&mut watch, 1, saturated.address, "up");
     let client = node.send_invocation("twice");
     let _waits = node.send_invocation("stays");
     let mut again = node.send_invocation("twice");
     assert!(again.receive().starts_with("HTTP/1.1 400"));
-    leaves(client, Leaves::Closing);
+    disconnect(client, Disconnect::Close);
     node.wait_for_log("reason=peer_closed");
     let mut again = node.send_invocation("twice");
     assert!(again.receive().starts_with("HTTP/1.1 400"));
-    let runner = shut.opens();
-    assert_eq!(given(&runner, "stays"), ["stays"]);
+    let runner = saturated.unblock();
+    assert_eq!(forwarded_ids(&runner, "stays"), ["stays"]);
 }
 
 #[test]
@@ -174,12 +177,12 @@
     let client = node.send_invocation("left");
     let mut forward = Connection::accept(&runner);
     assert_eq!(forward.receive(), "POST /plan HTTP/1.1 left ");
-    // Full: it waits for a slot there, which takes about as long as a job.
+    // The runner is full: the invocation waits for a slot there, for about as long as a job takes.
     forward.send(
         "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
     );
     node.wait_for_log("side=runner");
-    leaves(client, Leaves::Closing);
+    disconnect(client, Disconnect::Close);
     node.wait_for_log("side=client");
     let _waits = node.send_invocation("stays");
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -189,75 +192,77 @@
         other.local_addr().unwrap()
     );
     watch.send_chunk(&line);
-    assert_eq!(given(&other, "stays"), ["stays"]);
+    assert_eq!(forwarded_ids(&other, "stays"), ["stays"]);
 }
 
-/// All of it came while the process was not let run: a request with its client's end, and the end of a client whose
-/// forward's dial came up meanwhile.
+/// While the process is stopped (SIGSTOP), it is sent requests whose clients close their connections, and a
+/// client closes its connection while the dial for its forward completes.
 #[test]
-fn clients_that_left_while_the_process_stood_still_are_not_served() {
-    let mut node = Node::new(107, no_cancel);
-    let shut = Shut::new();
+fn clients_that_left_while_the_process_was_stopped_are_not_served() {
+    let mut node = Node::new(107, without_cancel);
+    let saturated = SaturatedRunner::new();
     let mut watch = accept_watch(&node.discovery);
-    list_runner(&mut watch, 1, shut.address, "up");
+    list_runner(&mut watch, 1, saturated.address, "up");
     let dialled = node.send_invocation("dialled");
     let kept = node.send_invocation("kept");
-    // Both are known: a look at readiness on a third connection comes after them.
+    // The program has read both requests once it answers a readiness check on a third connection.
     let mut third = node.connect_client();
     third.send("GET /healthz HTTP/1.1\r\n\r\n");
     assert_eq!(third.receive(), "HTTP/1.1 200 OK ");
     send_signal(&node.program, "STOP");
-    leaves(dialled, Leaves::Closing);
+    disconnect(dialled, Disconnect::Close);
     third.send(&request("read", 25_000));
-    leaves(third, Leaves::Closing);
-    leaves(node.send_invocation("new"), Leaves::Closing);
-    let runner = shut.opens();
+    disconnect(third, Disconnect::Close);
+    disconnect(node.send_invocation("new"), Disconnect::Close);
+    let runner = saturated.unblock();
     std::thread::sleep(Duration::from_millis(400));
     send_signal(&node.program, "CONT");
     node.wait_for_log("stood-still");
-    assert_eq!(given(&runner, "kept"), ["kept"]);
+    assert_eq!(forwarded_ids(&runner, "kept"), ["kept"]);
     drop(kept);
 }
 
 #[test]
-fn a_dial_that_comes_up_after_its_runner_drains_carries_nothing() {
-    let mut node = Node::new(108, no_cancel);
-    let shut = Shut::new();
+fn a_dial_that_completes_after_its_runner_drains_carries_no_forward() {
+    let mut node = Node::new(108, without_cancel);
+    let saturated = SaturatedRunner::new();
     let mut watch = accept_watch(&node.discovery);
-    list_runner(&mut watch, 1, shut.address, "up");
+    list_runner(&mut watch, 1, saturated.address, "up");
     let _waits = node.send_invocation("waits");
     let mut client = node.connect_client();
     client.send("GET /healthz HTTP/1.1\r\n\r\n");
     client.receive();
-    list_runner(&mut watch, 2, shut.address, "draining");
+    list_runner(&mut watch, 2, saturated.address, "draining");
     node.wait_for_log("reason=unlisted");
-    let drains = shut.opens();
+    let draining = saturated.unblock();
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
     list_runner(&mut watch, 3, other.local_addr().unwrap(), "up");
-    assert_eq!(given(&other, "waits"), ["waits"]);
-    drains.set_nonblocking(true).unwrap();
-    while let Ok((stream, _)) = drains.accept() {
-        let mut carried = Connection::new(stream);
-        carried.0.get_ref().set_read_timeout(Some(Duration::from_millis(200))).unwrap();
+    assert_eq!(forwarded_ids(&other, "waits"), ["waits"]);
+    draining.set_nonblocking(true).unwrap();
+    while let Ok((stream, _)) = draining.accept() {
+        let mut connection = Connection::new(stream);
+        connection.0.get_ref().set_read_timeout(Some(Duration::from_millis(200))).unwrap();
         assert!(
-            carried.0.fill_buf().is_ok_and(<[u8]>::is_empty),
-            "the runner that drains was given something"
+            connection.0.fill_buf().is_ok_and(<[u8]>::is_empty),
+            "the draining runner received something"
         );
     }
 }
 
-/// Clients of a second: the platform kills 0.7 s after that. Whoever sends on for as long as its connection stays is
-/// answered each time, and the process ends by itself.
+/// The client timeout is one second, and the platform kills the process 0.7 s after that. A client that sends
+/// requests for as long as its connection stays open gets an answer to each, and the process exits before it
+/// is killed.
 #[test]
-fn going_down_with_short_client_timeouts_owes_nothing_when_it_ends() {
-    let short = |text: String| text.replace("\"clientTimeout\":30000000", "\"clientTimeout\":1000000");
-    let mut node = Node::new(109, |text| short(text).replace("20000000", "900000"));
+fn going_down_with_short_client_timeouts_answers_every_request_before_the_exit() {
+    let short_timeout =
+        |text: String| text.replace("\"clientTimeout\":30000000", "\"clientTimeout\":1000000");
+    let mut node = Node::new(109, |text| short_timeout(text).replace("20000000", "900000"));
     let runner = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut watch = accept_watch(&node.discovery);
     list_runner(&mut watch, 1, runner.local_addr().unwrap(), "up");
-    // Taken, and never ended by its runner.
-    let mut hangs = node.connect_client();
-    hangs.send(&request("hangs", 1000));
+    // The runner accepts this invocation and never reports its end.
+    let mut hanging = node.connect_client();
+    hanging.send(&request("hangs", 1000));
     let mut forward = Connection::accept(&runner);
     assert_eq!(forward.receive(), "POST /plan HTTP/1.1 hangs ");
     forward.send(ACCEPTED);
@@ -265,9 +270,10 @@
     busy.send("GET /healthz HTTP/1.1\r\n\r\n");
     assert_eq!(busy.receive(), "HTTP/1.1 200 OK ");
     send_signal(&node.program, "TERM");
-    let told = Instant::now();
+    let signalled = Instant::now();
     node.wait_for_log("going-down");
-    // A client's last request meets the time at which everything is given up, with its runner silent.
+    // The last request of this client arrives when all unanswered invocations are given up and the runner is
+    // silent.
     let mut answers = 0;
     let mut last = None;
     while last.is_none() {
@@ -278,23 +284,28 @@
         last = answer.contains("close").then_some(answer);
     }
     assert!(busy.is_closed());
-    assert!(hangs.receive().starts_with("HTTP/1.1 502 Bad Gateway"));
+    assert!(hanging.receive().starts_with("HTTP/1.1 502 Bad Gateway"));
     assert_eq!(node.program.0.wait().unwrap().code(), Some(0));
-    assert!(told.elapsed() < Duration::from_millis(1700), "killed before it had ended: {:?}", told.elapsed());
+    assert!(
+        signalled.elapsed() < Duration::from_millis(1700),
+        "would have been killed: {:?}",
+        signalled.elapsed()
+    );
 }
 
-/// An operation whose repeats runners drop for a second and a half.
-fn remembered(text: String) -> String {
+/// Makes the operation one whose repeats all runners drop for a second and a half.
+fn with_deduplication(text: String) -> String {
     text.replace(
         r#""effect":"at_most_once""#,
         r#""effect":"deduplicated","group":"all","memorySpan":1500000"#,
     )
 }
 
-/// The first forward may have run; the second waits for its dial until the runners have forgotten the first.
+/// The first forward may have run. The second one waits for its dial until the deduplication window of the
+/// runners is over, and would then run the invocation a second time.
 #[test]
-fn a_dial_that_outlives_the_memory_of_the_runners_carries_nothing() {
-    let mut node = Node::new(110, remembered);
+fn a_dial_that_outlasts_the_deduplication_window_carries_no_forward() {
+    let mut node = Node::new(110, with_deduplication);
     let runner = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut watch = accept_watch(&node.discovery);
     list_runner(&mut watch, 1, runner.local_addr().unwrap(), "up");
@@ -303,40 +314,41 @@
     assert_eq!(forward.receive(), "POST /plan HTTP/1.1 once ");
     let sent = Instant::now();
     forward.send(ACCEPTED);
-    let shut = Shut::new();
-    // The same runner, elsewhere: its next forward has to be dialled.
-    list_runner(&mut watch, 2, shut.address, "up");
+    let saturated = SaturatedRunner::new();
+    // The same runner at another address, so that its next forward needs a dial.
+    list_runner(&mut watch, 2, saturated.address, "up");
     node.wait_for_log("reason=unlisted");
     call_back(node.listen, r#"{"id":"once","from":"s-a","state":"failed"}"#);
-    // It may have run, but to ask again is harmless where all runners drop the repeat.
+    // The invocation may have run, but the client may safely retry it because all runners drop the repeat.
     assert!(client.receive().starts_with("HTTP/1.1 429"));
-    assert!(sent.elapsed() < Duration::from_millis(1500), "given up late: {:?}", sent.elapsed());
+    assert!(sent.elapsed() < Duration::from_millis(1500), "given up too late: {:?}", sent.elapsed());
     let _stays = node.send_invocation("stays");
-    let runner = shut.opens();
-    assert_eq!(given(&runner, "stays"), ["stays"]);
+    let runner = saturated.unblock();
+    assert_eq!(forwarded_ids(&runner, "stays"), ["stays"]);
 }
 
-/// New settings between arrival, forward, return and answer, and twice in a row: what is under way is what it was when
-/// it was taken, whatever its operation has become and been since.
+/// New settings arrive between arrival, forward, call-back and answer, and twice in a row. An invocation
+/// keeps the operation that it was accepted with, whatever the settings have made of that operation since.
 #[test]
 fn new_settings_at_each_step_change_nothing_for_what_is_under_way() {
-    let kind = |effect: &str| format!(r#""effect":"{effect}","group":"zone","memorySpan":1000"#);
-    let loose = kind("idempotent");
-    let mut node = Node::new(111, |text| text.replace(r#""effect":"at_most_once""#, &loose));
-    let was = fs::read_to_string(&node.configuration_path).unwrap();
-    let strict = was.replace(&loose, &kind("at_most_once")).replace(":30000000", ":900000");
-    let between = was.replace(&loose, &kind("deduplicated"));
+    let operation = |effect: &str| format!(r#""effect":"{effect}","group":"zone","memorySpan":1000"#);
+    let idempotent = operation("idempotent");
+    let mut node = Node::new(111, |text| text.replace(r#""effect":"at_most_once""#, &idempotent));
+    let initial = fs::read_to_string(&node.configuration_path).unwrap();
+    let strict = initial.replace(&idempotent, &operation("at_most_once")).replace(":30000000", ":900000");
+    let deduplicated = initial.replace(&idempotent, &operation("deduplicated"));
     let reload = |node: &mut Node, text: &str| {
         fs::write(&node.configuration_path, text).unwrap();
         send_signal(&node.program, "HUP");
     };
     let mut watch = accept_watch(&node.discovery);
-    // Known before the settings change: a look at readiness on the same connection comes after the request.
+    // The program has read this request before the settings change: it then answers a readiness check on a
+    // connection that was opened later.
     let mut early = node.send_invocation("early");
-    let mut look = node.connect_client();
-    look.send("GET /healthz HTTP/1.1\r\n\r\n");
-    look.receive();
-    reload(&mut node, &between);
+    let mut readiness_check = node.connect_client();
+    readiness_check.send("GET /healthz HTTP/1.1\r\n\r\n");
+    readiness_check.receive();
+    reload(&mut node, &deduplicated);
     node.wait_for_log("retuned");
     reload(&mut node, &strict);
     node.wait_for_log("retuned");
@@ -344,22 +356,25 @@
     let runner = TcpListener::bind("127.0.0.1:0").unwrap();
     list_runner(&mut watch, 1, runner.local_addr().unwrap(), "up");
     let mut forwards = [Connection::accept(&runner), Connection::accept(&runner)];
-    let mut heard = forwards.each_mut().map(Connection::receive);
-    heard.sort();
-    assert_eq!(heard, ["POST /plan HTTP/1.1 early ", "POST /plan HTTP/1.1 late "]);
-    // What follows is on connections of its own.
-    let last = ACCEPTED.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-    forwards.iter_mut().for_each(|forward| forward.send(&last));
-    // Between forward and return: loose again, with fewer forwards, then as at first.
-    reload(&mut node, &was.replace("\"mostForwards\":3", "\"mostForwards\":1"));
+    let mut requests = forwards.each_mut().map(Connection::receive);
+    requests.sort();
+    assert_eq!(requests, ["POST /plan HTTP/1.1 early ", "POST /plan HTTP/1.1 late "]);
+    // Later forwards need new connections.
+    let accepted_and_closed = ACCEPTED.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
+    forwards.iter_mut().for_each(|forward| forward.send(&accepted_and_closed));
+    // Between forward and call-back: idempotent again with fewer forwards, then the initial settings.
+    reload(&mut node, &initial.replace("\"mostForwards\":3", "\"mostForwards\":1"));
     node.wait_for_log("retuned");
-    reload(&mut node, &was);
+    reload(&mut node, &initial);
     node.wait_for_log("retuned");
     call_back(node.listen, r#"{"id":"late","from":"s-a","state":"failed"}"#);
-    assert!(late.receive().starts_with("HTTP/1.1 502"), "it must run once, as when it was taken");
+    assert!(
+        late.receive().starts_with("HTTP/1.1 502"),
+        "an invocation accepted as at_most_once must run once"
+    );
     call_back(node.listen, r#"{"id":"early","from":"s-a","state":"failed"}"#);
-    let again = given(&runner, "early");
-    assert_eq!(again, ["early"]);
+    let forwarded = forwarded_ids(&runner, "early");
+    assert_eq!(forwarded, ["early"]);
     reload(&mut node, &strict);
     node.wait_for_log("retuned");
     call_back(node.listen, r#"{"id":"early","from":"s-a","state":"done","result":"r"}"#);
