--- a/node/tests/loopback.rs
+++ b/node/tests/loopback.rs
@@ -327,8 +327,8 @@
     assert_eq!(fs::read_to_string(&old).unwrap(), text);
     assert_eq!(fs::read_dir(&folder).unwrap().count(), 2);
 
-    // The program watches discovery although the settings say that the roster comes unasked. The weights it
-    // lists change with load.
+    // The program watches discovery although the settings say that the roster is sent without a request. The
+    // listed weights change with load.
     let mut command = Command::new(env!("CARGO_BIN_EXE_topazsail"));
     let mut program =
         Program(command.args(["serve", "--config", &new]).stderr(Stdio::null()).spawn().unwrap());
