--- a/node/src/lifecycle/start.rs
+++ b/node/src/lifecycle/start.rs
@@ -128,12 +128,12 @@
     let mut table = RequestTable::new(told, state, store_thread, &mut reactor);
     if let Some((stream, since)) = other {
         let connection = reactor.meet(stream, listen);
-        table.takes_over(connection, since, &mut reactor);
+        table.attach_predecessor(connection, since, &mut reactor);
     }
     let run = reactor.run(&mut table, &listeners, successor.as_ref(), (&terminate, &reload, path));
     run.map_err(fault("poller"))?;
-    let fatal = table.fatal();
-    table.leave(reactor.clock(), CLOSED_WITHIN);
+    let fatal = table.fatal_error();
+    table.close_store(reactor.clock(), CLOSED_WITHIN);
     if let Some(why) = fatal {
         return Err(why);
     }
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -42,19 +42,19 @@
     pub known_runners: usize,
     pub skipped_runners: usize,
     /// Forwards written whole to runners.
-    pub tries: u64,
+    pub forwards_written: u64,
 }
 
 /// Further figures, in the same form.
-pub fn more<'a>(named: impl Iterator<Item = &'a (&'static str, u64)>) -> String {
-    named.map(|(name, value)| format!("{PREFIX}.{name}={value}\n")).collect()
+pub fn format_metrics<'a>(metrics: impl Iterator<Item = &'a (&'static str, u64)>) -> String {
+    metrics.map(|(name, value)| format!("{PREFIX}.{name}={value}\n")).collect()
 }
 
 #[derive(Debug, Default)]
 pub struct Metrics {
     /// By operation, in the order of [`FINAL_STATUSES`]. One that is no longer set keeps its counts: they run from
     /// the start of the process.
-    ended: BTreeMap<String, [u64; 3]>,
+    final_counts: BTreeMap<String, [u64; 3]>,
     /// Configurations taken and turned down at SIGHUP.
     pub loads: u64,
     pub load_errors: u64,
@@ -62,26 +62,26 @@
 
 impl Metrics {
     /// An operation that is in use from now on: it is told of before anything of it has ended.
-    pub fn uses(&mut self, operation: &str) {
-        self.ended.entry(operation.to_owned()).or_default();
+    pub fn add_operation(&mut self, operation: &str) {
+        self.final_counts.entry(operation.to_owned()).or_default();
     }
 
-    pub fn ended(&mut self, operation: &str, verdict: FinalStatus) {
-        if let Some(counts) = self.ended.get_mut(operation) {
-            counts[verdict as usize] += 1;
+    pub fn count(&mut self, operation: &str, status: FinalStatus) {
+        if let Some(counts) = self.final_counts.get_mut(operation) {
+            counts[status as usize] += 1;
         }
     }
 
     /// One `name=value` a line.
-    pub fn text(&self, now: &Gauges) -> String {
+    pub fn render(&self, now: &Gauges) -> String {
         let mut text = String::new();
-        for (verdict, name) in FINAL_STATUSES {
-            for (operation, counts) in &self.ended {
-                let _ = writeln!(text, "{PREFIX}.{name}.{operation}={}", counts[verdict as usize]);
+        for (status, name) in FINAL_STATUSES {
+            for (operation, counts) in &self.final_counts {
+                let _ = writeln!(text, "{PREFIX}.{name}.{operation}={}", counts[status as usize]);
             }
         }
         let plain = [
-            ("upstream_tries", now.tries),
+            ("upstream_tries", now.forwards_written),
             ("in_progress", now.in_progress as u64),
             ("known_runners", now.known_runners as u64),
             ("skipped_runners", now.skipped_runners as u64),
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -160,7 +160,7 @@
         table.decide(self);
         loop {
             // The last look before the end: what has come meanwhile has been taken, and is still answered.
-            let last = (table.is_down(self.now) || table.must_end(self.now)) && self.all_told();
+            let last = (table.is_shutdown_complete(self.now) || table.must_exit(self.now)) && self.all_told();
             let patience = if last { Some(LAST_LOOK) } else { self.patience(table) };
             events.clear();
             let interrupted = match self.poller.wait(&mut events, patience) {
@@ -169,18 +169,18 @@
             };
             self.look_up(patience);
             if terminate.take() {
-                table.go_down(self);
+                table.begin_shutdown(self);
             }
             if reload.take() {
                 self.reload_until = self.now + RELOAD_WITHIN;
                 self.read_configuration(table, path);
             }
-            if table.fatal().is_some() {
+            if table.fatal_error().is_some() {
                 return Ok(());
             }
             // A wait that a signal has cut short has not looked.
             let quiet = last && !interrupted && events.is_empty();
-            if quiet && (table.must_end(self.now) || self.nobody_queues(table, listeners)) {
+            if quiet && (table.must_exit(self.now) || self.nobody_queues(table, listeners)) {
                 return Ok(());
             }
             // Clients first: what waits for a connection to its runner is not written once its client has left, though
@@ -210,11 +210,11 @@
                 self.fall_due(due, table, (listeners, path));
             }
             if std::mem::take(&mut self.short) {
-                table.out_of_descriptors(self);
+                table.handle_descriptor_shortage(self);
             }
             table.decide(self);
-            if table.accepts() != self.accepting {
-                self.accepting = table.accepts();
+            if table.accepts_connections() != self.accepting {
+                self.accepting = table.accepts_connections();
                 self.open(listener_of(listeners, ConnectionRole::Client), self.accepting);
             }
         }
@@ -252,7 +252,7 @@
                 log!("configuration-delayed", "reason={:?}", error.to_string());
                 self.set_timer(Timer::Reload, self.now + RELOAD_AGAIN);
             }
-            Err(error) => table.turn_down(&error.to_string()),
+            Err(error) => table.reject_configuration(&error.to_string()),
         }
     }
 
@@ -280,7 +280,7 @@
 
     /// How long the poller may wait: until the next due time, not at all where something is left to do.
     fn patience(&self, table: &RequestTable) -> Option<Duration> {
-        if table.pending() || !self.broken.is_empty() || !self.revisits.is_empty() {
+        if table.has_pending_events() || !self.broken.is_empty() || !self.revisits.is_empty() {
             return Some(Duration::ZERO);
         }
         let Some(((at, _), _)) = self.dues.first_key_value() else { return Some(LOOKS_UP) };
@@ -291,7 +291,7 @@
         match due {
             Timer::Connection(id) => {
                 if let Some(role) = self.role(id) {
-                    table.callbacks(role).timer_fired(id, self);
+                    table.handler(role).timer_fired(id, self);
                     table.collect_events(self);
                 }
             }
@@ -338,7 +338,7 @@
     ) {
         let Some(Ok((stream, _))) = successor.map(UnixListener::accept) else { return };
         let Some(listener) = listener_of(listeners, ConnectionRole::Client) else { return };
-        if !table.may_hand_over() {
+        if !table.can_hand_over() {
             return log!("handover-failed", "reason=\"going down, or at it already\"");
         }
         let given = handover::give(&stream, &listener.socket).and_then(|()| listener.socket.local_addr());
@@ -500,7 +500,7 @@
             }
             connection.dialling = false;
             let flushed = connection.flush();
-            table.callbacks(role).up(id, self);
+            table.handler(role).up(id, self);
             if let Err(end) = flushed {
                 self.broken.push((id, end));
             }
@@ -548,7 +548,7 @@
         };
         let (role, mut input) = (connection.role, std::mem::take(&mut connection.input));
         let had = input.len();
-        table.callbacks(role).bytes(id, &mut input, self);
+        table.handler(role).bytes(id, &mut input, self);
         table.collect_events(self);
         if let Some(connection) = self.conns.get_mut(&id).filter(|connection| !connection.lingering) {
             connection.receive_times.take(had - input.len());
@@ -567,7 +567,7 @@
         let (role, unsent, input) =
             (connection.role, connection.unsent(), std::mem::take(&mut connection.input));
         self.remove(id, end);
-        table.callbacks(role).ended(id, end, unsent, &input, self);
+        table.handler(role).ended(id, end, unsent, &input, self);
         table.collect_events(self);
     }
 
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -32,64 +32,64 @@
 use crate::upstream::roster::{self, Roster, RosterSnapshot};
 use crate::upstream::runners::{self, Runners};
 
-const SUCCEEDED: u16 = 200;
-const THROTTLED: u16 = 429;
-const ERRORED: u16 = 502;
+const STATUS_OK: u16 = 200;
+const STATUS_TOO_MANY_REQUESTS: u16 = 429;
+const STATUS_BAD_GATEWAY: u16 = 502;
 /// Taken, but not to be held: nothing has been forwarded.
-const NO_ROOM: u16 = 503;
-const ROOM_AGAIN: Micros = 1_000_000;
+const STATUS_UNAVAILABLE: u16 = 503;
+const OVERLOAD_RETRY_AFTER: Micros = 1_000_000;
 /// What a client gets whose request a runner will not take in this form.
-const UNUSABLE: u16 = 400;
+const STATUS_BAD_REQUEST: u16 = 400;
 /// How many ids are known after their final answer: each is for one request only, and whoever sends one again
 /// has it from somebody else.
-const CLOSED_KEPT: usize = 4096;
+const MAX_CLOSED_IDS: usize = 4096;
 /// How long an answer may take that the brain owes when the time is over.
-const OVERDUE: Micros = 10_000;
+const FINAL_ANSWER_TIMEOUT: Micros = 10_000;
 /// A cancel that failed is tried again after this, doubled each time: the forward is out until then.
-const CANCEL_AGAIN: Micros = 125_000;
-const CANCEL_AGAIN_MOST: Micros = 2_000_000;
+const CANCEL_RETRY_INTERVAL: Micros = 125_000;
+const MAX_CANCEL_RETRY_INTERVAL: Micros = 2_000_000;
 /// After being told to end we are killed no sooner than the longest client timeout, or this where that is less,
 /// and 0.7 s more.
-const DOWN_LONGEST: Micros = 3_000_000;
+const MAX_SHUTDOWN_CLIENT_TIMEOUT: Micros = 3_000_000;
 /// Whatever is not answered so long after the longest client timeout is given up, well before we are killed.
-const DOWN_GRACE: Micros = 300_000;
+const SHUTDOWN_ANSWER_GRACE: Micros = 300_000;
 /// So long after that the process ends, whoever still has a connection; 0.1 s before it is killed at the earliest.
-const END_GRACE: Micros = 300_000;
-const DOWN_STEP: Micros = 50_000;
+const SHUTDOWN_EXIT_GRACE: Micros = 300_000;
+const SHUTDOWN_STEP_INTERVAL: Micros = 50_000;
 /// A start says that it is ready once it has a list that it may act upon, or after this: nine in ten must be ready within
 /// 10 s, however long discovery keeps them waiting.
-const READY_BY: Micros = 9_000_000;
+const READY_TIMEOUT: Micros = 9_000_000;
 /// How often a lease that has lapsed is looked at.
-const LEASE_AGAIN: Micros = 1_000_000;
+const LAPSED_LEASE_CHECK_INTERVAL: Micros = 1_000_000;
 
 struct Forward {
-    tgt: Id,
-    at: Micros,
-    out: bool,
+    runner: Id,
+    sent_at: Micros,
+    is_outstanding: bool,
     /// Its runner has answered 202.
-    taken: bool,
+    is_accepted: bool,
     /// How often a cancel has failed.
-    cancels: u32,
+    failed_cancels: u32,
     /// The call-back that ended it.
-    told: Option<u64>,
+    final_callback_hash: Option<u64>,
 }
 
-struct Open {
+struct OpenInvocation {
     connection: ConnectionId,
     operation: usize,
-    taken_at: Micros,
+    accepted_at: Micros,
     expires_at: Micros,
     head: Vec<u8>,
     body: Vec<u8>,
     answered: bool,
     /// The brain has been told that its time is over.
-    over: bool,
+    deadline_passed: bool,
     forwards: Vec<Forward>,
 }
 
-impl Open {
-    fn out(&self) -> Option<u32> {
-        self.forwards.iter().position(|forward| forward.out).map(|number| number as u32)
+impl OpenInvocation {
+    fn outstanding_forward(&self) -> Option<u32> {
+        self.forwards.iter().position(|forward| forward.is_outstanding).map(|number| number as u32)
     }
 
     fn size(&self) -> usize {
@@ -107,35 +107,35 @@
 }
 
 /// What settings mean on sockets.
-fn on_sockets(
+fn adapt_settings(
     decoded: &mut DecodedSettings,
-    portioned: bool,
+    slow_start_is_shared: bool,
     clients: &mut Clients,
     metrics: &mut Metrics,
     now: Micros,
 ) {
     let settings = &mut decoded.settings;
-    settings.slow_start_is_shared = portioned;
+    settings.slow_start_is_shared = slow_start_is_shared;
     // The list comes only on a watch, and a watch has to be opened whatever the settings say; connections end
     // by our own time, which is shorter than the runners'.
     settings.must_subscribe = true;
     settings.idle_timeout = decoded.idle_close / 2;
-    decoded.operations.iter().for_each(|operation| metrics.uses(operation));
-    let told = decoded.operations.drain(..).zip(std::mem::take(&mut settings.operations));
-    settings.operations = clients.operations.set(told.collect(), now);
+    decoded.operations.iter().for_each(|operation| metrics.add_operation(operation));
+    let operations = decoded.operations.drain(..).zip(std::mem::take(&mut settings.operations));
+    settings.operations = clients.operations.set(operations.collect(), now);
 }
 
-fn worth(decoded: &DecodedSettings) -> Vec<OperationValue> {
-    let of = |op: &topazsail::Operation| OperationValue {
+fn operation_values(decoded: &DecodedSettings) -> Vec<OperationValue> {
+    let value = |op: &topazsail::Operation| OperationValue {
         value: op.billed_value,
         latency_objective: op.latency_objective,
     };
-    decoded.settings.operations.iter().map(of).collect()
+    decoded.settings.operations.iter().map(value).collect()
 }
 
 /// When to come back where there is no room.
-fn come_back(decoded: &DecodedSettings) -> Option<Micros> {
-    decoded.settings.max_retry_after.map(|most| most.min(ROOM_AGAIN))
+fn overload_retry_after(decoded: &DecodedSettings) -> Option<Micros> {
+    decoded.settings.max_retry_after.map(|max_retry_after| max_retry_after.min(OVERLOAD_RETRY_AFTER))
 }
 
 pub use peer_exchange::PeerExchange;
@@ -147,43 +147,43 @@
     name: String,
     listen: SocketAddr,
     /// The file in force.
-    file: serde_json::Value,
+    active_file: serde_json::Value,
     pub clients: Clients,
     operators: Operators,
     metrics: Metrics,
     runners: Runners,
-    members: Membership,
+    membership: Membership,
     roster: Roster,
-    invs: BTreeMap<Id, Open>,
+    invocations: BTreeMap<Id, OpenInvocation>,
     /// The latest ids that have had their final answer, in order and by id.
-    closed: (VecDeque<Id>, BTreeSet<Id>),
-    happened: Vec<Event>,
-    open_cap: usize,
+    closed_ids: (VecDeque<Id>, BTreeSet<Id>),
+    pending_events: Vec<Event>,
+    max_open: usize,
     /// Bytes held for further forwards, and the most there may be.
-    held: usize,
-    held_most: usize,
+    held_bytes: usize,
+    max_held_bytes: usize,
     /// When to come back where there is no room now, if clients are told.
-    come_back: Option<Micros>,
+    overload_retry_after: Option<Micros>,
     /// The longest advice that clients follow, if any.
-    come_back_most: Option<Micros>,
-    down_since: Option<Micros>,
+    max_retry_after: Option<Micros>,
+    shutdown_since: Option<Micros>,
     /// Nobody has been told yet that this process is ready.
-    starting: bool,
+    is_starting: bool,
     /// The longest client timeout of the settings in force.
-    longest_timeout: Micros,
-    peer: HandoverPeer,
+    longest_client_timeout: Micros,
+    handover_peer: HandoverPeer,
     overlap: Option<Overlap>,
     /// Descriptors and memory, the other process's among them.
-    limits: (usize, usize),
+    resource_limits: (usize, usize),
     /// Beyond so many connections those go that nothing is owed on: the rest is for the watch, dials and operators.
-    room_for: usize,
+    max_connections: usize,
     /// Connections that the other process had when it handed over.
-    theirs: usize,
-    dispatchers: usize,
-    tip_after: Micros,
-    cold_from: f64,
+    predecessor_connections: usize,
+    dispatcher_count: usize,
+    overload_window: Micros,
+    cold_capacity_share: f64,
     /// What each operation is worth, by its number.
-    worth: Vec<OperationValue>,
+    operation_values: Vec<OperationValue>,
     /// What outlives the process, where there is anything.
     persistence: Option<Persistence>,
     /// The other dispatchers, where they may talk.
@@ -193,80 +193,87 @@
 impl RequestTable {
     /// With a `store_thread` a start from nothing goes through the stages of recovery first.
     pub fn new(
-        told: Configuration,
-        handed: Option<HandoverState>,
+        configuration: Configuration,
+        inherited: Option<HandoverState>,
         store_thread: Option<StoreThread>,
         driver: &mut dyn ConnectionDriver,
     ) -> RequestTable {
-        let peer_exchange =
-            told.peers.as_ref().map(|at| PeerExchange::new(at.clone(), &told.name, told.seed));
-        let peers = peer_exchange.is_some();
-        let (require, began) = (told.store.as_ref().is_some_and(|store| store.require), driver.now());
-        let mut decoded = told.decoded;
-        let pushed = !decoded.settings.must_subscribe;
+        let peer_exchange = configuration
+            .peers
+            .as_ref()
+            .map(|peers| PeerExchange::new(peers.clone(), &configuration.name, configuration.seed));
+        let has_peers = peer_exchange.is_some();
+        let (store_is_required, started_at) =
+            (configuration.store.as_ref().is_some_and(|store| store.require), driver.now());
+        let mut decoded = configuration.decoded;
+        let is_pushed = !decoded.settings.must_subscribe;
         let (mut clients, mut metrics) = (Clients::new(), Metrics::default());
-        on_sockets(&mut decoded, peers, &mut clients, &mut metrics, driver.now());
-        let come_back = come_back(&decoded);
-        let come_back_most = decoded.settings.max_retry_after;
-        let (warm_within, tip_after) = (decoded.settings.warm_up_span, decoded.settings.overload_window);
-        let dispatchers = decoded.settings.dispatchers as usize;
-        let (cold_from, worth) = (decoded.settings.cold_capacity_share, worth(&decoded));
+        adapt_settings(&mut decoded, has_peers, &mut clients, &mut metrics, driver.now());
+        let overload_retry_after = overload_retry_after(&decoded);
+        let max_retry_after = decoded.settings.max_retry_after;
+        let (warm_up_span, overload_window) =
+            (decoded.settings.warm_up_span, decoded.settings.overload_window);
+        let dispatcher_count = decoded.settings.dispatchers as usize;
+        let (cold_capacity_share, operation_values) =
+            (decoded.settings.cold_capacity_share, operation_values(&decoded));
         let mut table = RequestTable {
             clients,
             operators: Operators::default(),
             metrics,
             runners: Runners::new(&decoded),
-            members: Membership::new(warm_within),
-            roster: Roster::new(told.discovery, told.known.generation, pushed),
-            policy: RoutingPolicy::new(decoded.settings, told.seed),
-            name: told.name,
-            listen: told.listen,
-            file: told.file,
-            invs: BTreeMap::new(),
-            closed: Default::default(),
-            happened: Vec::new(),
-            open_cap: decoded.open_cap,
-            held: 0,
-            held_most: 0,
-            come_back,
-            come_back_most,
-            down_since: None,
-            starting: false,
-            longest_timeout: decoded.longest_timeout,
-            peer: HandoverPeer::default(),
+            membership: Membership::new(warm_up_span),
+            roster: Roster::new(configuration.discovery, configuration.known.generation, is_pushed),
+            policy: RoutingPolicy::new(decoded.settings, configuration.seed),
+            name: configuration.name,
+            listen: configuration.listen,
+            active_file: configuration.file,
+            invocations: BTreeMap::new(),
+            closed_ids: Default::default(),
+            pending_events: Vec::new(),
+            max_open: decoded.open_cap,
+            held_bytes: 0,
+            max_held_bytes: 0,
+            overload_retry_after,
+            max_retry_after,
+            shutdown_since: None,
+            is_starting: false,
+            longest_client_timeout: decoded.longest_timeout,
+            handover_peer: HandoverPeer::default(),
             overlap: None,
-            limits: (told.sockets, told.memory),
-            room_for: 0,
-            theirs: 0,
-            dispatchers,
-            tip_after,
-            cold_from,
-            worth,
+            resource_limits: (configuration.sockets, configuration.memory),
+            max_connections: 0,
+            predecessor_connections: 0,
+            dispatcher_count,
+            overload_window,
+            cold_capacity_share,
+            operation_values,
             persistence: None,
             peer_exchange,
         };
-        table.limit();
-        driver.set_timer(Timer::Lease, began + TOLD_WITHIN);
-        if handed.is_none() && store_thread.is_none() {
-            table.starting = true;
+        table.apply_resource_limits();
+        driver.set_timer(Timer::Lease, started_at + TOLD_WITHIN);
+        if inherited.is_none() && store_thread.is_none() {
+            table.is_starting = true;
             table.clients.ready(false);
-            driver.set_timer(Timer::Ready, began + READY_BY);
+            driver.set_timer(Timer::Ready, started_at + READY_TIMEOUT);
         }
-        let persistence = |store_thread, file| Persistence::new(store_thread, (require, peers), file, began);
-        if handed.is_none()
+        let persistence = |store_thread, file| {
+            Persistence::new(store_thread, (store_is_required, has_peers), file, started_at)
+        };
+        if inherited.is_none()
             && let Some(store_thread) = store_thread
         {
-            table.persistence = Some(persistence(store_thread, Some(told.known)));
-            table.recover(driver);
+            table.persistence = Some(persistence(store_thread, Some(configuration.known)));
+            table.begin_recovery(driver);
             return table;
         }
         // What another process hands over is nearer than what it has left on the disk.
         table.persistence = store_thread.map(|store_thread| persistence(store_thread, None).in_service());
-        let (known, spent) = match handed {
-            Some(handed) => table.inherit(handed, told.known, began),
-            None => (told.known, Vec::new()),
+        let (known, slow_start_usage) = match inherited {
+            Some(inherited) => table.inherit(inherited, configuration.known, started_at),
+            None => (configuration.known, Vec::new()),
         };
-        table.list(
+        table.apply_listing(
             roster::RosterEvent {
                 listing: Listing::Remembered,
                 heard_before: None,
@@ -275,8 +282,8 @@
             driver,
         );
         // Once it knows the runners that this is about.
-        if !spent.is_empty() {
-            table.happened.push(Event::SlowStartUsage(spent));
+        if !slow_start_usage.is_empty() {
+            table.pending_events.push(Event::SlowStartUsage(slow_start_usage));
         }
         table
     }
@@ -285,185 +292,199 @@
     /// comes from the same discovery, and what the other has sent to cold runners.
     fn inherit(
         &mut self,
-        handed: HandoverState,
+        inherited: HandoverState,
         known: RosterSnapshot,
         now: Micros,
     ) -> (RosterSnapshot, Vec<SlowStartUsage>) {
-        self.theirs = handed.connections;
-        handed.gone.iter().for_each(|id| self.members.inherit(id, None, None));
-        for (id, since) in &handed.out {
-            self.members.inherit(id, Some(*since), None);
+        self.predecessor_connections = inherited.connections;
+        inherited.gone.iter().for_each(|id| self.membership.inherit(id, None, None));
+        for (id, since) in &inherited.out {
+            self.membership.inherit(id, Some(*since), None);
         }
-        for (id, from, until) in &handed.was_out {
-            self.members.inherit(id, None, Some((*from, *until)));
+        for (id, from, until) in &inherited.was_out {
+            self.membership.inherit(id, None, Some((*from, *until)));
         }
-        handed.ids.into_iter().for_each(|id| self.remember(id.into()));
-        let spent = handed.spent.into_iter().map(|(id, work)| (id.into(), work)).collect();
+        inherited.ids.into_iter().for_each(|id| self.remember_closed_id(id.into()));
+        let slow_start_usage = inherited.spent.into_iter().map(|(id, work)| (id.into(), work)).collect();
         let discovery = self.roster.discovery();
-        let listed =
-            (handed.discovery == discovery.to_string()).then(|| RosterSnapshot::from_value(handed.list));
-        match listed {
-            Some(Ok(listed)) => {
+        let roster = (inherited.discovery == discovery.to_string())
+            .then(|| RosterSnapshot::from_value(inherited.list));
+        match roster {
+            Some(Ok(roster)) => {
                 // One that does not say has its list from the watch all the same.
-                let sure_at = if handed.sure_at > 0 { handed.sure_at } else { now };
-                self.roster.begin(listed.generation, sure_at);
+                let certain_until = if inherited.sure_at > 0 { inherited.sure_at } else { now };
+                self.roster.begin(roster.generation, certain_until);
                 // It holds the lease from the first moment: nobody is listed yet whose standing that could change.
-                let _ = self.members.sure(sure_at, now);
-                (listed, spent)
+                let _ = self.membership.sure(certain_until, now);
+                (roster, slow_start_usage)
             }
-            _ => (known, spent),
+            _ => (known, slow_start_usage),
         }
     }
 
     /// The process that served until now stays at the other end of this connection until it has ended.
-    pub fn takes_over(
+    pub fn attach_predecessor(
         &mut self,
         connection: ConnectionId,
-        mut since: Vec<u8>,
+        mut early_bytes: Vec<u8>,
         driver: &mut dyn ConnectionDriver,
     ) {
-        self.peer.meet(connection);
-        self.peer.bytes(connection, &mut since, driver);
+        self.handover_peer.meet(connection);
+        self.handover_peer.bytes(connection, &mut early_bytes, driver);
         self.overlap = Some(Overlap::Predecessor);
-        self.limit();
+        self.apply_resource_limits();
     }
 
     /// Whether a successor would be handed what this process has.
-    pub fn may_hand_over(&self) -> bool {
-        !self.peer.is_there() && self.down_since.is_none()
+    pub fn can_hand_over(&self) -> bool {
+        !self.handover_peer.is_there() && self.shutdown_since.is_none()
     }
 
     /// Another process takes over: newcomers are its own from now on, and it is told what it must know.
     pub fn hand_over(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         self.collect_events(driver);
         let discovery = self.roster.discovery();
-        let spent = self.policy.slow_start_usage(driver.now());
+        let slow_start_usage = self.policy.slow_start_usage(driver.now());
         let state = HandoverState {
             discovery: discovery.to_string(),
-            list: self.as_listed().map(|(_, list)| list).unwrap_or_default(),
+            list: self.current_roster().map(|(_, list)| list).unwrap_or_default(),
             sure_at: self.roster.sure_at(),
             connections: driver.connections(),
-            gone: self.members.gone(),
-            out: self.members.out(),
-            was_out: self.members.was_out(),
-            ids: self.closed.0.iter().chain(self.invs.keys()).map(|id| id.to_string()).collect(),
-            configuration: self.file.to_string(),
-            spent: spent.into_iter().map(|(id, work)| (id.to_string(), work)).collect(),
+            gone: self.membership.gone(),
+            out: self.membership.out(),
+            was_out: self.membership.was_out(),
+            ids: self.closed_ids.0.iter().chain(self.invocations.keys()).map(|id| id.to_string()).collect(),
+            configuration: self.active_file.to_string(),
+            spent: slow_start_usage.into_iter().map(|(id, work)| (id.to_string(), work)).collect(),
         };
-        log!("handing-over", "open={} out={}", self.invs.len(), state.out.len());
-        self.release(true);
-        self.peer.meet(connection);
-        self.peer.say(&state, driver);
+        log!("handing-over", "open={} out={}", self.invocations.len(), state.out.len());
+        self.release_store(true);
+        self.handover_peer.meet(connection);
+        self.handover_peer.say(&state, driver);
         self.overlap = Some(Overlap::Successor);
         self.clients.hand_over(true);
-        self.limit();
-        self.rest(Micros::MAX, driver);
+        self.apply_resource_limits();
+        self.pause_cold_runners(Micros::MAX, driver);
     }
 
     /// The list as discovery would tell it, and how far that has been heard.
-    fn as_listed(&self) -> Option<(u64, serde_json::Value)> {
+    fn current_roster(&self) -> Option<(u64, serde_json::Value)> {
         let generation = self.roster.generation()?;
-        let listed = self.members.as_listed();
-        let listed = listed.filter_map(|entry| Some((entry, self.runners.address(&entry.runner)?)));
-        Some((generation, RosterSnapshot::of(generation, listed)))
+        let entries = self.membership.as_listed();
+        let entries = entries.filter_map(|entry| Some((entry, self.runners.address(&entry.runner)?)));
+        Some((generation, RosterSnapshot::of(generation, entries)))
     }
 
     /// Whether newcomers are let in here.
-    pub fn accepts(&self) -> bool {
+    pub fn accepts_connections(&self) -> bool {
         self.overlap != Some(Overlap::Successor)
     }
 
-    fn rest(&mut self, until: Micros, driver: &mut dyn ConnectionDriver) {
-        let entries = self.members.rest(until, Micros::MAX, driver.now());
-        self.happened.push(Event::Roster(List { listing: Listing::Own, entries }));
+    fn pause_cold_runners(&mut self, until: Micros, driver: &mut dyn ConnectionDriver) {
+        let entries = self.membership.rest(until, Micros::MAX, driver.now());
+        self.pending_events.push(Event::Roster(List { listing: Listing::Own, entries }));
     }
 
     /// The other process has ended. Where it was to take over and nobody has told this one to end, it goes
     /// on; what the other has sent to cold runners still counts.
-    fn alone(&mut self, driver: &mut dyn ConnectionDriver) {
-        let was = self.overlap.take();
-        self.limit();
-        if was == Some(Overlap::Successor) {
-            self.release(self.down_since.is_some());
-            self.clients.hand_over(self.down_since.is_some());
-            self.rest(driver.now() + self.tip_after, driver);
-            driver.set_timer(Timer::Rested, driver.now() + self.tip_after);
+    fn end_overlap(&mut self, driver: &mut dyn ConnectionDriver) {
+        let previous = self.overlap.take();
+        self.apply_resource_limits();
+        if previous == Some(Overlap::Successor) {
+            self.release_store(self.shutdown_since.is_some());
+            self.clients.hand_over(self.shutdown_since.is_some());
+            self.pause_cold_runners(driver.now() + self.overload_window, driver);
+            driver.set_timer(Timer::Rested, driver.now() + self.overload_window);
         }
     }
 
     /// Two processes share what one may use: half each, but for descriptors that the old one has no use for. It
     /// lets nobody in any more, and an eighth is left to it for what it still forwards.
-    fn limit(&mut self) {
-        let (sockets, memory) = self.limits;
+    fn apply_resource_limits(&mut self) {
+        let (sockets, memory) = self.resource_limits;
         let (sockets, memory) = match self.overlap {
             None => (sockets, memory),
             Some(Overlap::Successor) => (sockets / 2, memory / 2),
-            Some(Overlap::Predecessor) => {
-                ((sockets / 2).max(sockets.saturating_sub(self.theirs + sockets / 8)), memory / 2)
-            }
+            Some(Overlap::Predecessor) => (
+                (sockets / 2).max(sockets.saturating_sub(self.predecessor_connections + sockets / 8)),
+                memory / 2,
+            ),
         };
-        self.room_for = sockets - sockets / 8;
+        self.max_connections = sockets - sockets / 8;
         self.clients.limit(sockets);
         self.operators.limit(sockets);
-        self.held_most = memory / 6;
+        self.max_held_bytes = memory / 6;
     }
 
     /// The configuration has been read again: all of it holds from now on but name and addresses of our own.
     /// The list that the file remembers says less than the watch, and a new seed is for a new start. A file
     /// that has lost a key is no good.
-    pub fn reload(&mut self, told: Configuration, driver: &mut dyn ConnectionDriver) {
-        if let Some(key) = config::lacks(&self.file, &told.file) {
-            return self.turn_down(&format!("{key} is missing"));
+    pub fn reload(&mut self, configuration: Configuration, driver: &mut dyn ConnectionDriver) {
+        if let Some(key) = config::lacks(&self.active_file, &configuration.file) {
+            return self.reject_configuration(&format!("{key} is missing"));
         }
-        let kept = [
-            ("name", told.name != self.name),
-            ("listen", told.listen != self.listen),
-            ("admin_addr", told.file.get("admin_addr") != self.file.get("admin_addr")),
-            ("peers", told.file.get("peers") != self.file.get("peers")),
-            ("store", told.file.get("store") != self.file.get("store")),
+        let not_applied = [
+            ("name", configuration.name != self.name),
+            ("listen", configuration.listen != self.listen),
+            ("admin_addr", configuration.file.get("admin_addr") != self.active_file.get("admin_addr")),
+            ("peers", configuration.file.get("peers") != self.active_file.get("peers")),
+            ("store", configuration.file.get("store") != self.active_file.get("store")),
         ];
-        let kept: Vec<&str> = kept.iter().filter(|(_, differs)| *differs).map(|(field, _)| *field).collect();
-        let kept = if kept.is_empty() { "none".to_owned() } else { kept.join(",") };
-        let retuned = told.file.get("settings") != self.file.get("settings");
+        let not_applied: Vec<&str> =
+            not_applied.iter().filter(|(_, differs)| *differs).map(|(field, _)| *field).collect();
+        let not_applied = if not_applied.is_empty() { "none".to_owned() } else { not_applied.join(",") };
+        let settings_changed = configuration.file.get("settings") != self.active_file.get("settings");
         self.metrics.loads += 1;
-        log!("reloaded", "discovery={} retuned={retuned} changed_but_kept={kept}", told.discovery);
-        self.limits = (told.sockets, told.memory);
-        self.limit();
-        self.file = told.file;
-        self.keep_settings();
+        log!(
+            "reloaded",
+            "discovery={} retuned={settings_changed} changed_but_kept={not_applied}",
+            configuration.discovery
+        );
+        self.resource_limits = (configuration.sockets, configuration.memory);
+        self.apply_resource_limits();
+        self.active_file = configuration.file;
+        self.store_settings();
         // What has been heard so far was said under the settings that held so far.
         self.collect_events(driver);
-        if retuned {
-            self.retune(told.decoded, driver);
+        if settings_changed {
+            self.change_settings(configuration.decoded, driver);
         }
-        self.roster.move_to(told.discovery, driver);
+        self.roster.move_to(configuration.discovery, driver);
         self.collect_events(driver);
     }
 
-    fn retune(&mut self, mut decoded: DecodedSettings, driver: &mut dyn ConnectionDriver) {
+    fn change_settings(&mut self, mut decoded: DecodedSettings, driver: &mut dyn ConnectionDriver) {
         self.roster.pushed(!decoded.settings.must_subscribe);
-        let portioned = self.peer_exchange.is_some();
-        on_sockets(&mut decoded, portioned, &mut self.clients, &mut self.metrics, driver.now());
+        let slow_start_is_shared = self.peer_exchange.is_some();
+        adapt_settings(
+            &mut decoded,
+            slow_start_is_shared,
+            &mut self.clients,
+            &mut self.metrics,
+            driver.now(),
+        );
         let names: Vec<&str> = self.clients.operations.names().collect();
         log!("retuned", "operations={} forwards={}", names.join(","), decoded.settings.max_forwards);
         self.runners.retune(&decoded);
-        self.members.warm_within(decoded.settings.warm_up_span);
-        (self.come_back, self.come_back_most) = (come_back(&decoded), decoded.settings.max_retry_after);
-        (self.cold_from, self.worth) = (decoded.settings.cold_capacity_share, worth(&decoded));
-        (self.tip_after, self.open_cap) = (decoded.settings.overload_window, decoded.open_cap);
-        self.longest_timeout = decoded.longest_timeout;
-        if self.down_since.is_some() {
+        self.membership.warm_within(decoded.settings.warm_up_span);
+        (self.overload_retry_after, self.max_retry_after) =
+            (overload_retry_after(&decoded), decoded.settings.max_retry_after);
+        (self.cold_capacity_share, self.operation_values) =
+            (decoded.settings.cold_capacity_share, operation_values(&decoded));
+        (self.overload_window, self.max_open) = (decoded.settings.overload_window, decoded.open_cap);
+        self.longest_client_timeout = decoded.longest_timeout;
+        if self.shutdown_since.is_some() {
             driver.set_timer(Timer::Down, driver.now());
         }
-        self.dispatchers = decoded.settings.dispatchers as usize;
-        self.account();
-        self.happened.push(Event::SettingsChanged(Box::new(decoded.settings)));
+        self.dispatcher_count = decoded.settings.dispatchers as usize;
+        self.update_peer_settings();
+        self.pending_events.push(Event::SettingsChanged(Box::new(decoded.settings)));
     }
 
     /// A configuration that was read again is no good: nothing of it holds.
-    pub fn turn_down(&mut self, fault: &str) {
+    pub fn reject_configuration(&mut self, reason: &str) {
         self.metrics.load_errors += 1;
-        log!("configuration-refused", "reason={fault:?}");
+        log!("configuration-refused", "reason={reason:?}");
     }
 
     /// Whether one more may come in on this side.
@@ -489,80 +510,85 @@
         }
     }
 
-    pub fn callbacks(&mut self, role: ConnectionRole) -> &mut dyn ConnectionHandler {
+    pub fn handler(&mut self, role: ConnectionRole) -> &mut dyn ConnectionHandler {
         match role {
             ConnectionRole::Client => &mut self.clients,
             ConnectionRole::Runner => &mut self.runners,
             ConnectionRole::Roster => &mut self.roster,
             ConnectionRole::Operator => &mut self.operators,
-            ConnectionRole::Peer => &mut self.peer,
+            ConnectionRole::Peer => &mut self.handover_peer,
         }
     }
 
     /// Told to end: what has been taken is still answered, and clients are sent elsewhere.
-    pub fn go_down(&mut self, driver: &mut dyn ConnectionDriver) {
-        if self.down_since.is_some() {
+    pub fn begin_shutdown(&mut self, driver: &mut dyn ConnectionDriver) {
+        if self.shutdown_since.is_some() {
             return;
         }
         let now = driver.now();
-        log!("going-down", "open={} runner_connections={}", self.invs.len(), self.runners.open());
-        self.down_since = Some(now);
+        log!("going-down", "open={} runner_connections={}", self.invocations.len(), self.runners.open());
+        self.shutdown_since = Some(now);
         self.clients.ready(false);
-        driver.set_timer(Timer::Down, now + self.down_spans().0);
+        driver.set_timer(Timer::Down, now + self.shutdown_spans().0);
     }
 
     /// After being told to end: for how long clients keep their connections, as the dispatcher that was restarted
     /// before us may not be back yet, and when whatever is not answered is given up. Both go by the settings: with
     /// client timeouts of a second we are killed long before another customer's clients would have been let go.
     /// What is taken last has the time between the two.
-    fn down_spans(&self) -> (Micros, Micros) {
-        let longest = self.longest_timeout.min(DOWN_LONGEST);
-        (DOWN_GRACE + longest * 17 / 30, DOWN_GRACE + longest)
+    fn shutdown_spans(&self) -> (Micros, Micros) {
+        let client_timeout = self.longest_client_timeout.min(MAX_SHUTDOWN_CLIENT_TIMEOUT);
+        (SHUTDOWN_ANSWER_GRACE + client_timeout * 17 / 30, SHUTDOWN_ANSWER_GRACE + client_timeout)
     }
 
     /// Whether it is too late to take anything more.
-    fn too_late_to_take(&self, now: Micros) -> bool {
-        self.down_since.is_some_and(|since| now >= since + self.down_spans().1)
+    fn is_too_late_to_accept(&self, now: Micros) -> bool {
+        self.shutdown_since.is_some_and(|since| now >= since + self.shutdown_spans().1)
     }
 
     /// Whether all is said and done after having been told to end.
-    pub fn is_down(&self, now: Micros) -> bool {
-        let Some(since) = self.down_since else { return false };
-        let clients = self.clients.remain();
-        let (kept, all) = self.down_spans();
+    pub fn is_shutdown_complete(&self, now: Micros) -> bool {
+        let Some(since) = self.shutdown_since else { return false };
+        let clients_remain = self.clients.remain();
+        let (client_span, answer_span) = self.shutdown_spans();
         // Cancels are waited for no longer than answers; clients may send on what they have until we are killed.
-        let cancelling = self.runners.cancelling() && now < since + all + 2 * OVERDUE;
-        !self.owes() && !clients && !cancelling && now >= since + kept
+        let is_cancelling = self.runners.cancelling() && now < since + answer_span + 2 * FINAL_ANSWER_TIMEOUT;
+        !self.has_unanswered() && !clients_remain && !is_cancelling && now >= since + client_span
     }
 
     /// Whether this process is about to be killed: whatever is still at work has had its time.
-    pub fn must_end(&self, now: Micros) -> bool {
-        self.down_since.is_some_and(|since| !self.owes() && now >= since + self.down_spans().1 + END_GRACE)
+    pub fn must_exit(&self, now: Micros) -> bool {
+        self.shutdown_since.is_some_and(|since| {
+            !self.has_unanswered() && now >= since + self.shutdown_spans().1 + SHUTDOWN_EXIT_GRACE
+        })
     }
 
     /// Whether some client has not been answered.
-    fn owes(&self) -> bool {
-        self.invs.values().any(|open| !open.answered)
+    fn has_unanswered(&self) -> bool {
+        self.invocations.values().any(|open| !open.answered)
     }
 
-    pub fn timer_fired(&mut self, due: Timer, driver: &mut dyn ConnectionDriver) {
-        match due {
-            Timer::Tick => self.happened.push(Event::TimerFired),
-            Timer::Inv(id) => self.overdue(&id, driver),
+    pub fn timer_fired(&mut self, timer: Timer, driver: &mut dyn ConnectionDriver) {
+        match timer {
+            Timer::Tick => self.pending_events.push(Event::TimerFired),
+            Timer::Inv(id) => self.handle_deadline(&id, driver),
             Timer::Cancel(id, number) => self.cancel(&id, number, driver),
-            Timer::Down => self.step_down(driver),
-            Timer::Rested if self.overlap != Some(Overlap::Successor) => self.rest(Micros::MIN, driver),
+            Timer::Down => self.advance_shutdown(driver),
+            Timer::Rested if self.overlap != Some(Overlap::Successor) => {
+                self.pause_cold_runners(Micros::MIN, driver)
+            }
             Timer::Rested => {}
-            Timer::Ready => self.is_ready(),
+            Timer::Ready => self.finish_starting(),
             Timer::Lease => {
-                self.renew(driver);
-                let at = (self.roster.sure_at() + TOLD_WITHIN).max(driver.now() + LEASE_AGAIN);
+                self.update_lease(driver);
+                let at =
+                    (self.roster.sure_at() + TOLD_WITHIN).max(driver.now() + LAPSED_LEASE_CHECK_INTERVAL);
                 driver.set_timer(Timer::Lease, at);
             }
-            Timer::Recovery => self.recovery_due(driver),
-            Timer::Keep => self.keep_list(),
-            Timer::Peers => self.round(driver),
-            Timer::Kept(ticket) => self.not_kept_in_time(ticket, driver),
+            Timer::Recovery => self.recovery_timer_fired(driver),
+            Timer::Keep => self.store_roster(),
+            Timer::Peers => self.run_peer_round(driver),
+            Timer::Kept(ticket) => self.time_out_stored_call(ticket, driver),
             Timer::Connection(_)
             | Timer::Finish(_)
             | Timer::Accept(_)
@@ -572,36 +598,36 @@
         }
     }
 
-    fn step_down(&mut self, driver: &mut dyn ConnectionDriver) {
-        let (Some(since), now) = (self.down_since, driver.now()) else { return };
-        let (kept, all) = self.down_spans();
-        if now < since + kept {
-            return driver.set_timer(Timer::Down, since + kept);
+    fn advance_shutdown(&mut self, driver: &mut dyn ConnectionDriver) {
+        let (Some(since), now) = (self.shutdown_since, driver.now()) else { return };
+        let (client_span, answer_span) = self.shutdown_spans();
+        if now < since + client_span {
+            return driver.set_timer(Timer::Down, since + client_span);
         }
         self.clients.let_go(driver);
-        if now < since + all {
-            return driver.set_timer(Timer::Down, (now + DOWN_STEP).min(since + all));
+        if now < since + answer_span {
+            return driver.set_timer(Timer::Down, (now + SHUTDOWN_STEP_INTERVAL).min(since + answer_span));
         }
-        for id in self.invs.keys().cloned().collect::<Vec<Id>>() {
-            self.overdue(&id, driver);
+        for id in self.invocations.keys().cloned().collect::<Vec<Id>>() {
+            self.handle_deadline(&id, driver);
         }
     }
 
     /// Whether the brain has something to hear at once.
-    pub fn pending(&self) -> bool {
-        !self.happened.is_empty()
+    pub fn has_pending_events(&self) -> bool {
+        !self.pending_events.is_empty()
     }
 
     /// The host gave no descriptor or no memory for one. That passes, and says nothing of how many there may be later:
     /// one idle connection makes room for the next try.
-    pub fn out_of_descriptors(&mut self, driver: &mut dyn ConnectionDriver) {
+    pub fn handle_descriptor_shortage(&mut self, driver: &mut dyn ConnectionDriver) {
         let made_room = self.clients.make_room(driver) || self.runners.make_room(driver);
         log!("descriptors-short", "connections={} made_room={made_room}", driver.connections());
     }
 
     /// Against idle connections that leave none for the watch, for dials and for operators.
-    fn keep_room(&mut self, driver: &mut dyn ConnectionDriver) {
-        while driver.connections() > self.room_for
+    fn enforce_connection_limit(&mut self, driver: &mut dyn ConnectionDriver) {
+        while driver.connections() > self.max_connections
             && (self.clients.make_room(driver) || self.runners.make_room(driver))
         {}
     }
@@ -609,295 +635,320 @@
     /// Hands the brain all that happened in this turn and does what it decides.
     pub fn decide(&mut self, driver: &mut dyn ConnectionDriver) {
         self.collect_events(driver);
-        self.keep_room(driver);
-        if self.happened.is_empty() {
+        self.enforce_connection_limit(driver);
+        if self.pending_events.is_empty() {
             return;
         }
-        let happened = std::mem::take(&mut self.happened);
-        for action in self.policy.decide(driver.now(), happened) {
-            self.act(action, driver);
+        let events = std::mem::take(&mut self.pending_events);
+        for action in self.policy.decide(driver.now(), events) {
+            self.apply_action(action, driver);
         }
         self.collect_events(driver);
     }
 
-    fn act(&mut self, action: Action, driver: &mut dyn ConnectionDriver) {
+    fn apply_action(&mut self, action: Action, driver: &mut dyn ConnectionDriver) {
         match action {
-            Action::Forward { invocation: inv, runner: tgt, latest: by } => {
-                self.forward(&inv, tgt, by, driver)
+            Action::Forward { invocation, runner, latest } => {
+                self.forward(&invocation, runner, latest, driver)
             }
-            Action::Cancel { invocation: inv, forward } => self.cancel(&inv, forward, driver),
-            Action::Throttle { invocation: inv, retry_after: come_back } => {
-                self.was_short(driver.now());
-                self.answer(&inv, THROTTLED, come_back, b"", driver);
+            Action::Cancel { invocation, forward } => self.cancel(&invocation, forward, driver),
+            Action::Throttle { invocation, retry_after } => {
+                self.record_throttling(driver.now());
+                self.answer(&invocation, STATUS_TOO_MANY_REQUESTS, retry_after, b"", driver);
             }
-            Action::Error { invocation: inv } => self.answer(&inv, ERRORED, None, b"", driver),
-            Action::Probe { runner: tgt } => self.runners.probe(&tgt, driver),
+            Action::Error { invocation } => self.answer(&invocation, STATUS_BAD_GATEWAY, None, b"", driver),
+            Action::Probe { runner } => self.runners.probe(&runner, driver),
             Action::Subscribe => self.roster.follow(driver),
             Action::SetTimer { after } => driver.set_timer(Timer::Tick, driver.now() + after),
             Action::Log(text) => log!("brain", "{}", text.escape_debug()),
         }
     }
 
-    fn forward(&mut self, inv: &Id, tgt: Id, by: Option<Micros>, driver: &mut dyn ConnectionDriver) {
-        let Some(open) = self.invs.get_mut(inv) else { return };
+    fn forward(
+        &mut self,
+        invocation: &Id,
+        runner: Id,
+        latest: Option<Micros>,
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        let Some(open) = self.invocations.get_mut(invocation) else { return };
         let number = open.forwards.len() as u32;
-        let sendable = !open.answered && open.out().is_none();
-        let at = driver.now();
-        open.forwards.push(Forward { tgt: tgt.clone(), at, out: true, taken: false, cancels: 0, told: None });
-        if sendable {
+        let can_send = !open.answered && open.outstanding_forward().is_none();
+        let sent_at = driver.now();
+        open.forwards.push(Forward {
+            runner: runner.clone(),
+            sent_at,
+            is_outstanding: true,
+            is_accepted: false,
+            failed_cancels: 0,
+            final_callback_hash: None,
+        });
+        if can_send {
             let message = (open.head.as_slice(), open.body.as_slice());
             self.runners.forward(
-                &tgt,
-                (inv, number),
+                &runner,
+                (invocation, number),
                 message,
-                (open.expires_at, by),
+                (open.expires_at, latest),
                 open.connection,
                 driver,
             );
         } else {
-            self.end(inv, number, ForwardResult::Void, Vec::new(), at);
+            self.end_forward(invocation, number, ForwardResult::Void, Vec::new(), sent_at);
         }
     }
 
-    fn cancel(&mut self, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
-        let sent = self.invs.get(inv).and_then(|open| open.forwards.get(number as usize));
-        if let Some(sent) = sent.filter(|sent| sent.out) {
-            self.runners.give_up(&sent.tgt, inv, number, driver);
+    fn cancel(&mut self, invocation: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
+        let forward = self.invocations.get(invocation).and_then(|open| open.forwards.get(number as usize));
+        if let Some(forward) = forward.filter(|forward| forward.is_outstanding) {
+            self.runners.give_up(&forward.runner, invocation, number, driver);
         }
     }
 
     fn answer(
         &mut self,
-        inv: &Id,
+        invocation: &Id,
         status: u16,
-        come_back: Option<Micros>,
+        retry_after: Option<Micros>,
         body: &[u8],
         driver: &mut dyn ConnectionDriver,
     ) {
-        let operation = self.invs.get(inv).map_or(0, |open| open.operation);
-        let attempts = self.attempts(inv);
-        if let Some(connection) = self.close(inv, driver) {
-            if status != SUCCEEDED {
-                log!("not-served", "inv={inv} link={connection} status={status} attempts={attempts}");
+        let operation = self.invocations.get(invocation).map_or(0, |open| open.operation);
+        let attempts = self.attempt_count(invocation);
+        if let Some(connection) = self.close_invocation(invocation, driver) {
+            if status != STATUS_OK {
+                log!("not-served", "inv={invocation} link={connection} status={status} attempts={attempts}");
             }
-            self.metrics.ended(self.clients.operations.name(operation), FinalStatus::of(status));
-            self.clients.answer(connection, status, come_back, body, driver);
+            self.metrics.count(self.clients.operations.name(operation), FinalStatus::of(status));
+            self.clients.answer(connection, status, retry_after, body, driver);
         }
     }
 
     /// Nothing more is owed to the client; a forward still out keeps its entry until it ends, and does not leave if it
     /// has not left yet.
-    fn close(&mut self, inv: &Id, driver: &mut dyn ConnectionDriver) -> Option<ConnectionId> {
-        let open = self.invs.get_mut(inv).filter(|open| !open.answered)?;
+    fn close_invocation(
+        &mut self,
+        invocation: &Id,
+        driver: &mut dyn ConnectionDriver,
+    ) -> Option<ConnectionId> {
+        let open = self.invocations.get_mut(invocation).filter(|open| !open.answered)?;
         open.answered = true;
-        self.held -= open.size();
+        self.held_bytes -= open.size();
         (open.head, open.body) = (Vec::new(), Vec::new());
         let connection = open.connection;
-        match open.out() {
-            None => drop(self.invs.remove(inv)),
+        match open.outstanding_forward() {
+            None => drop(self.invocations.remove(invocation)),
             Some(number) => {
-                let tgt = open.forwards[number as usize].tgt.clone();
-                self.runners.hold_back(&tgt, inv, number, driver);
+                let runner = open.forwards[number as usize].runner.clone();
+                self.runners.hold_back(&runner, invocation, number, driver);
             }
         }
-        self.remember(inv.clone());
+        self.remember_closed_id(invocation.clone());
         Some(connection)
     }
 
     /// How often an invocation has been forwarded so far.
-    fn attempts(&self, inv: &Id) -> usize {
-        self.invs.get(inv).map_or(0, |open| open.forwards.len())
+    fn attempt_count(&self, invocation: &Id) -> usize {
+        self.invocations.get(invocation).map_or(0, |open| open.forwards.len())
     }
 
     /// An id that has had its request.
-    fn remember(&mut self, inv: Id) {
-        let (order, known) = &mut self.closed;
-        if order.len() >= CLOSED_KEPT {
-            order.pop_front().map(|oldest| known.remove(&oldest));
+    fn remember_closed_id(&mut self, invocation: Id) {
+        let (order, ids) = &mut self.closed_ids;
+        if order.len() >= MAX_CLOSED_IDS {
+            order.pop_front().map(|oldest| ids.remove(&oldest));
         }
-        order.push_back(inv.clone());
-        known.insert(inv);
+        order.push_back(invocation.clone());
+        ids.insert(invocation);
     }
 
-    fn sent(&mut self, inv: &Id, number: u32) -> Option<&mut Forward> {
-        self.invs.get_mut(inv)?.forwards.get_mut(number as usize)
+    fn forward_mut(&mut self, invocation: &Id, number: u32) -> Option<&mut Forward> {
+        self.invocations.get_mut(invocation)?.forwards.get_mut(number as usize)
     }
 
     /// A forward's one outcome.
-    fn end(&mut self, inv: &Id, number: u32, ending: ForwardResult, report: Vec<f64>, now: Micros) {
-        let Some(open) = self.invs.get_mut(inv) else { return };
-        let finished = open.answered;
-        let sent = open.forwards.get_mut(number as usize).filter(|sent| sent.out);
-        let Some(sent) = sent else { return };
-        sent.out = false;
-        let (tgt, elapsed, forward) = (sent.tgt.clone(), now - sent.at, number);
-        if !matches!(ending, ForwardResult::Succeeded | ForwardResult::Overloaded) {
-            let (code, ms) = (ending.code(), elapsed / 1000);
-            log!("attempt-failed", "inv={inv} attempt={number} runner={tgt} ending={code} ms={ms}");
+    fn end_forward(
+        &mut self,
+        invocation: &Id,
+        number: u32,
+        result: ForwardResult,
+        report: Vec<f64>,
+        now: Micros,
+    ) {
+        let Some(open) = self.invocations.get_mut(invocation) else { return };
+        let answered = open.answered;
+        let ended = open.forwards.get_mut(number as usize).filter(|ended| ended.is_outstanding);
+        let Some(ended) = ended else { return };
+        ended.is_outstanding = false;
+        let (runner, elapsed, forward) = (ended.runner.clone(), now - ended.sent_at, number);
+        if !matches!(result, ForwardResult::Succeeded | ForwardResult::Overloaded) {
+            let (code, ms) = (result.code(), elapsed / 1000);
+            log!("attempt-failed", "inv={invocation} attempt={number} runner={runner} ending={code} ms={ms}");
         }
-        let outcome = Outcome {
-            invocation: inv.clone(),
-            forward,
-            runner: tgt,
-            result: ending,
-            answered: finished,
-            elapsed,
-            report,
-        };
-        self.happened.push(Event::Outcome(outcome));
-        if finished && open.out().is_none() {
-            self.invs.remove(inv);
+        let outcome =
+            Outcome { invocation: invocation.clone(), forward, runner, result, answered, elapsed, report };
+        self.pending_events.push(Event::Outcome(outcome));
+        if answered && open.outstanding_forward().is_none() {
+            self.invocations.remove(invocation);
         }
     }
 
     /// The time is over: a forward still out is timed out, and the brain owes the answer now. It knows whether it may
     /// still be a throttling: what never left, or never ran, has not failed.
-    fn overdue(&mut self, inv: &Id, driver: &mut dyn ConnectionDriver) {
-        self.time_out(inv, driver);
-        let Some(open) = self.invs.get_mut(inv).filter(|open| !open.answered) else { return };
-        if std::mem::replace(&mut open.over, true) {
-            log!("overdue", "inv={inv} forwards={}", open.forwards.len());
-            return self.error(inv, driver);
+    fn handle_deadline(&mut self, invocation: &Id, driver: &mut dyn ConnectionDriver) {
+        self.time_out_forward(invocation, driver);
+        let Some(open) = self.invocations.get_mut(invocation).filter(|open| !open.answered) else { return };
+        if std::mem::replace(&mut open.deadline_passed, true) {
+            log!("overdue", "inv={invocation} forwards={}", open.forwards.len());
+            return self.answer_with_error(invocation, driver);
         }
-        self.happened.push(Event::AnswerNow { invocation: inv.clone() });
-        driver.set_timer(Timer::Inv(inv.clone()), driver.now() + OVERDUE);
+        self.pending_events.push(Event::AnswerNow { invocation: invocation.clone() });
+        driver.set_timer(Timer::Inv(invocation.clone()), driver.now() + FINAL_ANSWER_TIMEOUT);
     }
 
     /// Ends the forward that is out, if one is.
-    fn time_out(&mut self, inv: &Id, driver: &mut dyn ConnectionDriver) {
-        let Some(open) = self.invs.get(inv) else { return };
-        let Some(number) = open.out() else { return };
-        let tgt = open.forwards[number as usize].tgt.clone();
+    fn time_out_forward(&mut self, invocation: &Id, driver: &mut dyn ConnectionDriver) {
+        let Some(open) = self.invocations.get(invocation) else { return };
+        let Some(number) = open.outstanding_forward() else { return };
+        let runner = open.forwards[number as usize].runner.clone();
         // What has not left cannot have run, and need not be errored.
-        let held_back = self.runners.hold_back(&tgt, inv, number, driver);
-        let ending = if held_back { ForwardResult::Void } else { ForwardResult::TimedOut };
-        self.end(inv, number, ending, Vec::new(), driver.now());
-        if !held_back {
-            self.runners.give_up(&tgt, inv, number, driver);
+        let was_held_back = self.runners.hold_back(&runner, invocation, number, driver);
+        let result = if was_held_back { ForwardResult::Void } else { ForwardResult::TimedOut };
+        self.end_forward(invocation, number, result, Vec::new(), driver.now());
+        if !was_held_back {
+            self.runners.give_up(&runner, invocation, number, driver);
         }
     }
 
     /// Answers without waiting for the brain, which hears that nothing more is owed.
-    fn error(&mut self, inv: &Id, driver: &mut dyn ConnectionDriver) {
-        self.answer(inv, ERRORED, None, b"", driver);
-        self.happened.push(Event::ClientLeft { invocation: inv.clone() });
+    fn answer_with_error(&mut self, invocation: &Id, driver: &mut dyn ConnectionDriver) {
+        self.answer(invocation, STATUS_BAD_GATEWAY, None, b"", driver);
+        self.pending_events.push(Event::ClientLeft { invocation: invocation.clone() });
     }
 
     /// Turns what the parts have heard into events.
     pub fn collect_events(&mut self, driver: &mut dyn ConnectionDriver) {
-        self.heard_of_disk(driver);
-        for heard in std::mem::take(&mut self.roster.heard) {
-            self.list(heard, driver);
+        self.collect_store_events(driver);
+        for event in std::mem::take(&mut self.roster.heard) {
+            self.apply_listing(event, driver);
         }
-        self.renew(driver);
+        self.update_lease(driver);
         for (connection, call) in std::mem::take(&mut self.operators.heard) {
-            self.called(connection, call, driver);
+            self.handle_operator_call(connection, call, driver);
         }
-        for heard in std::mem::take(&mut self.clients.heard) {
-            match heard {
-                clients::ClientEvent::Invocation(invocation) => self.take(invocation, driver),
-                clients::ClientEvent::RunnerCallback(told, hash) => {
-                    self.called_back(told, hash, true, driver)
+        for event in std::mem::take(&mut self.clients.heard) {
+            match event {
+                clients::ClientEvent::Invocation(invocation) => self.accept_invocation(invocation, driver),
+                clients::ClientEvent::RunnerCallback(callback, hash) => {
+                    self.handle_callback(callback, hash, true, driver)
                 }
-                clients::ClientEvent::Gone(connection, id) => self.gone(connection, id, driver),
+                clients::ClientEvent::Gone(connection, id) => self.handle_client_left(connection, id, driver),
             }
         }
-        for word in std::mem::take(&mut self.peer.heard) {
-            match word {
-                HandoverMessage::Told(told, hash) => self.called_back(told, hash, false, driver),
+        for message in std::mem::take(&mut self.handover_peer.heard) {
+            match message {
+                HandoverMessage::Told(callback, hash) => self.handle_callback(callback, hash, false, driver),
                 // Where it was never listed here, the other process has said so.
                 HandoverMessage::Hand { id, out } => {
-                    if self.maintain(&id, out, driver).is_ok() {
-                        self.keep_hand(&id, None, driver);
+                    if self.set_maintenance(&id, out, driver).is_ok() {
+                        self.store_admin_override(&id, None, driver);
                     }
                 }
-                HandoverMessage::Taken(id) => self.remember(id.into()),
+                HandoverMessage::Taken(id) => self.remember_closed_id(id.into()),
             }
         }
-        if std::mem::take(&mut self.peer.ended) {
-            self.alone(driver);
+        if std::mem::take(&mut self.handover_peer.ended) {
+            self.end_overlap(driver);
         }
-        for heard in std::mem::take(&mut self.runners.heard) {
-            match heard {
-                runners::RunnerEvent::Taken { inv, number } => {
-                    if let Some(sent) = self.sent(&inv, number) {
-                        sent.taken = true;
+        for event in std::mem::take(&mut self.runners.heard) {
+            match event {
+                runners::RunnerEvent::Taken { inv: invocation, number } => {
+                    if let Some(forward) = self.forward_mut(&invocation, number) {
+                        forward.is_accepted = true;
                     }
                 }
-                runners::RunnerEvent::Ended { inv, number, ending, report } => {
-                    self.end(&inv, number, ending, report, driver.now());
+                runners::RunnerEvent::Ended { inv: invocation, number, ending: result, report } => {
+                    self.end_forward(&invocation, number, result, report, driver.now());
                 }
-                runners::RunnerEvent::Unwanted { inv, number } => {
-                    if let Some(connection) = self.invs.get(&inv).map(|open| open.connection) {
-                        self.gone(connection, inv.clone(), driver);
+                runners::RunnerEvent::Unwanted { inv: invocation, number } => {
+                    if let Some(connection) = self.invocations.get(&invocation).map(|open| open.connection) {
+                        self.handle_client_left(connection, invocation.clone(), driver);
                     }
-                    self.end(&inv, number, ForwardResult::Void, Vec::new(), driver.now());
+                    self.end_forward(&invocation, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
-                runners::RunnerEvent::Unusable { inv, number } => {
+                runners::RunnerEvent::Unusable { inv: invocation, number } => {
                     // No runner will take it, and it says nothing against this one.
-                    self.answer(&inv, UNUSABLE, None, b"", driver);
-                    self.end(&inv, number, ForwardResult::Void, Vec::new(), driver.now());
+                    self.answer(&invocation, STATUS_BAD_REQUEST, None, b"", driver);
+                    self.end_forward(&invocation, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
-                runners::RunnerEvent::Dropped { inv, number } => {
-                    self.end(&inv, number, ForwardResult::Withdrawn, Vec::new(), driver.now());
+                runners::RunnerEvent::Dropped { inv: invocation, number } => {
+                    self.end_forward(&invocation, number, ForwardResult::Withdrawn, Vec::new(), driver.now());
                 }
-                runners::RunnerEvent::NotDropped { inv, number } => {
-                    if let Some(sent) = self.sent(&inv, number).filter(|sent| sent.out) {
-                        log!("not-cancelled", "inv={inv} runner={}", sent.tgt);
-                        sent.cancels += 1;
-                        let after = (CANCEL_AGAIN << sent.cancels.min(8)).min(CANCEL_AGAIN_MOST);
-                        driver.set_timer(Timer::Cancel(inv, number), driver.now() + after);
+                runners::RunnerEvent::NotDropped { inv: invocation, number } => {
+                    if let Some(forward) =
+                        self.forward_mut(&invocation, number).filter(|forward| forward.is_outstanding)
+                    {
+                        log!("not-cancelled", "inv={invocation} runner={}", forward.runner);
+                        forward.failed_cancels += 1;
+                        let after = (CANCEL_RETRY_INTERVAL << forward.failed_cancels.min(8))
+                            .min(MAX_CANCEL_RETRY_INTERVAL);
+                        driver.set_timer(Timer::Cancel(invocation, number), driver.now() + after);
                     }
                 }
-                runners::RunnerEvent::Probed { tgt, alive, report } => {
-                    self.happened.push(Event::ProbeEnded { runner: tgt, alive, report });
+                runners::RunnerEvent::Probed { tgt: runner, alive, report } => {
+                    self.pending_events.push(Event::ProbeEnded { runner, alive, report });
                 }
             }
         }
     }
 
     /// An operator's call.
-    fn called(&mut self, connection: ConnectionId, call: Call, driver: &mut dyn ConnectionDriver) {
+    fn handle_operator_call(
+        &mut self,
+        connection: ConnectionId,
+        call: Call,
+        driver: &mut dyn ConnectionDriver,
+    ) {
         let answer = match call {
-            Call::Status if self.down_since.is_some() => "NO going down\n".to_owned(),
+            Call::Status if self.shutdown_since.is_some() => "NO going down\n".to_owned(),
             Call::Status => match &self.persistence {
                 None => "YES\n".to_owned(),
                 Some(persistence) => {
-                    let yes = if persistence.stage() < Stage::Listed { "NO" } else { "YES" };
+                    let ready = if persistence.stage() < Stage::Listed { "NO" } else { "YES" };
                     let peers = self.peer_exchange.as_ref().map(PeerExchange::status).unwrap_or_default();
-                    format!("{yes} {}{peers}\n", persistence.status())
+                    format!("{ready} {}{peers}\n", persistence.status())
                 }
             },
             Call::Stats => {
-                let (known_runners, out) = self.members.count();
+                let (known_runners, out) = self.membership.count();
                 let now = Gauges {
-                    in_progress: self.invs.values().filter(|open| !open.answered).count(),
+                    in_progress: self.invocations.values().filter(|open| !open.answered).count(),
                     known_runners,
                     skipped_runners: self.policy.set_aside(driver.now()) + out,
-                    tries: self.runners.written(),
+                    forwards_written: self.runners.written(),
                 };
-                let kept = self.persistence.as_ref().map(Persistence::metrics).unwrap_or_default();
+                let stored = self.persistence.as_ref().map(Persistence::metrics).unwrap_or_default();
                 let peers = self.peer_exchange.as_ref().map(PeerExchange::metrics).unwrap_or_default();
-                let kept = kept.iter().chain(&peers).filter(|(name, _)| !name.is_empty());
+                let stored = stored.iter().chain(&peers).filter(|(name, _)| !name.is_empty());
                 let host = driver.host_failures().metrics();
                 format!(
                     "{}{}{}END\n",
-                    self.metrics.text(&now),
-                    metrics::more(host.iter()),
-                    metrics::more(kept)
+                    self.metrics.render(&now),
+                    metrics::format_metrics(host.iter()),
+                    metrics::format_metrics(stored)
                 )
             }
-            Call::Maintain { id, out } => match self.maintain(&id, out, driver) {
+            Call::Maintain { id, out } => match self.set_maintenance(&id, out, driver) {
                 Ok(()) => {
-                    self.tell_hand(&id, driver);
-                    self.peer.say(&HandoverMessage::Hand { id: id.clone(), out }, driver);
+                    self.announce_admin_override(&id, driver);
+                    self.handover_peer.say(&HandoverMessage::Hand { id: id.clone(), out }, driver);
                     match self.persistence {
                         None => "YES\n".to_owned(),
                         Some(_) if self.overlap == Some(Overlap::Successor) => {
                             "NO another process takes over: call that one\n".to_owned()
                         }
                         Some(_) => {
-                            return self.keep_hand(
+                            return self.store_admin_override(
                                 &id.clone(),
                                 Some((connection, Call::Maintain { id, out })),
                                 driver,
@@ -912,169 +963,194 @@
     }
 
     /// From the answer on nothing new goes to a runner that is out, nor what waits for a connection there.
-    fn maintain(
+    fn set_maintenance(
         &mut self,
         id: &str,
         out: bool,
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), &'static str> {
-        let told = self.members.by_hand(id, out, driver.now());
+        let change = self.membership.by_hand(id, out, driver.now());
         let code = if out { "maint-on" } else { "maint-off" };
-        log!(code, "runner={id:?} answer={}", told.as_ref().err().unwrap_or(&"yes"));
-        let Some(entry) = told? else { return Ok(()) };
+        log!(code, "runner={id:?} answer={}", change.as_ref().err().unwrap_or(&"yes"));
+        let Some(entry) = change? else { return Ok(()) };
         if out {
             self.runners.recall(&entry.runner, driver);
         }
-        self.happened.push(Event::Roster(List { listing: Listing::Own, entries: vec![entry] }));
+        self.pending_events.push(Event::Roster(List { listing: Listing::Own, entries: vec![entry] }));
         Ok(())
     }
 
     /// Whether the list may still be acted upon. Against sending to a runner whose drain counts as told, though it was
     /// never heard: discovery could be reached, and did not get through for as long as that takes.
-    fn renew(&mut self, driver: &mut dyn ConnectionDriver) {
-        let (sure_at, now) = (self.roster.sure_at(), driver.now());
-        let Some(entries) = self.members.sure(sure_at, now) else { return };
+    fn update_lease(&mut self, driver: &mut dyn ConnectionDriver) {
+        let (certain_until, now) = (self.roster.sure_at(), driver.now());
+        let Some(entries) = self.membership.sure(certain_until, now) else { return };
         // The list to begin with may be acted upon, or discovery cannot be reached.
-        self.is_ready();
+        self.finish_starting();
         log!(
             "lease",
             "state={} unsure_ms={}",
-            if self.members.lapsed() { "lapsed" } else { "renewed" },
-            (now - sure_at) / 1000
+            if self.membership.lapsed() { "lapsed" } else { "renewed" },
+            (now - certain_until) / 1000
         );
-        if self.members.lapsed() {
+        if self.membership.lapsed() {
             self.runners.recall_all_waiting(driver);
         }
-        self.happened.push(Event::Roster(List { listing: Listing::Own, entries }));
+        self.pending_events.push(Event::Roster(List { listing: Listing::Own, entries }));
     }
 
     /// A start has come to its end.
-    fn is_ready(&mut self) {
-        if std::mem::take(&mut self.starting) {
-            log!("ready", "lease={}", if self.members.lapsed() { "none" } else { "held" });
-            self.clients.ready(self.down_since.is_none());
+    fn finish_starting(&mut self) {
+        if std::mem::take(&mut self.is_starting) {
+            log!("ready", "lease={}", if self.membership.lapsed() { "none" } else { "held" });
+            self.clients.ready(self.shutdown_since.is_none());
         }
     }
 
-    fn list(&mut self, heard: roster::RosterEvent, driver: &mut dyn ConnectionDriver) {
-        let whole = matches!(heard.listing, Listing::All | Listing::Remembered);
-        if whole {
+    fn apply_listing(&mut self, event: roster::RosterEvent, driver: &mut dyn ConnectionDriver) {
+        let is_whole_list = matches!(event.listing, Listing::All | Listing::Remembered);
+        if is_whole_list {
             self.runners.forget_all(driver.now());
         }
         let mut entries = Vec::new();
-        for (entry, address) in heard.entries {
-            let listed = entry.readiness != Readiness::Removed;
-            self.runners.note(&entry.runner, listed, address, driver);
+        for (entry, address) in event.entries {
+            let is_listed = entry.readiness != Readiness::Removed;
+            self.runners.note(&entry.runner, is_listed, address, driver);
             if entry.readiness != Readiness::Up {
                 self.runners.recall_waiting(&entry.runner, driver);
             }
             entries.push(entry);
         }
         self.runners.tidy(driver);
-        self.members.heard_before(heard.heard_before);
-        let entries = self.members.listed(heard.listing, entries, driver.now());
-        self.heard_of_list(heard.listing, driver);
-        self.happened.push(Event::Roster(List { listing: heard.listing, entries }));
-        self.portions(driver.now());
+        self.membership.heard_before(event.heard_before);
+        let entries = self.membership.listed(event.listing, entries, driver.now());
+        self.note_listing(event.listing, driver);
+        self.pending_events.push(Event::Roster(List { listing: event.listing, entries }));
+        self.update_slow_start_shares(driver.now());
     }
 
-    fn take(&mut self, told: Invocation, driver: &mut dyn ConnectionDriver) {
+    fn accept_invocation(&mut self, request: Invocation, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
-        if self.invs.contains_key(&told.id) || self.closed.1.contains(&told.id) {
-            return self.clients.reject(told.connection, HttpError(400, "repeated_id"), driver);
+        if self.invocations.contains_key(&request.id) || self.closed_ids.1.contains(&request.id) {
+            return self.clients.reject(request.connection, HttpError(400, "repeated_id"), driver);
         }
-        let size = told.head.len() + told.body.len();
+        let size = request.head.len() + request.body.len();
         if !self.may_forward() {
-            log!("not-taken", "inv={} reason=recovering", told.id);
-            let come_back = self.come_back_after(&told.id, now);
-            self.metrics.ended(self.clients.operations.name(told.operation), FinalStatus::of(NO_ROOM));
-            return self.clients.answer(told.connection, NO_ROOM, come_back, b"", driver);
+            log!("not-taken", "inv={} reason=recovering", request.id);
+            let retry_after = self.recovery_retry_after(&request.id, now);
+            self.metrics
+                .count(self.clients.operations.name(request.operation), FinalStatus::of(STATUS_UNAVAILABLE));
+            return self.clients.answer(request.connection, STATUS_UNAVAILABLE, retry_after, b"", driver);
         }
-        if !self.limits(told.operation, &told.id, now) {
-            let come_back = self.come_back_after(&told.id, now);
-            self.metrics.ended(self.clients.operations.name(told.operation), FinalStatus::of(THROTTLED));
-            return self.clients.answer(told.connection, THROTTLED, come_back, b"", driver);
+        if !self.admits(request.operation, &request.id, now) {
+            let retry_after = self.recovery_retry_after(&request.id, now);
+            self.metrics.count(
+                self.clients.operations.name(request.operation),
+                FinalStatus::of(STATUS_TOO_MANY_REQUESTS),
+            );
+            return self.clients.answer(
+                request.connection,
+                STATUS_TOO_MANY_REQUESTS,
+                retry_after,
+                b"",
+                driver,
+            );
         }
-        let full = self.invs.len() >= self.open_cap || self.held + size > self.held_most;
-        let ending = self.too_late_to_take(now);
-        if full || ending || told.expires_at <= now {
-            let reason = if ending {
+        let is_full = self.invocations.len() >= self.max_open || self.held_bytes + size > self.max_held_bytes;
+        let is_shutting_down = self.is_too_late_to_accept(now);
+        if is_full || is_shutting_down || request.expires_at <= now {
+            let reason = if is_shutting_down {
                 "going_down"
-            } else if full {
+            } else if is_full {
                 "no_room"
             } else {
                 "too_late"
             };
-            log!("not-taken", "inv={} reason={reason}", told.id);
-            let come_back = self.come_back.filter(|_| full || ending);
-            let operation = self.clients.operations.name(told.operation);
-            self.metrics.ended(operation, FinalStatus::of(NO_ROOM));
-            return self.clients.answer(told.connection, NO_ROOM, come_back, b"", driver);
+            log!("not-taken", "inv={} reason={reason}", request.id);
+            let retry_after = self.overload_retry_after.filter(|_| is_full || is_shutting_down);
+            let operation = self.clients.operations.name(request.operation);
+            self.metrics.count(operation, FinalStatus::of(STATUS_UNAVAILABLE));
+            return self.clients.answer(request.connection, STATUS_UNAVAILABLE, retry_after, b"", driver);
         }
-        self.peer.say(&HandoverMessage::Taken(told.id.to_string()), driver);
-        self.held += size;
-        driver.set_timer(Timer::Inv(told.id.clone()), told.expires_at);
-        let (inv, operation, slots, key) = (told.id.clone(), told.operation, told.slots, told.key);
-        let (expires_in, hint) = (told.expires_at - now, told.hint);
-        self.happened.push(Event::Arrival(Arrival {
-            invocation: inv,
+        self.handover_peer.say(&HandoverMessage::Taken(request.id.to_string()), driver);
+        self.held_bytes += size;
+        driver.set_timer(Timer::Inv(request.id.clone()), request.expires_at);
+        let (invocation, operation, slots, key) =
+            (request.id.clone(), request.operation, request.slots, request.key);
+        let (time_left, work_hint) = (request.expires_at - now, request.hint);
+        self.pending_events.push(Event::Arrival(Arrival {
+            invocation,
             operation,
-            time_left: expires_in,
+            time_left,
             slots,
-            work_hint: hint,
+            work_hint,
             key,
         }));
-        let (connection, expires_at, head, body) = (told.connection, told.expires_at, told.head, told.body);
-        let taken_at = now;
-        let (answered, over, forwards) = (false, false, Vec::new());
-        let open = Open { connection, operation, taken_at, expires_at, head, body, answered, over, forwards };
-        self.invs.insert(told.id, open);
+        let (connection, expires_at, head, body) =
+            (request.connection, request.expires_at, request.head, request.body);
+        let accepted_at = now;
+        let (answered, deadline_passed, forwards) = (false, false, Vec::new());
+        let open = OpenInvocation {
+            connection,
+            operation,
+            accepted_at,
+            expires_at,
+            head,
+            body,
+            answered,
+            deadline_passed,
+            forwards,
+        };
+        self.invocations.insert(request.id, open);
     }
 
-    fn gone(&mut self, connection: ConnectionId, id: Id, driver: &mut dyn ConnectionDriver) {
-        let owed = self.invs.get(&id).is_some_and(|open| open.connection == connection && !open.answered);
-        if owed {
-            log!("client-left", "inv={id} link={connection} attempts={}", self.attempts(&id));
-            self.close(&id, driver);
-            self.happened.push(Event::ClientLeft { invocation: id });
+    fn handle_client_left(&mut self, connection: ConnectionId, id: Id, driver: &mut dyn ConnectionDriver) {
+        let is_unanswered =
+            self.invocations.get(&id).is_some_and(|open| open.connection == connection && !open.answered);
+        if is_unanswered {
+            log!("client-left", "inv={id} link={connection} attempts={}", self.attempt_count(&id));
+            self.close_invocation(&id, driver);
+            self.pending_events.push(Event::ClientLeft { invocation: id });
         }
     }
 
     /// News of a job. The newest forward to its runner is meant; what has ended stays ended. Of a job that is
     /// not open here the other process hears, if there is one; it was told here because runners call whoever
     /// accepts.
-    fn called_back(
+    fn handle_callback(
         &mut self,
-        told: RunnerCallback,
+        callback: RunnerCallback,
         hash: u64,
-        direct: bool,
+        from_runner: bool,
         driver: &mut dyn ConnectionDriver,
     ) {
-        let report = told.load.as_ref().map(|load| self.runners.read_report(load)).unwrap_or_default();
-        let Some((inv, open)) = self.invs.get_key_value(told.id.as_str()) else {
-            if direct {
-                self.peer.say(&HandoverMessage::Told(told, hash), driver);
+        let report = callback.load.as_ref().map(|load| self.runners.read_report(load)).unwrap_or_default();
+        let Some((invocation, open)) = self.invocations.get_key_value(callback.id.as_str()) else {
+            if from_runner {
+                self.handover_peer.say(&HandoverMessage::Told(callback, hash), driver);
             }
             return;
         };
-        let inv = inv.clone();
-        let Some(at) = open.forwards.iter().rposition(|sent| *sent.tgt == *told.from) else {
-            return log!("odd-call-back", "inv={inv} from={:?}", told.from);
+        let invocation = invocation.clone();
+        let Some(index) = open.forwards.iter().rposition(|forward| *forward.runner == *callback.from) else {
+            return log!("odd-call-back", "inv={invocation} from={:?}", callback.from);
         };
-        let (sent, number) = (&open.forwards[at], at as u32);
+        let (forward, number) = (&open.forwards[index], index as u32);
         // Again to the same runner: what ended the earlier forward may be told once more, and is no word on
         // this one.
-        let earlier = open.forwards[..at].iter().any(|past| past.tgt == sent.tgt && past.told == Some(hash));
-        if earlier && !sent.taken {
+        let ended_earlier_forward = open.forwards[..index]
+            .iter()
+            .any(|earlier| earlier.runner == forward.runner && earlier.final_callback_hash == Some(hash));
+        if ended_earlier_forward && !forward.is_accepted {
             return;
         }
-        let (out, answered, now) = (sent.out, open.answered, driver.now());
-        let ending = match told.state {
-            State::Started if out => {
-                return self.happened.push(Event::Started { invocation: inv, forward: number });
+        let (is_outstanding, answered, now) = (forward.is_outstanding, open.answered, driver.now());
+        let result = match callback.state {
+            State::Started if is_outstanding => {
+                return self.pending_events.push(Event::Started { invocation, forward: number });
             }
-            State::Running if out => {
-                return self.happened.push(Event::Progress { invocation: inv, forward: number });
+            State::Running if is_outstanding => {
+                return self.pending_events.push(Event::Progress { invocation, forward: number });
             }
             State::Started | State::Running => return,
             State::Done => ForwardResult::Succeeded,
@@ -1082,20 +1158,20 @@
             State::Returned => ForwardResult::Overloaded,
             State::Lost => ForwardResult::Broken,
         };
-        if ending == ForwardResult::Succeeded && !answered {
-            let result = told.result.unwrap_or_default();
-            let (operation, took) = (open.operation, now - open.taken_at);
-            self.took(operation, took);
-            self.answer(&inv, SUCCEEDED, None, result.as_bytes(), driver);
-            if !out {
+        if result == ForwardResult::Succeeded && !answered {
+            let body = callback.result.unwrap_or_default();
+            let (operation, latency) = (open.operation, now - open.accepted_at);
+            self.record_success(operation, latency);
+            self.answer(&invocation, STATUS_OK, None, body.as_bytes(), driver);
+            if !is_outstanding {
                 // Given up, but it came to its end all the same: this is the result that is owed.
-                log!("late-result", "inv={inv} runner={}", told.from);
-                self.happened.push(Event::ClientLeft { invocation: inv.clone() });
+                log!("late-result", "inv={invocation} runner={}", callback.from);
+                self.pending_events.push(Event::ClientLeft { invocation: invocation.clone() });
             }
         }
-        if let Some(open) = self.invs.get_mut(&inv) {
-            open.forwards[at].told = Some(hash);
+        if let Some(open) = self.invocations.get_mut(&invocation) {
+            open.forwards[index].final_callback_hash = Some(hash);
         }
-        self.end(&inv, number, ending, report, now);
+        self.end_forward(&invocation, number, result, report, now);
     }
 }
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -19,214 +19,222 @@
 
 /// The other dispatchers: from the start as configured, and once this life has a number, or none is to be had, as met.
 pub struct PeerExchange {
-    at: PeersConfiguration,
+    configuration: PeersConfiguration,
     name: String,
     seed: u64,
-    core: Option<Peers>,
+    peers: Option<Peers>,
     /// Whether a round is asked for already.
-    due: Option<Micros>,
+    round_at: Option<Micros>,
 }
 
 impl PeerExchange {
-    pub fn new(at: PeersConfiguration, name: &str, seed: u64) -> PeerExchange {
-        PeerExchange { at, name: name.to_owned(), seed, core: None, due: None }
+    pub fn new(configuration: PeersConfiguration, name: &str, seed: u64) -> PeerExchange {
+        PeerExchange { configuration, name: name.to_owned(), seed, peers: None, round_at: None }
     }
 
-    fn alive(&self) -> usize {
-        let lives = self.core.iter().flat_map(|core| core.lives());
-        lives.filter(|(_, life, _)| *life == PeerState::Alive).count()
+    fn alive_count(&self) -> usize {
+        let states = self.peers.iter().flat_map(|peers| peers.lives());
+        states.filter(|(_, state, _)| *state == PeerState::Alive).count()
     }
 
     pub fn status(&self) -> String {
-        format!(" peers={}/{}", self.alive(), self.at.members.len())
+        format!(" peers={}/{}", self.alive_count(), self.configuration.members.len())
     }
 
     pub fn metrics(&self) -> [(&'static str, u64); 7] {
-        let counts = self.core.as_ref().map(|core| core.counts).unwrap_or_default();
+        let counters = self.peers.as_ref().map(|peers| peers.counts).unwrap_or_default();
         [
-            ("peers", self.at.members.len() as u64),
-            ("peers_alive", self.alive() as u64),
-            ("peers_sent", counts.sent),
-            ("peers_sent_bytes", counts.sent_bytes),
-            ("peers_heard", counts.heard),
-            ("peers_bad", counts.bad + counts.strangers),
-            ("peers_old", counts.old),
+            ("peers", self.configuration.members.len() as u64),
+            ("peers_alive", self.alive_count() as u64),
+            ("peers_sent", counters.sent),
+            ("peers_sent_bytes", counters.sent_bytes),
+            ("peers_heard", counters.heard),
+            ("peers_bad", counters.bad + counters.strangers),
+            ("peers_old", counters.old),
         ]
     }
 
     /// How new the word on a runner is, where peers are set.
     fn version(&self, id: &str) -> Option<Version> {
-        self.core.as_ref()?.hands.get(id).map(|hand| hand.version)
+        self.peers.as_ref()?.hands.get(id).map(|entry| entry.version)
     }
 }
 
 impl RequestTable {
     /// The others, once they have been met.
     fn peers(&mut self) -> Option<&mut Peers> {
-        self.peer_exchange.as_mut()?.core.as_mut()
+        self.peer_exchange.as_mut()?.peers.as_mut()
     }
 
     /// The others are met in this life, with what the last one knew of runners out by hand.
-    pub(super) fn meet(
+    pub(super) fn join_peers(
         &mut self,
         boot: Option<u64>,
-        left: Option<&LoadedStore>,
+        loaded: Option<&LoadedStore>,
         driver: &mut dyn ConnectionDriver,
     ) {
         let now = driver.now();
         let Some(peer_exchange) = &mut self.peer_exchange else { return };
-        let left = left.map(|left| left.hands.as_slice()).unwrap_or_default();
-        let of_left = |(runner, hand): &(String, store::StoredOverride)| topazsail_peers::AdminOverride {
-            runner: runner.clone(),
-            // One that was said before there were peers is older than whatever they say.
-            version: Version { count: hand.count.max(1), author: hand.author },
-            out_since: hand.out_since,
-            was_out: hand.was_out,
-        };
-        if let Some(core) = &mut peer_exchange.core {
+        let loaded = loaded.map(|loaded| loaded.hands.as_slice()).unwrap_or_default();
+        let stored_override =
+            |(runner, entry): &(String, store::StoredOverride)| topazsail_peers::AdminOverride {
+                runner: runner.clone(),
+                // One that was said before there were peers is older than whatever they say.
+                version: Version { count: entry.count.max(1), author: entry.author },
+                out_since: entry.out_since,
+                was_out: entry.was_out,
+            };
+        if let Some(peers) = &mut peer_exchange.peers {
             // The disk opens late: the others hear of what it holds all the same.
-            core.numbered(boot.unwrap_or(0));
-            let holds: Vec<_> = left.iter().filter_map(|left| core.remember(of_left(left))).collect();
-            for hand in holds {
-                self.hand_heard(&hand.runner, hand.out_since.is_some(), driver);
+            peers.numbered(boot.unwrap_or(0));
+            let in_force: Vec<_> =
+                loaded.iter().filter_map(|loaded| peers.remember(stored_override(loaded))).collect();
+            for entry in in_force {
+                self.apply_peer_override(&entry.runner, entry.out_since.is_some(), driver);
             }
             return;
         }
         let nonce =
             topazsail::hash(format!("{} {} {now}", peer_exchange.name, peer_exchange.seed).as_bytes()) as u32;
         let seed = peer_exchange.seed ^ u64::from(nonce);
-        let life = (boot.unwrap_or(0), nonce);
-        let mut core = Peers::new(&peer_exchange.name, peer_exchange.at.members.clone(), life, seed, now);
-        core.settings(self.dispatchers, self.tip_after);
-        for left in left {
-            core.remember(of_left(left));
+        let process_run = (boot.unwrap_or(0), nonce);
+        let mut peers = Peers::new(
+            &peer_exchange.name,
+            peer_exchange.configuration.members.clone(),
+            process_run,
+            seed,
+            now,
+        );
+        peers.settings(self.dispatcher_count, self.overload_window);
+        for loaded in loaded {
+            peers.remember(stored_override(loaded));
         }
-        peer_exchange.core = Some(core);
-        self.round(driver);
+        peer_exchange.peers = Some(peers);
+        self.run_peer_round(driver);
     }
 
     /// The disk has this life's number, perhaps only now.
-    pub(super) fn meet_numbered(&mut self, boot: Option<u64>) {
-        if let Some(core) = self.peers() {
-            core.numbered(boot.unwrap_or(0));
+    pub(super) fn set_peer_boot(&mut self, boot: Option<u64>) {
+        if let Some(peers) = self.peers() {
+            peers.numbered(boot.unwrap_or(0));
         }
     }
 
     /// How new the word on a runner is: its count and its author.
-    pub(super) fn hand_version(&self, id: &str) -> (u64, u32) {
+    pub(super) fn override_version(&self, id: &str) -> (u64, u32) {
         let version = self.peer_exchange.as_ref().and_then(|peer_exchange| peer_exchange.version(id));
         version.map_or((0, 0), |version| (version.count, version.author))
     }
 
     /// A call that was made here is told to the others.
-    pub(super) fn tell_hand(&mut self, id: &str, driver: &mut dyn ConnectionDriver) {
-        let (out_since, was_out) = self.members.hand(id);
-        let Some(core) = self.peers() else { return };
-        let (_, actions) = core.call(id, out_since, was_out, driver.now());
-        self.act_on_peers(actions, driver);
+    pub(super) fn announce_admin_override(&mut self, id: &str, driver: &mut dyn ConnectionDriver) {
+        let (out_since, was_out) = self.membership.hand(id);
+        let Some(peers) = self.peers() else { return };
+        let (_, actions) = peers.call(id, out_since, was_out, driver.now());
+        self.apply_peer_actions(actions, driver);
     }
 
-    pub(super) fn stage_for_peers(&mut self) {
+    pub(super) fn announce_stage(&mut self) {
         let stage = self.persistence.as_ref().map(|persistence| persistence.stage());
-        if let (Some(stage), Some(core)) = (stage, self.peers()) {
-            core.stage(stage as u8);
+        if let (Some(stage), Some(peers)) = (stage, self.peers()) {
+            peers.stage(stage as u8);
         }
     }
 
     /// A round of probes, where one is due.
-    pub(super) fn round(&mut self, driver: &mut dyn ConnectionDriver) {
+    pub(super) fn run_peer_round(&mut self, driver: &mut dyn ConnectionDriver) {
         let Some(peer_exchange) = &mut self.peer_exchange else { return };
-        let Some(core) = &mut peer_exchange.core else { return };
+        let Some(peers) = &mut peer_exchange.peers else { return };
         let now = driver.now();
-        let actions = core.tick(now);
-        let due = core.due();
-        if peer_exchange.due != Some(due) {
-            peer_exchange.due = Some(due);
-            driver.set_timer(Timer::Peers, due);
+        let actions = peers.tick(now);
+        let round_at = peers.due();
+        if peer_exchange.round_at != Some(round_at) {
+            peer_exchange.round_at = Some(round_at);
+            driver.set_timer(Timer::Peers, round_at);
         }
         // Before anything else is decided: a promise may begin in this round.
-        self.portions(now);
-        self.act_on_peers(actions, driver);
+        self.update_slow_start_shares(now);
+        self.apply_peer_actions(actions, driver);
     }
 
     /// The settings of the account on cold runners have been read again.
-    pub(super) fn account(&mut self) {
-        let (dispatchers, tip_after) = (self.dispatchers, self.tip_after);
-        if let Some(core) = self.peers() {
-            core.settings(dispatchers, tip_after);
+    pub(super) fn update_peer_settings(&mut self) {
+        let (dispatcher_count, overload_window) = (self.dispatcher_count, self.overload_window);
+        if let Some(peers) = self.peers() {
+            peers.settings(dispatcher_count, overload_window);
         }
     }
 
     /// Which portions of cold runners' budgets are this dispatcher's own.
-    pub(super) fn portions(&mut self, now: Micros) {
+    pub(super) fn update_slow_start_shares(&mut self, now: Micros) {
         if self.peers().is_none() {
             return;
         }
-        let cold = self.members.cold(now);
-        let Some(core) = self.peers() else { return };
-        let portions = core.portions(cold.iter().map(|id| &**id), now);
+        let cold = self.membership.cold(now);
+        let Some(peers) = self.peers() else { return };
+        let shares = peers.portions(cold.iter().map(|id| &**id), now);
         if !cold.is_empty() {
-            let told = cold.into_iter().zip(portions).map(|(id, p)| (id, p.share, p.until));
-            self.happened.push(Event::SlowStartShares(told.collect()));
+            let entries = cold.into_iter().zip(shares).map(|(id, share)| (id, share.share, share.until));
+            self.pending_events.push(Event::SlowStartShares(entries.collect()));
         }
     }
 
     /// A datagram has come.
     pub fn datagram(&mut self, from: SocketAddr, bytes: &[u8], driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
-        let Some(core) = self.peers() else { return };
-        let actions = core.heard(now, from, bytes);
-        self.act_on_peers(actions, driver);
+        let Some(peers) = self.peers() else { return };
+        let actions = peers.heard(now, from, bytes);
+        self.apply_peer_actions(actions, driver);
     }
 
-    fn act_on_peers(&mut self, actions: Vec<Action>, driver: &mut dyn ConnectionDriver) {
+    fn apply_peer_actions(&mut self, actions: Vec<Action>, driver: &mut dyn ConnectionDriver) {
         for action in actions {
             match action {
                 Action::Send { to, bytes } => driver.datagram(to, &bytes),
-                Action::PeerEvent(PeerEvent::Peer { name, life, boot }) => {
-                    log!("peer", "name={name} life={} boot={boot}", life.code());
+                Action::PeerEvent(PeerEvent::Peer { name, life: state, boot }) => {
+                    log!("peer", "name={name} life={} boot={boot}", state.code());
                 }
-                Action::PeerEvent(PeerEvent::Numbered(heard)) => self.number_taken(heard),
-                Action::PeerEvent(PeerEvent::AdminOverride(hand)) => {
-                    self.hand_heard(&hand.runner, hand.out_since.is_some(), driver);
+                Action::PeerEvent(PeerEvent::Numbered(boot)) => self.resolve_boot_conflict(boot),
+                Action::PeerEvent(PeerEvent::AdminOverride(entry)) => {
+                    self.apply_peer_override(&entry.runner, entry.out_since.is_some(), driver);
                 }
             }
         }
-        let Some((all, agree)) = self.peers().map(|core| core.agree()) else { return };
-        self.heard_of_peers(recovery::Event::Agree { all, agree }, driver);
+        let Some((all, agree)) = self.peers().map(|peers| peers.agree()) else { return };
+        self.handle_recovery_event(recovery::Event::Agree { all, agree }, driver);
     }
 
     /// Others have heard of a later life of this dispatcher than its own disk has: it was rolled back, or could not be
     /// written. This life gets a number above that.
-    fn number_taken(&mut self, heard: u64) {
-        let Some(core) = self.peers() else { return };
-        if heard >= core.boot() {
-            log!("boot-taken", "heard={heard} ours={}", core.boot());
-            core.numbered(heard + 1);
-            self.keep_above(heard);
+    fn resolve_boot_conflict(&mut self, boot: u64) {
+        let Some(peers) = self.peers() else { return };
+        if boot >= peers.boot() {
+            log!("boot-taken", "heard={boot} ours={}", peers.boot());
+            peers.numbered(boot + 1);
+            self.raise_boot_above(boot);
         }
     }
 
     /// A peer has a newer word on a runner: it holds here as a call would. Its times are of another clock.
-    fn hand_heard(&mut self, id: &str, out: bool, driver: &mut dyn ConnectionDriver) {
+    fn apply_peer_override(&mut self, id: &str, out: bool, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
-        let is_out = self.members.hand(id).0.is_some();
+        let is_out = self.membership.hand(id).0.is_some();
         if is_out != out {
             log!("hand-heard", "runner={id:?} out={out}");
-            if !self.members.knows(id) {
-                self.members.inherit(id, None, None);
+            if !self.membership.knows(id) {
+                self.membership.inherit(id, None, None);
             }
-            _ = self.maintain(id, out, driver);
+            _ = self.set_maintenance(id, out, driver);
         }
-        debug_assert!(self.members.hand(id).0.is_some() == out, "at {now}");
-        self.keep_hand(id, None, driver);
+        debug_assert!(self.membership.hand(id).0.is_some() == out, "at {now}");
+        self.store_admin_override(id, None, driver);
     }
 
     /// What holds of all runners is told anew, after bans have been learnt of.
-    pub(super) fn stand_anew(&mut self, driver: &mut dyn ConnectionDriver) {
-        let entries = self.members.stand(driver.now());
+    pub(super) fn republish_members(&mut self, driver: &mut dyn ConnectionDriver) {
+        let entries = self.membership.stand(driver.now());
         if !entries.is_empty() {
-            self.happened.push(Event::Roster(topazsail::Roster { listing: Listing::Own, entries }));
+            self.pending_events.push(Event::Roster(topazsail::Roster { listing: Listing::Own, entries }));
         }
     }
 }
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -24,50 +24,50 @@
 
 /// Sockets that only write down what is done to them.
 #[derive(Default)]
-struct Stage {
+struct TestDriver {
     now: Micros,
     /// For how long the process has stood still.
-    behind: Micros,
+    stalled_for: Micros,
     next: ConnectionId,
-    sides: BTreeMap<ConnectionId, ConnectionRole>,
+    roles: BTreeMap<ConnectionId, ConnectionRole>,
     inputs: BTreeMap<ConnectionId, Vec<u8>>,
     /// Connections whose other side has ended unnoticed, and those that take no bytes.
     stale: BTreeSet<ConnectionId>,
-    left: BTreeSet<ConnectionId>,
-    stuck: BTreeSet<ConnectionId>,
+    closed_by_peer: BTreeSet<ConnectionId>,
+    blocked: BTreeSet<ConnectionId>,
     lingering: Vec<ConnectionId>,
-    dues: BTreeMap<(Micros, u64), Timer>,
-    serial: u64,
-    revisits: Vec<ConnectionId>,
+    timers: BTreeMap<(Micros, u64), Timer>,
+    timer_count: u64,
+    to_process_again: Vec<ConnectionId>,
     /// What was sent to another process.
-    said: BTreeMap<ConnectionId, String>,
+    handover_text: BTreeMap<ConnectionId, String>,
     trace: String,
 }
 
-impl Stage {
-    fn say(&mut self, line: &str) {
+impl TestDriver {
+    fn record(&mut self, line: &str) {
         writeln!(self.trace, "{:<5} {line}", (self.now - START) / 1000).unwrap();
     }
 
-    fn open(&mut self, role: ConnectionRole) -> ConnectionId {
+    fn open_connection(&mut self, role: ConnectionRole) -> ConnectionId {
         self.next += 1;
-        self.sides.insert(self.next, role);
+        self.roles.insert(self.next, role);
         self.inputs.insert(self.next, Vec::new());
         self.next
     }
 }
 
-impl ConnectionDriver for Stage {
+impl ConnectionDriver for TestDriver {
     fn now(&self) -> Micros {
         self.now
     }
 
     fn readable_since(&self) -> Micros {
-        self.now - self.behind
+        self.now - self.stalled_for
     }
 
     fn connections(&self) -> usize {
-        self.sides.len()
+        self.roles.len()
     }
 
     fn end_lingering(&mut self) -> bool {
@@ -76,18 +76,22 @@
     }
 
     fn dial(&mut self, to: SocketAddr, role: ConnectionRole) -> ConnectionId {
-        let connection = self.open(role);
-        self.say(&format!("#{connection} dials {to}"));
+        let connection = self.open_connection(role);
+        self.record(&format!("#{connection} dials {to}"));
         connection
     }
 
     fn send(&mut self, connection: ConnectionId, bytes: &[u8]) {
-        if self.sides.get(&connection) == Some(&ConnectionRole::Peer) {
-            return self.said.entry(connection).or_default().push_str(&String::from_utf8_lossy(bytes));
+        if self.roles.get(&connection) == Some(&ConnectionRole::Peer) {
+            return self
+                .handover_text
+                .entry(connection)
+                .or_default()
+                .push_str(&String::from_utf8_lossy(bytes));
         }
         let text = String::from_utf8_lossy(bytes).replace("HTTP/1.1 ", "").replace(" HTTP/1.1", "");
         let text = text.trim_end().replace("\r\n\r\n", " = ").replace("\r\n", "; ");
-        self.say(&format!("#{connection} < {text}"));
+        self.record(&format!("#{connection} < {text}"));
     }
 
     fn is_reusable(&mut self, connection: ConnectionId) -> bool {
@@ -95,15 +99,15 @@
     }
 
     fn peer_has_closed(&self, connection: ConnectionId) -> bool {
-        self.left.contains(&connection)
+        self.closed_by_peer.contains(&connection)
     }
 
     fn unsent(&self, connection: ConnectionId) -> bool {
-        self.stuck.contains(&connection)
+        self.blocked.contains(&connection)
     }
 
     fn process_again(&mut self, connection: ConnectionId) {
-        self.revisits.push(connection);
+        self.to_process_again.push(connection);
     }
 
     fn finish(&mut self, connection: ConnectionId, end: CloseReason) {
@@ -111,19 +115,19 @@
     }
 
     fn abort(&mut self, connection: ConnectionId, end: CloseReason) {
-        self.sides.remove(&connection);
-        self.say(&format!("#{connection} ends: {}", end.code()));
+        self.roles.remove(&connection);
+        self.record(&format!("#{connection} ends: {}", end.code()));
     }
 
     fn set_timer(&mut self, due: Timer, at: Micros) {
-        self.serial += 1;
-        self.dues.insert((at, self.serial), due);
+        self.timer_count += 1;
+        self.timers.insert((at, self.timer_count), due);
     }
 }
 
 struct Node {
     table: RequestTable,
-    stage: Stage,
+    driver: TestDriver,
 }
 
 const RUNNERS: [(&str, &str); 2] = [("s-a", "127.0.0.1:3001"), ("s-b", "127.0.0.1:3002")];
@@ -165,136 +169,136 @@
 
 impl Node {
     fn new(runners: &[(&str, &str)]) -> Node {
-        Node::told(&configuration(runners))
+        Node::from_text(&configuration(runners))
     }
 
-    fn told(configuration: &str) -> Node {
-        let mut stage = Stage { now: START, ..Stage::default() };
+    fn from_text(configuration: &str) -> Node {
+        let mut driver = TestDriver { now: START, ..TestDriver::default() };
         let told = config::decode(configuration).unwrap();
-        let mut node = Node { table: RequestTable::new(told, None, None, &mut stage), stage };
-        node.settle();
+        let mut node = Node { table: RequestTable::new(told, None, None, &mut driver), driver };
+        node.run_until_idle();
         node
     }
 
     /// One that takes over from another, with what that one says to it on connection `link`.
     fn successor(of: &mut Node, connection: ConnectionId) -> Node {
-        of.stage.sides.insert(connection, ConnectionRole::Peer);
-        of.stage.inputs.insert(connection, Vec::new());
-        of.table.hand_over(connection, &mut of.stage);
-        of.settle();
-        let said = of.stage.said.remove(&connection).unwrap();
+        of.driver.roles.insert(connection, ConnectionRole::Peer);
+        of.driver.inputs.insert(connection, Vec::new());
+        of.table.hand_over(connection, &mut of.driver);
+        of.run_until_idle();
+        let said = of.driver.handover_text.remove(&connection).unwrap();
         let (state, since) = said.split_once('\n').unwrap();
         let state = serde_json::from_str(state).unwrap();
-        let mut stage = Stage { now: of.stage.now, next: 100, ..Stage::default() };
+        let mut driver = TestDriver { now: of.driver.now, next: 100, ..TestDriver::default() };
         let told = config::decode(&configuration(&[])).unwrap();
-        let mut node = Node { table: RequestTable::new(told, Some(state), None, &mut stage), stage };
-        node.stage.sides.insert(connection, ConnectionRole::Peer);
-        node.table.takes_over(connection, since.as_bytes().to_vec(), &mut node.stage);
-        node.settle();
+        let mut node = Node { table: RequestTable::new(told, Some(state), None, &mut driver), driver };
+        node.driver.roles.insert(connection, ConnectionRole::Peer);
+        node.table.attach_predecessor(connection, since.as_bytes().to_vec(), &mut node.driver);
+        node.run_until_idle();
         node
     }
 
     /// Passes on what was said to the other process since.
-    fn passes_on(&mut self, connection: ConnectionId, to: &mut Node) {
-        let said = self.stage.said.remove(&connection).unwrap_or_default();
+    fn relay_messages(&mut self, connection: ConnectionId, to: &mut Node) {
+        let said = self.driver.handover_text.remove(&connection).unwrap_or_default();
         to.feed(connection, &said);
     }
 
     /// One that has its list from the watch, told from here on.
-    fn followed(runners: &[(&str, &str)]) -> Node {
-        Node::new(runners).hears()
+    fn with_watch(runners: &[(&str, &str)]) -> Node {
+        Node::new(runners).with_watch_answered()
     }
 
     /// Its first call is answered: nothing has changed.
-    fn hears(mut self) -> Node {
+    fn with_watch_answered(mut self) -> Node {
         let connection =
-            *self.stage.sides.iter().find(|(_, role)| **role == ConnectionRole::Roster).unwrap().0;
-        self.up(connection);
-        self.feed(connection, WATCH);
+            *self.driver.roles.iter().find(|(_, role)| **role == ConnectionRole::Roster).unwrap().0;
+        self.connect(connection);
+        self.feed(connection, WATCH_HEAD);
         self.feed(connection, &chunk("{\"generation\":42,\"reset\":false,\"instances\":[]}\n"));
-        self.stage.trace.clear();
+        self.driver.trace.clear();
         self
     }
 
     /// One whose only runner has taken `i1`, from the client on connection 2, over connection 3.
-    fn holding(operation: &str) -> Node {
-        let mut node = Node::followed(&RUNNERS[..1]);
+    fn with_accepted_forward(operation: &str) -> Node {
+        let mut node = Node::with_watch(&RUNNERS[..1]);
         node.invoke(operation, "i1");
-        node.up(3);
-        node.feed(3, TAKEN);
+        node.connect(3);
+        node.feed(3, ACCEPTED);
         node
     }
 
-    fn settle(&mut self) {
+    fn run_until_idle(&mut self) {
         loop {
-            self.table.decide(&mut self.stage);
-            for connection in std::mem::take(&mut self.stage.revisits) {
+            self.table.decide(&mut self.driver);
+            for connection in std::mem::take(&mut self.driver.to_process_again) {
                 self.feed(connection, "");
             }
-            if !self.table.pending() {
+            if !self.table.has_pending_events() {
                 return;
             }
         }
     }
 
     fn accept(&mut self) -> ConnectionId {
-        assert!(self.table.clients.room(&mut self.stage));
-        let connection = self.stage.open(ConnectionRole::Client);
-        self.table.clients.accepted(connection, &mut self.stage);
+        assert!(self.table.clients.room(&mut self.driver));
+        let connection = self.driver.open_connection(ConnectionRole::Client);
+        self.table.clients.accepted(connection, &mut self.driver);
         connection
     }
 
-    fn operator(&mut self) -> ConnectionId {
-        assert!(self.table.room(ConnectionRole::Operator, &mut self.stage));
-        let connection = self.stage.open(ConnectionRole::Operator);
-        self.table.accepted(ConnectionRole::Operator, connection, &mut self.stage);
+    fn connect_operator(&mut self) -> ConnectionId {
+        assert!(self.table.room(ConnectionRole::Operator, &mut self.driver));
+        let connection = self.driver.open_connection(ConnectionRole::Operator);
+        self.table.accepted(ConnectionRole::Operator, connection, &mut self.driver);
         connection
     }
 
     /// An operator's call on a connection of its own.
     fn call(&mut self, line: &str) {
-        let connection = self.operator();
+        let connection = self.connect_operator();
         self.feed(connection, &format!("{line}\n"));
     }
 
     fn feed(&mut self, connection: ConnectionId, text: &str) {
-        let Some(role) = self.stage.sides.get(&connection).copied() else { return };
-        let mut input = self.stage.inputs.remove(&connection).unwrap_or_default();
+        let Some(role) = self.driver.roles.get(&connection).copied() else { return };
+        let mut input = self.driver.inputs.remove(&connection).unwrap_or_default();
         input.extend_from_slice(text.as_bytes());
-        self.table.callbacks(role).bytes(connection, &mut input, &mut self.stage);
-        self.stage.inputs.insert(connection, input);
-        self.settle();
+        self.table.handler(role).bytes(connection, &mut input, &mut self.driver);
+        self.driver.inputs.insert(connection, input);
+        self.run_until_idle();
     }
 
-    fn up(&mut self, connection: ConnectionId) {
-        let role = self.stage.sides[&connection];
-        self.table.callbacks(role).up(connection, &mut self.stage);
-        self.settle();
+    fn connect(&mut self, connection: ConnectionId) {
+        let role = self.driver.roles[&connection];
+        self.table.handler(role).up(connection, &mut self.driver);
+        self.run_until_idle();
     }
 
     /// The other side ends a connection.
-    fn end(&mut self, connection: ConnectionId, end: CloseReason) {
-        let role = self.stage.sides.remove(&connection).unwrap();
-        let (unsent, input) = (self.stage.unsent(connection), self.stage.inputs[&connection].clone());
-        self.table.callbacks(role).ended(connection, end, unsent, &input, &mut self.stage);
-        self.settle();
+    fn close(&mut self, connection: ConnectionId, end: CloseReason) {
+        let role = self.driver.roles.remove(&connection).unwrap();
+        let (unsent, input) = (self.driver.unsent(connection), self.driver.inputs[&connection].clone());
+        self.table.handler(role).ended(connection, end, unsent, &input, &mut self.driver);
+        self.run_until_idle();
     }
 
-    fn pass(&mut self, ms: i64) {
-        let until = self.stage.now + ms * 1000;
-        while let Some(entry) = self.stage.dues.first_entry().filter(|entry| entry.key().0 <= until) {
-            self.stage.now = entry.key().0.max(self.stage.now);
+    fn advance(&mut self, ms: i64) {
+        let until = self.driver.now + ms * 1000;
+        while let Some(entry) = self.driver.timers.first_entry().filter(|entry| entry.key().0 <= until) {
+            self.driver.now = entry.key().0.max(self.driver.now);
             match entry.remove() {
                 Timer::Connection(connection) => {
-                    if let Some(role) = self.stage.sides.get(&connection).copied() {
-                        self.table.callbacks(role).timer_fired(connection, &mut self.stage);
+                    if let Some(role) = self.driver.roles.get(&connection).copied() {
+                        self.table.handler(role).timer_fired(connection, &mut self.driver);
                     }
                 }
-                due => self.table.timer_fired(due, &mut self.stage),
+                due => self.table.timer_fired(due, &mut self.driver),
             }
-            self.settle();
+            self.run_until_idle();
         }
-        self.stage.now = until;
+        self.driver.now = until;
     }
 
     fn invoke(&mut self, operation: &str, id: &str) -> ConnectionId {
@@ -309,7 +313,7 @@
         connection
     }
 
-    fn call_back(&mut self, told: &str) {
+    fn send_callback(&mut self, told: &str) {
         let connection = self.accept();
         let length = told.len();
         self.feed(
@@ -318,8 +322,8 @@
         );
     }
 
-    fn shows(&self, expected: Expect) {
-        expected.assert_eq(&self.stage.trace);
+    fn assert_trace(&self, expected: Expect) {
+        expected.assert_eq(&self.driver.trace);
     }
 }
 
@@ -327,27 +331,27 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const LISTED: &str = "{\"generation\":43,\"reset\":false,\"instances\":[]}\n";
-const BEAT: &str = "1\r\n\n\r\n";
-const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-const DELETED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const EMPTY_CHANGE: &str = "{\"generation\":43,\"reset\":false,\"instances\":[]}\n";
+const EMPTY_LINE: &str = "1\r\n\n\r\n";
+const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+const NO_CONTENT: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
 #[test]
 fn a_forward_is_taken_and_its_result_answered() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("plan", "i1");
-    node.pass(1);
-    node.up(3);
-    node.feed(3, TAKEN);
-    node.pass(300);
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"running","share":0.4}"#);
-    node.call_back(
+    node.advance(1);
+    node.connect(3);
+    node.feed(3, ACCEPTED);
+    node.advance(300);
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"running","share":0.4}"#);
+    node.send_callback(
         r#"{"id":"i1","from":"s-a","state":"done","result":"a \"b\"","load":{"x0":1,"outstanding":2}}"#,
     );
     // Told again, as if the 200 had been lost.
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"done","result":"a \"b\""}"#);
-    node.shows(expect![[r#"
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"a \"b\""}"#);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         1     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4979; Content-Length: 2 = hi
         301   #4 < 200 OK; Content-Length: 0
@@ -359,14 +363,14 @@
 
 #[test]
 fn a_call_back_may_come_before_the_202() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("book", "i1");
-    node.up(3);
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
-    node.feed(3, TAKEN);
+    node.connect(3);
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
+    node.feed(3, ACCEPTED);
     // The connection is free again.
     node.invoke("book", "i2");
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #4 < 200 OK; Content-Length: 0
@@ -377,10 +381,10 @@
 
 #[test]
 fn a_connection_found_ended_is_not_used_again() {
-    let mut node = Node::holding("plan");
-    node.stage.stale.insert(3);
+    let mut node = Node::with_accepted_forward("plan");
+    node.driver.stale.insert(3);
     node.invoke("plan", "i2");
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #3 ends: stale
@@ -391,21 +395,21 @@
 /// It tells of the connection, not of the runner. One that has just been made is another matter.
 #[test]
 fn a_probe_on_a_kept_connection_that_breaks_is_asked_once_more() {
-    let mut stage = Stage { now: START, ..Stage::default() };
+    let mut driver = TestDriver { now: START, ..TestDriver::default() };
     let told = config::decode(&configuration(&RUNNERS[..1])).unwrap();
     let mut runners = Runners::new(&told.decoded);
     let tgt = Id::from("s-a");
-    runners.note(&tgt, true, Some("127.0.0.1:3001".parse().unwrap()), &mut stage);
-    runners.probe(&tgt, &mut stage);
-    runners.up(1, &mut stage);
+    runners.note(&tgt, true, Some("127.0.0.1:3001".parse().unwrap()), &mut driver);
+    runners.probe(&tgt, &mut driver);
+    runners.up(1, &mut driver);
     let mut answer = b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"x0\":1,\"inflight\":0} ".to_vec();
-    runners.bytes(1, &mut answer, &mut stage);
-    runners.probe(&tgt, &mut stage);
-    runners.ended(1, CloseReason::Reset, false, b"", &mut stage);
-    runners.up(2, &mut stage);
-    runners.ended(2, CloseReason::Reset, false, b"", &mut stage);
+    runners.bytes(1, &mut answer, &mut driver);
+    runners.probe(&tgt, &mut driver);
+    runners.ended(1, CloseReason::Reset, false, b"", &mut driver);
+    runners.up(2, &mut driver);
+    runners.ended(2, CloseReason::Reset, false, b"", &mut driver);
     for heard in runners.heard {
-        stage.say(&format!("{heard:?}"));
+        driver.record(&format!("{heard:?}"));
     }
     expect![[r#"
         0     #1 dials 127.0.0.1:3001
@@ -416,19 +420,19 @@
         0     Probed { tgt: "s-a", alive: true, report: [1.0, 0.0] }
         0     Probed { tgt: "s-a", alive: false, report: [] }
     "#]]
-    .assert_eq(&stage.trace);
+    .assert_eq(&driver.trace);
 }
 
 #[test]
 fn a_connection_that_comes_free_takes_over_what_waits_for_a_dial() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("plan", "i1");
     node.invoke("plan", "i2");
-    node.up(3);
-    node.feed(3, TAKEN);
-    node.up(5);
-    node.feed(3, TAKEN);
-    node.shows(expect![[r#"
+    node.connect(3);
+    node.feed(3, ACCEPTED);
+    node.connect(5);
+    node.feed(3, ACCEPTED);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #5 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
@@ -438,17 +442,17 @@
 
 #[test]
 fn what_never_ran_goes_elsewhere_or_is_throttled() {
-    let mut node = Node::followed(&RUNNERS);
+    let mut node = Node::with_watch(&RUNNERS);
     node.invoke("book", "i1");
-    node.pass(260);
-    node.up(4);
+    node.advance(260);
+    node.connect(4);
     node.feed(
         4,
         "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nX-Load: {\"x0\":0,\"outstanding\":2}\r\n\
          Content-Length: 0\r\n\r\n",
     );
-    node.pass(600);
-    node.shows(expect![[r#"
+    node.advance(600);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3002
         250   #3 ends: dial_timeout
         250   #4 dials 127.0.0.1:3001
@@ -459,11 +463,11 @@
 
 #[test]
 fn what_was_written_whole_may_have_run() {
-    let mut node = Node::followed(&RUNNERS);
+    let mut node = Node::with_watch(&RUNNERS);
     node.invoke("book", "i1");
-    node.up(3);
-    node.end(3, CloseReason::Reset);
-    node.shows(expect![[r#"
+    node.connect(3);
+    node.close(3, CloseReason::Reset);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3002
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #2 < 502 Bad Gateway; Content-Length: 0
@@ -472,13 +476,13 @@
 
 #[test]
 fn a_request_not_written_whole_never_ran() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("book", "i1");
-    node.up(3);
-    node.stage.stuck.insert(3);
-    node.end(3, CloseReason::Reset);
-    node.pass(1500);
-    node.shows(expect![[r#"
+    node.connect(3);
+    node.driver.blocked.insert(3);
+    node.close(3, CloseReason::Reset);
+    node.advance(1500);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         420   #4 dials 127.0.0.1:3001
@@ -491,8 +495,8 @@
 /// be a second copy.
 #[test]
 fn a_cancel_is_tried_until_it_is_answered() {
-    let mut node = Node::holding("plan");
-    node.stage.stale.insert(3);
+    let mut node = Node::with_accepted_forward("plan");
+    node.driver.stale.insert(3);
     let changed = concat!(
         r#"{"generation":43,"reset":false,"instances":[{"instanceId":"s-b","hostPort":"127.0.0.1:3002","#,
         r#""lifecycle":"up"}]}"#
@@ -500,13 +504,13 @@
     node.feed(1, &chunk(&format!("{changed}\n")));
     // Progress is missing.
     for _ in 0..3 {
-        node.pass(999);
-        node.feed(1, BEAT);
+        node.advance(999);
+        node.feed(1, EMPTY_LINE);
     }
-    let connection = *node.stage.sides.iter().rfind(|(_, role)| **role == ConnectionRole::Runner).unwrap().0;
-    node.up(connection);
-    node.feed(connection, DELETED);
-    node.shows(expect![[r#"
+    let connection = *node.driver.roles.iter().rfind(|(_, role)| **role == ConnectionRole::Runner).unwrap().0;
+    node.connect(connection);
+    node.feed(connection, NO_CONTENT);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         1500  #3 ends: stale
@@ -524,17 +528,17 @@
 /// any more.
 #[test]
 fn a_runner_that_is_listed_no_more_may_still_be_at_it() {
-    let mut node = Node::holding("plan");
+    let mut node = Node::with_accepted_forward("plan");
     let removed = r#"{"generation":43,"reset":false,"instances":[{"instanceId":"s-a","lifecycle":"removed"},
         {"instanceId":"s-b","hostPort":"127.0.0.1:3002","lifecycle":"up"}]}"#;
     node.feed(1, &chunk(&format!("{}\n", removed.replace('\n', ""))));
     for _ in 0..2 {
-        node.pass(999);
-        node.feed(1, BEAT);
+        node.advance(999);
+        node.feed(1, EMPTY_LINE);
     }
-    node.pass(60);
-    node.end(5, CloseReason::Refused);
-    node.shows(expect![[r#"
+    node.advance(60);
+    node.close(5, CloseReason::Refused);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #3 ends: unlisted
@@ -547,17 +551,17 @@
 
 #[test]
 fn a_client_that_leaves_has_its_job_deleted() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     let client = node.invoke("plan", "i1");
-    node.up(3);
-    node.feed(3, TAKEN);
-    node.pass(20);
-    node.end(client, CloseReason::PeerClosed);
-    node.feed(3, DELETED);
+    node.connect(3);
+    node.feed(3, ACCEPTED);
+    node.advance(20);
+    node.close(client, CloseReason::PeerClosed);
+    node.feed(3, NO_CONTENT);
     // Before the 202 its connection is closed as well.
     let client = node.invoke("plan", "i2");
-    node.end(client, CloseReason::PeerClosed);
-    node.shows(expect![[r#"
+    node.close(client, CloseReason::PeerClosed);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         20    #3 < DELETE /jobs/i1; Host: 127.0.0.1:3001; Content-Length: 0
@@ -570,11 +574,11 @@
 /// Given up by the brain, but the runner had finished: the result is the one that is owed.
 #[test]
 fn a_late_result_is_answered_while_it_is_owed() {
-    let mut node = Node::holding("plan");
-    node.pass(1600);
-    node.feed(3, DELETED);
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
-    node.shows(expect![[r#"
+    let mut node = Node::with_accepted_forward("plan");
+    node.advance(1600);
+    node.feed(3, NO_CONTENT);
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         1500  #3 < DELETE /jobs/i1; Host: 127.0.0.1:3001; Content-Length: 0
@@ -586,14 +590,14 @@
 /// The repeat of what ended an earlier forward to the same runner says nothing of the new one.
 #[test]
 fn a_repeated_return_ends_no_later_forward() {
-    let mut node = Node::holding("book");
+    let mut node = Node::with_accepted_forward("book");
     let returned = r#"{"id":"i1","from":"s-a","state":"returned","load":{"x0":2,"outstanding":0}}"#;
-    node.call_back(returned);
-    node.pass(400);
-    node.call_back(returned);
-    node.feed(3, TAKEN);
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
-    node.shows(expect![[r#"
+    node.send_callback(returned);
+    node.advance(400);
+    node.send_callback(returned);
+    node.feed(3, ACCEPTED);
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #4 < 200 OK; Content-Length: 0
@@ -606,15 +610,15 @@
 
 #[test]
 fn a_client_timeout_is_answered_in_time() {
-    let mut node = Node::holding("book");
+    let mut node = Node::with_accepted_forward("book");
     for _ in 0..6 {
-        node.pass(900);
-        node.feed(1, BEAT);
-        node.call_back(r#"{"id":"i1","from":"s-a","state":"running","share":0.1}"#);
+        node.advance(900);
+        node.feed(1, EMPTY_LINE);
+        node.send_callback(r#"{"id":"i1","from":"s-a","state":"running","share":0.1}"#);
     }
-    let trace = std::mem::take(&mut node.stage.trace);
-    node.stage.trace = trace.lines().filter(|line| !line.contains("200 OK")).collect::<Vec<_>>().join("\n");
-    node.shows(expect![[r#"
+    let trace = std::mem::take(&mut node.driver.trace);
+    node.driver.trace = trace.lines().filter(|line| !line.contains("200 OK")).collect::<Vec<_>>().join("\n");
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         4980  #3 < DELETE /jobs/i1; Host: 127.0.0.1:3001; Content-Length: 0
@@ -625,15 +629,15 @@
 /// time from then on: the answer came when nobody was there any more.
 #[test]
 fn what_came_while_the_process_stood_still_has_had_that_time() {
-    let mut node = Node::followed(&RUNNERS[..1]);
-    node.stage.behind = 3_000_000;
+    let mut node = Node::with_watch(&RUNNERS[..1]);
+    node.driver.stalled_for = 3_000_000;
     node.invoke("plan", "i1");
-    node.stage.behind = 5_000_000;
+    node.driver.stalled_for = 5_000_000;
     node.invoke("plan", "i2");
-    node.stage.behind = 0;
-    node.up(3);
-    node.pass(2_000);
-    node.shows(expect![[r#"
+    node.driver.stalled_for = 0;
+    node.connect(3);
+    node.advance(2_000);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #4 < 503 Service Unavailable; Content-Length: 0
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 1980; Content-Length: 2 = hi
@@ -647,16 +651,16 @@
 
 #[test]
 fn a_watch_that_falls_silent_or_ends_is_asked_for_again() {
-    let mut node = Node::followed(&RUNNERS[..1]);
-    node.pass(2000);
-    node.feed(1, BEAT);
-    node.pass(3300);
-    node.up(2);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
+    node.advance(2000);
+    node.feed(1, EMPTY_LINE);
+    node.advance(3300);
+    node.connect(2);
     node.feed(2, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-    node.pass(1200);
+    node.advance(1200);
     // Not even a dial comes up.
-    node.pass(1500);
-    node.shows(expect![[r#"
+    node.advance(1500);
+    node.assert_trace(expect![[r#"
         5046  #2 dials 127.0.0.1:8500
         5046  #2 < GET /v1/servers?follow=1&since=42; Host: 127.0.0.1:8500
         5300  #2 ends: bad_answer
@@ -674,21 +678,21 @@
 #[test]
 fn a_call_that_is_late_is_made_again_and_may_still_be_answered() {
     let mut node = Node::new(&RUNNERS[..1]);
-    node.up(1);
-    node.pass(2900);
-    node.up(1);
-    node.feed(1, WATCH);
+    node.connect(1);
+    node.advance(2900);
+    node.connect(1);
+    node.feed(1, WATCH_HEAD);
     // The head alone says nothing.
-    node.pass(600);
-    node.up(2);
-    node.pass(400);
-    node.feed(1, &chunk(LISTED));
-    node.pass(3100);
-    node.up(3);
-    node.feed(3, WATCH);
-    node.feed(3, &chunk(LISTED));
-    node.pass(2000);
-    node.shows(expect![[r#"
+    node.advance(600);
+    node.connect(2);
+    node.advance(400);
+    node.feed(1, &chunk(EMPTY_CHANGE));
+    node.advance(3100);
+    node.connect(3);
+    node.feed(3, WATCH_HEAD);
+    node.feed(3, &chunk(EMPTY_CHANGE));
+    node.advance(2000);
+    node.assert_trace(expect![[r#"
         0     #1 dials 127.0.0.1:8500
         0     #1 < GET /v1/servers?follow=1&since=41; Host: 127.0.0.1:8500
         3246  #2 dials 127.0.0.1:8500
@@ -702,7 +706,7 @@
 
 /// What can become of a call, or of a watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fails {
+enum CallFault {
     NeverUp,
     Refused,
     Unavailable,
@@ -715,63 +719,67 @@
     ResetAfterLine,
 }
 
-const FAILS: [Fails; 10] = [
-    Fails::NeverUp,
-    Fails::Refused,
-    Fails::Unavailable,
-    Fails::Reset,
-    Fails::SilentBeforeHead,
-    Fails::SilentWithinHead,
-    Fails::SilentBeforeLine,
-    Fails::SilentAfterLine,
-    Fails::SilentWithinLine,
-    Fails::ResetAfterLine,
+const CALL_FAULTS: [CallFault; 10] = [
+    CallFault::NeverUp,
+    CallFault::Refused,
+    CallFault::Unavailable,
+    CallFault::Reset,
+    CallFault::SilentBeforeHead,
+    CallFault::SilentWithinHead,
+    CallFault::SilentBeforeLine,
+    CallFault::SilentAfterLine,
+    CallFault::SilentWithinLine,
+    CallFault::ResetAfterLine,
 ];
 
 impl Node {
     /// What comes of the call on this connection; it is left with the fault just done.
-    fn fails(&mut self, connection: ConnectionId, how: Fails) {
-        if !matches!(how, Fails::NeverUp | Fails::Refused) {
-            self.up(connection);
+    fn inject_fault(&mut self, connection: ConnectionId, how: CallFault) {
+        if !matches!(how, CallFault::NeverUp | CallFault::Refused) {
+            self.connect(connection);
         }
         let said = match how {
-            Fails::NeverUp | Fails::SilentBeforeHead => return,
-            Fails::Refused => return self.end(connection, CloseReason::Refused),
-            Fails::Reset => return self.end(connection, CloseReason::Reset),
-            Fails::Unavailable => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            Fails::SilentWithinHead => WATCH[..20].to_owned(),
-            Fails::SilentBeforeLine => WATCH.to_owned(),
-            Fails::SilentAfterLine | Fails::ResetAfterLine => format!("{WATCH}{}", chunk(LISTED)),
-            Fails::SilentWithinLine => format!("{WATCH}{}{}", chunk(LISTED), chunk("{\"gen")),
+            CallFault::NeverUp | CallFault::SilentBeforeHead => return,
+            CallFault::Refused => return self.close(connection, CloseReason::Refused),
+            CallFault::Reset => return self.close(connection, CloseReason::Reset),
+            CallFault::Unavailable => {
+                "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned()
+            }
+            CallFault::SilentWithinHead => WATCH_HEAD[..20].to_owned(),
+            CallFault::SilentBeforeLine => WATCH_HEAD.to_owned(),
+            CallFault::SilentAfterLine | CallFault::ResetAfterLine => {
+                format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE))
+            }
+            CallFault::SilentWithinLine => format!("{WATCH_HEAD}{}{}", chunk(EMPTY_CHANGE), chunk("{\"gen")),
         };
         self.feed(connection, &said);
-        if how == Fails::ResetAfterLine {
-            self.end(connection, CloseReason::Reset);
+        if how == CallFault::ResetAfterLine {
+            self.close(connection, CloseReason::Reset);
         }
     }
 
     /// The connection of the call to discovery that came after the one on this, if there is one.
-    fn called_after(&self, before: ConnectionId) -> Option<ConnectionId> {
-        let calls = self.stage.sides.iter().filter(|(_, role)| **role == ConnectionRole::Roster);
+    fn next_call(&self, before: ConnectionId) -> Option<ConnectionId> {
+        let calls = self.driver.roles.iter().filter(|(_, role)| **role == ConnectionRole::Roster);
         calls.map(|(connection, _)| *connection).find(|connection| *connection > before)
     }
 
     /// The next call fails like this, if it has come. Gives the connection of the last one.
-    fn fails_on(&mut self, before: ConnectionId, how: Fails) -> ConnectionId {
-        let Some(connection) = self.called_after(before) else { return before };
-        self.fails(connection, how);
+    fn fault_next_call(&mut self, before: ConnectionId, how: CallFault) -> ConnectionId {
+        let Some(connection) = self.next_call(before) else { return before };
+        self.inject_fault(connection, how);
         connection
     }
 
     /// The connection of the next call, as soon as there is one.
-    fn asks_again(&mut self, before: ConnectionId) -> ConnectionId {
+    fn wait_for_next_call(&mut self, before: ConnectionId) -> ConnectionId {
         for _ in 0..1000 {
-            if let Some(connection) = self.called_after(before) {
+            if let Some(connection) = self.next_call(before) {
                 return connection;
             }
-            self.pass(10);
+            self.advance(10);
         }
-        panic!("it never asks again: {}", self.stage.trace);
+        panic!("it never asks again: {}", self.driver.trace);
     }
 }
 
@@ -780,27 +788,27 @@
 /// on nothing is forwarded for longer than that.
 #[test]
 fn whatever_goes_wrong_twice_the_list_is_in_force_in_time() {
-    for first in FAILS {
-        for then in FAILS {
-            let mut node = Node::followed(&RUNNERS[..1]);
-            node.end(1, CloseReason::Reset);
-            let connection = node.asks_again(1);
-            node.fails(connection, first);
-            let connection = node.asks_again(connection);
-            node.fails(connection, then);
-            let well_at = node.stage.now;
-            let connection = node.asks_again(connection);
-            node.up(connection);
-            node.pass(2000);
-            node.feed(connection, &format!("{WATCH}{}", chunk(LISTED)));
-            let took = (node.stage.now - well_at) / 1000;
-            assert!(took < 5800, "{first:?}, {then:?}: {took} ms, {}", node.stage.trace);
-            node.stage.trace.clear();
+    for first in CALL_FAULTS {
+        for then in CALL_FAULTS {
+            let mut node = Node::with_watch(&RUNNERS[..1]);
+            node.close(1, CloseReason::Reset);
+            let connection = node.wait_for_next_call(1);
+            node.inject_fault(connection, first);
+            let connection = node.wait_for_next_call(connection);
+            node.inject_fault(connection, then);
+            let well_at = node.driver.now;
+            let connection = node.wait_for_next_call(connection);
+            node.connect(connection);
+            node.advance(2000);
+            node.feed(connection, &format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE)));
+            let took = (node.driver.now - well_at) / 1000;
+            assert!(took < 5800, "{first:?}, {then:?}: {took} ms, {}", node.driver.trace);
+            node.driver.trace.clear();
             node.invoke("plan", "i1");
             assert!(
-                node.stage.trace.contains("dials 127.0.0.1:3001"),
+                node.driver.trace.contains("dials 127.0.0.1:3001"),
                 "{first:?}, {then:?}: {}",
-                node.stage.trace
+                node.driver.trace
             );
         }
     }
@@ -810,32 +818,32 @@
 /// through.
 #[test]
 fn nothing_is_forwarded_by_a_list_that_may_be_out_of_date() {
-    let silent = [Fails::SilentBeforeHead, Fails::SilentBeforeLine, Fails::Unavailable];
+    let silent = [CallFault::SilentBeforeHead, CallFault::SilentBeforeLine, CallFault::Unavailable];
     for how in silent {
-        let mut node = Node::followed(&RUNNERS[..1]);
-        node.pass(1000);
+        let mut node = Node::with_watch(&RUNNERS[..1]);
+        node.advance(1000);
         // Its dial comes up only when the list is in force no more.
         node.invoke("plan", "i1");
         let mut connection = 1;
-        while node.stage.now < START + 5_990_000 {
-            connection = node.fails_on(connection, how);
-            node.pass(10);
+        while node.driver.now < START + 5_990_000 {
+            connection = node.fault_next_call(connection, how);
+            node.advance(10);
         }
-        node.stage.trace.clear();
+        node.driver.trace.clear();
         node.invoke("plan", "i2");
-        node.pass(10);
+        node.advance(10);
         node.invoke("plan", "i3");
-        node.pass(300);
-        let trace = &node.stage.trace;
+        node.advance(300);
+        let trace = &node.driver.trace;
         assert_eq!(trace.matches("dials 127.0.0.1:3001").count(), 1, "{how:?}: {trace}");
         assert!(trace.contains("ends: unlisted"), "{how:?}: {trace}");
         // The list is heard: it goes on.
-        let connection = node.asks_again(connection);
-        node.up(connection);
-        node.feed(connection, &format!("{WATCH}{}", chunk(LISTED)));
-        node.stage.trace.clear();
+        let connection = node.wait_for_next_call(connection);
+        node.connect(connection);
+        node.feed(connection, &format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE)));
+        node.driver.trace.clear();
         node.invoke("plan", "i4");
-        assert!(node.stage.trace.contains("dials 127.0.0.1:3001"), "{how:?}: {}", node.stage.trace);
+        assert!(node.driver.trace.contains("dials 127.0.0.1:3001"), "{how:?}: {}", node.driver.trace);
     }
 }
 
@@ -845,53 +853,54 @@
 #[test]
 fn a_start_sends_nothing_before_discovery_has_been_heard_or_cannot_be_reached() {
     const READY: &str = "GET /healthz HTTP/1.1\r\n\r\n";
-    let starts = |how: Fails, heard: bool| {
+    let starts = |how: CallFault, heard: bool| {
         let mut node = Node::new(&RUNNERS[..1]);
-        node.fails(1, how);
+        node.inject_fault(1, how);
         node.invoke("plan", "i1");
         let look = node.accept();
         node.feed(look, READY);
         if heard {
-            node.feed(1, &chunk(LISTED));
+            node.feed(1, &chunk(EMPTY_CHANGE));
         }
         node.feed(look, READY);
         let mut connection = 1;
         let mut ready_at = None;
         for _ in 0..910 {
-            connection = node.fails_on(connection, how);
-            node.pass(10);
-            if ready_at.is_none() && node.stage.trace.contains("200 OK") {
-                ready_at = Some((node.stage.now - START) / 1000);
+            connection = node.fault_next_call(connection, how);
+            node.advance(10);
+            if ready_at.is_none() && node.driver.trace.contains("200 OK") {
+                ready_at = Some((node.driver.now - START) / 1000);
             }
             if ready_at.is_none() {
                 node.feed(look, READY);
             }
         }
-        (node.stage.trace.contains("dials 127.0.0.1:3001"), ready_at)
+        (node.driver.trace.contains("dials 127.0.0.1:3001"), ready_at)
     };
-    assert_eq!(starts(Fails::SilentBeforeLine, true), (true, Some(10)));
-    assert_eq!(starts(Fails::Refused, false), (true, Some(10)));
-    assert_eq!(starts(Fails::NeverUp, false), (false, Some(1010)));
-    assert_eq!(starts(Fails::Unavailable, false), (false, Some(9010)));
-    assert_eq!(starts(Fails::SilentBeforeHead, false), (false, Some(9010)));
+    assert_eq!(starts(CallFault::SilentBeforeLine, true), (true, Some(10)));
+    assert_eq!(starts(CallFault::Refused, false), (true, Some(10)));
+    assert_eq!(starts(CallFault::NeverUp, false), (false, Some(1010)));
+    assert_eq!(starts(CallFault::Unavailable, false), (false, Some(9010)));
+    assert_eq!(starts(CallFault::SilentBeforeHead, false), (false, Some(9010)));
 }
 
 /// Where lists are pushed an agent that does not answer has learnt nothing, as discovery is down: against an end of all
 /// service 6 s after its watch fell silent.
 #[test]
 fn an_agent_that_is_silent_stops_no_service() {
-    for how in [Fails::SilentBeforeHead, Fails::SilentBeforeLine, Fails::Unavailable] {
+    for how in [CallFault::SilentBeforeHead, CallFault::SilentBeforeLine, CallFault::Unavailable] {
         let pushed = configuration(&RUNNERS[..1]).replace("subscribe", "automatic");
-        let mut node = Node::told(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":500000")).hears();
+        let mut node = Node::from_text(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":500000"))
+            .with_watch_answered();
         let mut connection = 1;
-        while node.stage.now < START + 20_000_000 {
-            connection = node.fails_on(connection, how);
-            node.pass(10);
-            let ms = (node.stage.now - START) / 1000;
+        while node.driver.now < START + 20_000_000 {
+            connection = node.fault_next_call(connection, how);
+            node.advance(10);
+            let ms = (node.driver.now - START) / 1000;
             if [6_500, 13_000, 19_500].contains(&ms) {
-                node.stage.trace.clear();
+                node.driver.trace.clear();
                 node.invoke("plan", &format!("i{ms}"));
-                assert!(node.stage.trace.contains(":3001"), "{how:?} at {ms}: {}", node.stage.trace);
+                assert!(node.driver.trace.contains(":3001"), "{how:?} at {ms}: {}", node.driver.trace);
             }
         }
     }
@@ -903,17 +912,20 @@
     let mut node = Node::new(&RUNNERS[..1]);
     let (mut connection, mut sent_at, mut next_ask) = (0, None, START);
     let client = node.accept();
-    while node.stage.now < START + 30_000_000 && sent_at.is_none() {
-        connection = node.fails_on(connection, Fails::Unavailable);
-        node.pass(50);
-        if node.stage.now >= next_ask {
+    while node.driver.now < START + 30_000_000 && sent_at.is_none() {
+        connection = node.fault_next_call(connection, CallFault::Unavailable);
+        node.advance(50);
+        if node.driver.now >= next_ask {
             next_ask += 1_000_000;
             let asks =
                 format!("POST /plan HTTP/1.1\r\nX-Request-Id: i{next_ask}\r\nX-Deadline-Ms: 900\r\n\r\n");
             node.feed(client, &asks);
         }
-        sent_at =
-            node.stage.trace.contains("dials 127.0.0.1:3001").then_some((node.stage.now - START) / 1_000_000);
+        sent_at = node
+            .driver
+            .trace
+            .contains("dials 127.0.0.1:3001")
+            .then_some((node.driver.now - START) / 1_000_000);
     }
     assert!(sent_at.is_some_and(|sent_at| (25..=26).contains(&sent_at)), "{sent_at:?}");
 }
@@ -921,19 +933,19 @@
 /// Where discovery is down or cut off nothing can be told, and service goes on by the list that there is.
 #[test]
 fn a_discovery_that_cannot_be_reached_stops_no_service() {
-    let down = [Fails::NeverUp, Fails::Refused, Fails::Reset, Fails::Unavailable];
+    let down = [CallFault::NeverUp, CallFault::Refused, CallFault::Reset, CallFault::Unavailable];
     for how in down {
-        let mut node = Node::followed(&RUNNERS[..1]);
-        node.pass(1000);
-        node.end(1, CloseReason::Reset);
+        let mut node = Node::with_watch(&RUNNERS[..1]);
+        node.advance(1000);
+        node.close(1, CloseReason::Reset);
         let mut connection = 1;
-        while node.stage.now < START + 20_000_000 {
-            connection = node.fails_on(connection, how);
-            node.pass(10);
+        while node.driver.now < START + 20_000_000 {
+            connection = node.fault_next_call(connection, how);
+            node.advance(10);
         }
-        node.stage.trace.clear();
+        node.driver.trace.clear();
         node.invoke("plan", "i1");
-        assert!(node.stage.trace.contains("dials 127.0.0.1:3001"), "{how:?}: {}", node.stage.trace);
+        assert!(node.driver.trace.contains("dials 127.0.0.1:3001"), "{how:?}: {}", node.driver.trace);
     }
 }
 
@@ -941,24 +953,24 @@
 /// trickles for ever.
 #[test]
 fn a_whole_list_may_come_slowly_but_not_for_ever() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     let moved = config::decode(&configuration(&RUNNERS).replace("8500", "8501")).unwrap();
-    node.table.reload(moved, &mut node.stage);
-    node.up(2);
+    node.table.reload(moved, &mut node.driver);
+    node.connect(2);
     let list = r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-b","lifecycle":"up",
         "hostPort":"127.0.0.1:3002"}]}"#;
     let list = format!("{list}{}", " ".repeat(6 << 10));
     node.feed(2, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len()));
     for piece in list.as_bytes().chunks(1 << 10) {
-        node.pass(1400);
+        node.advance(1400);
         node.feed(2, std::str::from_utf8(piece).unwrap());
     }
     node.feed(2, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 1 << 20));
     for _ in 0..20 {
-        node.pass(600);
+        node.advance(600);
         node.feed(2, &" ".repeat(1 << 10));
     }
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #1 ends: watch_replaced
         0     #2 dials 127.0.0.1:8501
         0     #2 < GET /v1/servers; Host: 127.0.0.1:8501
@@ -974,23 +986,23 @@
 #[test]
 fn a_discovery_that_refuses_is_asked_again_within_the_grace_where_lists_are_pushed() {
     let pushed = configuration(&RUNNERS).replace("subscribe", "automatic");
-    let mut node = Node::told(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":250000"));
+    let mut node = Node::from_text(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":250000"));
     for connection in 1..=9 {
-        node.end(connection, CloseReason::Refused);
-        node.pass(95);
+        node.close(connection, CloseReason::Refused);
+        node.advance(95);
     }
-    assert_eq!(node.stage.trace.matches("dials 127.0.0.1:8500").count(), 10, "{}", node.stage.trace);
+    assert_eq!(node.driver.trace.matches("dials 127.0.0.1:8500").count(), 10, "{}", node.driver.trace);
 }
 
 /// A byte now and then is no sign of life: what the watch does not tell counts as told all the same.
 #[test]
 fn a_watch_that_trickles_without_a_whole_line_is_silent() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     for _ in 0..5 {
-        node.pass(700);
+        node.advance(700);
         node.feed(1, "1\r\n \r\n");
     }
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         3046  #2 dials 127.0.0.1:8500
         3046  #2 < GET /v1/servers?follow=1&since=42; Host: 127.0.0.1:8500
     "#]]);
@@ -999,7 +1011,7 @@
 /// Against a version that counts as had while its drain was thrown away: nothing tells it again.
 #[test]
 fn a_drain_is_heard_whatever_else_of_its_entry_cannot_be_read() {
-    let mut node = Node::followed(&RUNNERS);
+    let mut node = Node::with_watch(&RUNNERS);
     let changes = [
         r#"{"instanceId":"s-a","lifecycle":"draining","hostPort":"nowhere","cell":"x"}"#,
         r#"{"instanceId":"s-b","lifecycle":"resting"}"#,
@@ -1009,8 +1021,8 @@
     let list = format!(r#"{{"generation":43,"reset":false,"instances":[{}]}}"#, changes.join(","));
     node.feed(1, &chunk(&format!("{list}\n")));
     node.invoke("plan", "i1");
-    node.pass(900);
-    node.shows(expect![[r#"
+    node.advance(900);
+    node.assert_trace(expect![[r#"
         750   #2 < 429 Too Many Requests; Retry-After: 0.500; Content-Length: 0
     "#]]);
 }
@@ -1018,16 +1030,16 @@
 /// An indented list is many lines and one object; it may come in pieces.
 #[test]
 fn a_list_over_several_lines_is_read_once_it_is_whole() {
-    let mut node = Node::followed(&RUNNERS);
+    let mut node = Node::with_watch(&RUNNERS);
     node.feed(1, &chunk("{\n  \"generation\": 43,\n  \"reset\": false,\n  \"instances\": [\n"));
     node.feed(1, &chunk("    {\"instanceId\": \"s-a\",\n \"lifecycle\": \"draining\"}\n  ]\n"));
     node.feed(1, &chunk("}\n\n{\"generation\":44,\"instances\":[]}\n{\"gen"));
     for id in ["i1", "i2", "i3"] {
         node.invoke("plan", id);
     }
-    node.end(1, CloseReason::Reset);
-    node.pass(500);
-    node.shows(expect![[r#"
+    node.close(1, CloseReason::Reset);
+    node.advance(500);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3002
         0     #5 dials 127.0.0.1:3002
         154   #7 dials 127.0.0.1:8500
@@ -1040,16 +1052,16 @@
 /// Discovery has begun to count anew at the same address: a drain between its counts would be told by neither.
 #[test]
 fn a_generation_that_goes_back_brings_the_whole_list() {
-    let mut node = Node::followed(&RUNNERS);
+    let mut node = Node::with_watch(&RUNNERS);
     let gone = r#"{"generation":7,"reset":false,"instances":[{"instanceId":"s-b","lifecycle":"removed"}]}"#;
     node.feed(1, &chunk(&format!("{gone}\n")));
-    node.pass(400);
-    node.up(2);
+    node.advance(400);
+    node.connect(2);
     let list = r#"{"generation":9,"reset":true,"instances":[{"instanceId":"s-a","lifecycle":"draining"}]}"#;
     node.feed(2, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
     node.invoke("plan", "i1");
-    node.pass(800);
-    node.shows(expect![[r#"
+    node.advance(800);
+    node.assert_trace(expect![[r#"
         0     #1 ends: bad_answer
         246   #2 dials 127.0.0.1:8500
         246   #2 < GET /v1/servers; Host: 127.0.0.1:8500
@@ -1061,13 +1073,13 @@
 /// What waits for a dial to the address that a runner had before goes to the one that it has.
 #[test]
 fn what_waits_for_a_dial_to_an_address_of_before_goes_to_the_new_one() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("plan", "i1");
     let moved = r#"{"generation":43,"instances":[{"instanceId":"s-a","lifecycle":"up","hostPort":"127.0.0.1:3009"}]}"#;
     node.feed(1, &chunk(&format!("{moved}\n")));
-    node.pass(100);
-    node.up(4);
-    node.shows(expect![[r#"
+    node.advance(100);
+    node.connect(4);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 ends: unlisted
         0     #4 dials 127.0.0.1:3009
@@ -1077,18 +1089,18 @@
 
 #[test]
 fn a_new_discovery_is_asked_for_its_whole_list_at_once() {
-    let mut node = Node::followed(&RUNNERS);
+    let mut node = Node::with_watch(&RUNNERS);
     let moved = |port: &str| {
         let text = configuration(&RUNNERS).replace("8500", port).replace("\"sockets\":64", "\"sockets\":128");
         config::decode(&text).unwrap()
     };
-    node.table.reload(moved("8501"), &mut node.stage);
+    node.table.reload(moved("8501"), &mut node.driver);
     // The same again leaves the watch that is under way alone.
-    node.table.reload(moved("8501"), &mut node.stage);
-    node.up(2);
+    node.table.reload(moved("8501"), &mut node.driver);
+    node.connect(2);
     node.feed(2, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-    node.pass(600);
-    node.up(3);
+    node.advance(600);
+    node.connect(3);
     let list = r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-b","lifecycle":"up",
         "hostPort":"127.0.0.1:3002"}]}"#;
     node.feed(3, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
@@ -1098,9 +1110,9 @@
         node.invoke("plan", id);
     }
     // Told to end while yet another watch is being dialled.
-    node.table.reload(moved("8502"), &mut node.stage);
-    node.table.go_down(&mut node.stage);
-    node.shows(expect![[r#"
+    node.table.reload(moved("8502"), &mut node.driver);
+    node.table.begin_shutdown(&mut node.driver);
+    node.assert_trace(expect![[r#"
         0     #1 ends: watch_replaced
         0     #2 dials 127.0.0.1:8501
         0     #2 < GET /v1/servers; Host: 127.0.0.1:8501
@@ -1118,14 +1130,14 @@
 
 #[test]
 fn a_listed_address_is_used_at_once_and_a_bad_entry_passed_over() {
-    let mut node = Node::holding("plan");
+    let mut node = Node::with_accepted_forward("plan");
     let moved = concat!(
         r#"{"generation":43,"reset":true,"instances":[{"instanceId":"s-x","lifecycle":"odd"},"#,
         r#"{"instanceId":"s-a","hostPort":"127.0.0.1:3009","lifecycle":"up"}]}"#
     );
     node.feed(1, &chunk(&format!("{moved}\n")));
     node.invoke("plan", "i2");
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #3 ends: unlisted
@@ -1135,26 +1147,26 @@
 
 #[test]
 fn told_to_end_it_answers_what_it_has_taken() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     let idle = node.accept();
     node.invoke("plan", "i1");
-    node.up(4);
-    node.feed(4, TAKEN);
-    node.table.go_down(&mut node.stage);
-    node.table.go_down(&mut node.stage);
+    node.connect(4);
+    node.feed(4, ACCEPTED);
+    node.table.begin_shutdown(&mut node.driver);
+    node.table.begin_shutdown(&mut node.driver);
     let late = node.accept();
     node.feed(late, "GET /healthz HTTP/1.1\r\n\r\n");
-    node.pass(1000);
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
+    node.advance(1000);
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
     // Whoever has a connection may have no other dispatcher to go to yet.
-    node.pass(900);
+    node.advance(900);
     node.feed(idle, "POST /plan HTTP/1.1\r\nX-Request-Id: i2\r\nX-Deadline-Ms: 900\r\n\r\n");
-    node.feed(4, TAKEN);
-    node.pass(200);
-    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
-    node.call_back(r#"{"id":"i2","from":"s-a","state":"done","result":"q"}"#);
-    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
-    node.shows(expect![[r#"
+    node.feed(4, ACCEPTED);
+    node.advance(200);
+    node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
+    node.send_callback(r#"{"id":"i2","from":"s-a","state":"done","result":"q"}"#);
+    node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
+    node.assert_trace(expect![[r#"
         0     #4 dials 127.0.0.1:3001
         0     #4 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #5 < 503 Service Unavailable; Content-Length: 0
@@ -1174,17 +1186,17 @@
 /// What has come on a connection that was to be ended as idle has been taken.
 #[test]
 fn told_to_end_it_reads_what_has_just_come() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     let client = node.accept();
-    node.stage.stale.insert(client);
-    node.table.go_down(&mut node.stage);
-    node.pass(2000);
-    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
+    node.driver.stale.insert(client);
+    node.table.begin_shutdown(&mut node.driver);
+    node.advance(2000);
+    node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
     node.feed(client, "POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 900\r\n\r\n");
-    node.end(3, CloseReason::Refused);
-    node.pass(900);
-    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
-    node.shows(expect![[r#"
+    node.close(3, CloseReason::Refused);
+    node.advance(900);
+    node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
+    node.assert_trace(expect![[r#"
         2000  down: false
         2000  #3 dials 127.0.0.1:3001
         2420  #4 dials 127.0.0.1:3001
@@ -1197,13 +1209,13 @@
 
 #[test]
 fn told_to_end_it_leaves_nothing_unanswered() {
-    let mut node = Node::holding("book");
-    node.table.go_down(&mut node.stage);
-    node.pass(2200);
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"running","share":0.4}"#);
-    node.pass(1200);
-    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
-    node.shows(expect![[r#"
+    let mut node = Node::with_accepted_forward("book");
+    node.table.begin_shutdown(&mut node.driver);
+    node.advance(2200);
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"running","share":0.4}"#);
+    node.advance(1200);
+    node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         2200  #4 < 200 OK; Content-Length: 0
@@ -1219,15 +1231,15 @@
 /// What may be repeated would be forwarded anew, and be lost when the process ends.
 #[test]
 fn told_to_end_it_forwards_nothing_anew_at_the_last_moment() {
-    let mut node = Node::followed(&RUNNERS);
-    node.table.go_down(&mut node.stage);
-    node.pass(2900);
+    let mut node = Node::with_watch(&RUNNERS);
+    node.table.begin_shutdown(&mut node.driver);
+    node.advance(2900);
     node.invoke("plan", "i1");
-    node.up(3);
-    node.feed(3, TAKEN);
-    node.pass(430);
-    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
-    node.shows(expect![[r#"
+    node.connect(3);
+    node.feed(3, ACCEPTED);
+    node.advance(430);
+    node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
+    node.assert_trace(expect![[r#"
         2900  #3 dials 127.0.0.1:3001
         2900  #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         3046  #4 dials 127.0.0.1:8500
@@ -1245,23 +1257,24 @@
 #[test]
 fn told_to_end_it_goes_by_the_longest_client_timeout_of_its_settings() {
     let text = configuration(&RUNNERS[..1]);
-    let mut node = Node::told(&text.replace("8000000", "900000").replace("5000000", "600000")).hears();
+    let mut node = Node::from_text(&text.replace("8000000", "900000").replace("5000000", "600000"))
+        .with_watch_answered();
     let kept: Vec<ConnectionId> = (0..3).map(|_| node.accept()).collect();
     let asks = |id: &str| format!("POST /book HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
-    node.table.go_down(&mut node.stage);
-    node.pass(800);
+    node.table.begin_shutdown(&mut node.driver);
+    node.advance(800);
     node.feed(kept[0], &asks("i1"));
-    node.up(5);
+    node.connect(5);
     // What has come on the others is read later; the second one's dial is still under way at the end.
-    node.stage.stale.extend(&kept[1..]);
-    node.pass(300);
+    node.driver.stale.extend(&kept[1..]);
+    node.advance(300);
     node.feed(kept[1], &asks("i2"));
-    node.pass(101);
-    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
+    node.advance(101);
+    node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
     node.feed(kept[2], &asks("i3"));
-    node.pass(30);
-    node.stage.say(&format!("down: {}", node.table.is_down(node.stage.now)));
-    node.shows(expect![[r#"
+    node.advance(30);
+    node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
+    node.assert_trace(expect![[r#"
         800   #5 dials 127.0.0.1:3001
         800   #5 < POST /book; X-Request-Id: i1; X-Deadline-Ms: 880; Content-Length: 0
         1100  #6 dials 127.0.0.1:3001
@@ -1282,21 +1295,21 @@
 #[test]
 fn what_has_not_left_when_its_client_does_never_leaves() {
     let text = configuration(&RUNNERS[..1]).replace("\"cancel\":true", "\"cancel\":false");
-    let mut node = Node::told(&text).hears();
+    let mut node = Node::from_text(&text).with_watch_answered();
     let dials = node.invoke("book", "i1");
-    node.end(dials, CloseReason::PeerClosed);
-    node.up(3);
+    node.close(dials, CloseReason::PeerClosed);
+    node.connect(3);
     // Behind a full socket only part of it has gone, which no runner begins on.
-    node.stage.stuck.insert(3);
+    node.driver.blocked.insert(3);
     let half = node.invoke("book", "i2");
-    node.end(half, CloseReason::Reset);
+    node.close(half, CloseReason::Reset);
     // After a forward that came back, and before the next.
     let again = node.invoke("book", "i3");
-    node.up(6);
+    node.connect(6);
     node.feed(6, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-    node.end(again, CloseReason::PeerClosed);
-    node.pass(900);
-    node.shows(expect![[r#"
+    node.close(again, CloseReason::PeerClosed);
+    node.advance(900);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i2; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #3 ends: given_up
@@ -1308,11 +1321,11 @@
 /// A runner that is told of time that the dial has used up works for nobody.
 #[test]
 fn a_forward_tells_what_is_left_when_it_leaves() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("plan", "i1");
-    node.pass(200);
-    node.up(3);
-    node.shows(expect![[r#"
+    node.advance(200);
+    node.connect(3);
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         200   #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4780; Content-Length: 2 = hi
     "#]]);
@@ -1322,31 +1335,31 @@
 /// over a connection at rest, a dial and one that comes free.
 #[test]
 fn a_client_whose_end_has_not_been_read_yet_is_not_served() {
-    let mut node = Node::holding("plan");
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
-    node.stage.trace.clear();
+    let mut node = Node::with_accepted_forward("plan");
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
+    node.driver.trace.clear();
     // Over the connection at rest.
     let client = node.accept();
-    node.stage.left.insert(client);
+    node.driver.closed_by_peer.insert(client);
     node.feed(client, "POST /plan HTTP/1.1\r\nX-Request-Id: i2\r\nX-Deadline-Ms: 5000\r\n\r\n");
     // Its end, when it is read, is no more news; the next one has the connection.
-    node.end(client, CloseReason::PeerClosed);
+    node.close(client, CloseReason::PeerClosed);
     let third = node.invoke("plan", "i3");
     // Over a dial, and over connections that come free.
     let dialling = |node: &mut Node, id: &str| {
         let client = node.invoke("plan", id);
-        node.stage.left.insert(client);
-        *node.stage.sides.iter().rfind(|(_, role)| **role == ConnectionRole::Runner).unwrap().0
+        node.driver.closed_by_peer.insert(client);
+        *node.driver.roles.iter().rfind(|(_, role)| **role == ConnectionRole::Runner).unwrap().0
     };
     let dialled = dialling(&mut node, "i4");
     dialling(&mut node, "i5");
-    node.up(dialled);
-    node.feed(3, TAKEN);
+    node.connect(dialled);
+    node.feed(3, ACCEPTED);
     // A further forward.
-    node.stage.left.insert(third);
-    node.call_back(r#"{"id":"i3","from":"s-a","state":"returned"}"#);
-    node.pass(400);
-    let trace = &node.stage.trace;
+    node.driver.closed_by_peer.insert(third);
+    node.send_callback(r#"{"id":"i3","from":"s-a","state":"returned"}"#);
+    node.advance(400);
+    let trace = &node.driver.trace;
     assert_eq!(trace.matches("< POST").count(), 1, "{trace}");
     assert!(trace.contains("X-Request-Id: i3"), "{trace}");
 }
@@ -1357,16 +1370,16 @@
     for left in
         [r#"{"instanceId":"s-a","lifecycle":"draining"}"#, r#"{"instanceId":"s-a","lifecycle":"removed"}"#]
     {
-        let mut node = Node::followed(&RUNNERS[..1]);
+        let mut node = Node::with_watch(&RUNNERS[..1]);
         node.invoke("book", "i1");
         let list = format!(r#"{{"generation":43,"instances":[{left}]}}"#);
         node.feed(1, &chunk(&format!("{list}\n")));
         let other = r#"{"instanceId":"s-b","lifecycle":"up","hostPort":"127.0.0.1:3002"}"#;
         node.feed(1, &chunk(&format!("{{\"generation\":44,\"instances\":[{other}]}}\n")));
-        node.pass(100);
-        let lines = node.stage.trace.lines().filter(|line| line.contains("dials"));
+        node.advance(100);
+        let lines = node.driver.trace.lines().filter(|line| line.contains("dials"));
         assert_eq!(lines.map(|line| &line[line.len() - 4..]).collect::<Vec<_>>(), ["3001", "3002"]);
-        assert!(!node.stage.trace.contains("POST"), "{}", node.stage.trace);
+        assert!(!node.driver.trace.contains("POST"), "{}", node.driver.trace);
     }
 }
 
@@ -1376,49 +1389,49 @@
 fn an_answer_that_may_be_anothers_never_says_that_nothing_ran() {
     for second in ["503 Service Unavailable\r\nX-Not-Run: 1", "400 Bad Request", "500 Internal Server Error"]
     {
-        let mut node = Node::holding("book");
+        let mut node = Node::with_accepted_forward("book");
         node.invoke("book", "i2");
         node.feed(3, &format!("HTTP/1.1 {second}\r\nContent-Length: 0\r\n\r\n"));
-        node.pass(300);
-        let of = |text: &str| node.stage.trace.matches(text).count();
-        assert_eq!((of("X-Request-Id: i2"), of("502 Bad Gateway")), (1, 1), "{}", node.stage.trace);
-        assert!(node.stage.trace.contains("#3 ends: bad_answer"), "{}", node.stage.trace);
-    }
-    let mut node = Node::holding("plan");
-    node.end(2, CloseReason::PeerClosed);
-    node.feed(3, DELETED);
-    node.pass(260);
-    let deletes = |node: &Node| node.stage.trace.matches("DELETE /jobs/i1").count();
+        node.advance(300);
+        let of = |text: &str| node.driver.trace.matches(text).count();
+        assert_eq!((of("X-Request-Id: i2"), of("502 Bad Gateway")), (1, 1), "{}", node.driver.trace);
+        assert!(node.driver.trace.contains("#3 ends: bad_answer"), "{}", node.driver.trace);
+    }
+    let mut node = Node::with_accepted_forward("plan");
+    node.close(2, CloseReason::PeerClosed);
+    node.feed(3, NO_CONTENT);
+    node.advance(260);
+    let deletes = |node: &Node| node.driver.trace.matches("DELETE /jobs/i1").count();
     assert_eq!(deletes(&node), 1);
-    node.up(4);
-    assert_eq!(deletes(&node), 2, "{}", node.stage.trace);
+    node.connect(4);
+    assert_eq!(deletes(&node), 2, "{}", node.driver.trace);
 }
 
 /// Who asks nothing goes first, then who has only asked whether we are ready, then whoever was idle longest.
 #[test]
 fn a_newcomer_takes_the_place_of_one_that_asks_nothing() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     let usual = node.accept();
     node.feed(usual, "POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 15\r\n\r\n");
     let asked = node.accept();
     node.feed(asked, "GET /healthz HTTP/1.1\r\n\r\n");
     for _ in 0..36 {
         node.accept();
-        node.pass(5);
+        node.advance(5);
     }
-    node.stage.trace.clear();
-    let lingers = node.stage.open(ConnectionRole::Client);
-    node.stage.lingering.push(lingers);
+    node.driver.trace.clear();
+    let lingers = node.driver.open_connection(ConnectionRole::Client);
+    node.driver.lingering.push(lingers);
     node.accept();
     // All newcomers are too young.
     node.accept();
     node.accept();
-    node.pass(110);
+    node.advance(110);
     node.accept();
     node.feed(4, "POST /plan HTTP/1.1\r\nX-");
-    node.pass(5);
+    node.advance(5);
     node.accept();
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         180   #40 ends: bad_input
         180   #3 ends: made_room
         180   #2 ends: made_room
@@ -1429,23 +1442,23 @@
 
 #[test]
 fn whoever_asks_nothing_whole_in_time_is_let_go() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     let links = [node.accept(), node.accept(), node.accept()];
     for _ in 0..12 {
-        node.pass(200);
+        node.advance(200);
         node.feed(links[1], "G");
         node.feed(links[2], "GET /hea");
         node.feed(links[2], "lthz HTTP/1.1\r\n\r\n");
     }
-    node.stage.trace.clear();
-    node.feed(1, BEAT);
-    node.pass(1000);
-    let looks = node.stage.dues.values().filter(|due| **due == Timer::Connection(links[2])).count();
-    node.stage.say(&format!("looks asked for: {looks}"));
+    node.driver.trace.clear();
+    node.feed(1, EMPTY_LINE);
+    node.advance(1000);
+    let looks = node.driver.timers.values().filter(|due| **due == Timer::Connection(links[2])).count();
+    node.driver.record(&format!("looks asked for: {looks}"));
     // One that has asked before may rest, but its next request must be whole in time too.
     node.feed(links[2], "GET /hea");
-    node.pass(3000);
-    node.shows(expect![[r#"
+    node.advance(3000);
+    node.assert_trace(expect![[r#"
         2500  #2 ends: silent
         2500  #3 ends: slow_request
         3400  looks asked for: 1
@@ -1457,22 +1470,22 @@
 
 #[test]
 fn half_a_request_and_a_close_reach_no_runner_and_many_at_once_are_taken_in_turn() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     let half = node.accept();
     node.feed(
         half,
         "POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 900\r\nContent-Length: 9\r\n\r\nhi",
     );
-    node.end(half, CloseReason::PeerClosed);
+    node.close(half, CloseReason::PeerClosed);
     let hasty = node.accept();
     let request = |id| format!("POST /plan HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
     node.feed(hasty, &(request("i1") + &request("i2") + &request("i2") + &request("i3")));
-    node.up(4);
+    node.connect(4);
     for id in ["i1", "i2"] {
-        node.feed(4, TAKEN);
-        node.call_back(&format!(r#"{{"id":"{id}","from":"s-a","state":"done","result":"r"}}"#));
+        node.feed(4, ACCEPTED);
+        node.send_callback(&format!(r#"{{"id":"{id}","from":"s-a","state":"done","result":"r"}}"#));
     }
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #4 dials 127.0.0.1:3001
         0     #4 < POST /plan; X-Request-Id: i1; X-Deadline-Ms: 880; Content-Length: 0
         0     #5 < 200 OK; Content-Length: 0
@@ -1487,17 +1500,17 @@
 
 #[test]
 fn whoever_reads_no_answers_is_read_no_further() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     let client = node.accept();
     node.feed(client, "GET /healthz HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\n\r\n");
-    node.stage.stuck.insert(client);
+    node.driver.blocked.insert(client);
     node.feed(client, &"GET /healthz HTTP/1.1\r\n\r\n".repeat(2));
-    node.stage.say("reads");
-    node.stage.stuck.clear();
+    node.driver.record("reads");
+    node.driver.blocked.clear();
     node.feed(client, "");
-    node.stage.stuck.insert(client);
-    node.pass(3000);
-    node.shows(expect![[r#"
+    node.driver.blocked.insert(client);
+    node.advance(3000);
+    node.assert_trace(expect![[r#"
         0     #2 < 200 OK; Content-Length: 0
         0     #2 < 200 OK; Content-Length: 0
         0     reads
@@ -1510,11 +1523,11 @@
 /// An id is for one request: sent again after its answer it is somebody else's.
 #[test]
 fn an_id_that_has_been_answered_is_not_taken_again() {
-    let mut node = Node::holding("plan");
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
-    node.stage.trace.clear();
+    let mut node = Node::with_accepted_forward("plan");
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
+    node.driver.trace.clear();
     node.invoke("plan", "i1");
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #5 < 400 Bad Request; Connection: close; Content-Length: 11 = repeated_id
         0     #5 ends: bad_input
     "#]]);
@@ -1522,16 +1535,16 @@
 
 #[test]
 fn what_a_runner_cannot_use_is_not_tried_again_nor_held_against_it() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     for id in ["i1", "i2", "i3"] {
         node.invoke("plan", id);
         if id == "i1" {
-            node.up(3);
+            node.connect(3);
         }
         node.feed(3, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
-        node.pass(20);
+        node.advance(20);
     }
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /plan/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #2 < 400 Bad Request; Content-Length: 0
@@ -1545,26 +1558,26 @@
 #[test]
 fn beyond_what_it_may_hold_it_turns_away_at_once() {
     let text = configuration(&RUNNERS[..1]).replace("\"openCap\":20000", "\"openCap\":1");
-    let mut stage = Stage { now: START, ..Stage::default() };
-    let table = RequestTable::new(config::decode(&text).unwrap(), None, None, &mut stage);
-    let mut node = Node { table, stage };
-    node.settle();
-    node = node.hears();
+    let mut driver = TestDriver { now: START, ..TestDriver::default() };
+    let table = RequestTable::new(config::decode(&text).unwrap(), None, None, &mut driver);
+    let mut node = Node { table, driver };
+    node.run_until_idle();
+    node = node.with_watch_answered();
     node.invoke("plan", "i1");
     node.invoke("plan", "i2");
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #4 < 503 Service Unavailable; Retry-After: 1.000; Content-Length: 0
     "#]]);
 }
 
 fn refusal(request: &str) -> String {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     let connection = node.accept();
     node.feed(connection, request);
     let unharmed = node.accept();
     node.feed(unharmed, "GET /healthz HTTP/1.1\r\n\r\n");
-    node.stage.trace.lines().map(|line| line[6..].to_owned() + "\n").collect()
+    node.driver.trace.lines().map(|line| line[6..].to_owned() + "\n").collect()
 }
 
 #[test]
@@ -1664,10 +1677,10 @@
         #2 ends: bad_input
         #2 < 503 Service Unavailable; Content-Length: 0"#]]
     .assert_eq(&shown.join("\n"));
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("plan", "i1");
     node.invoke("plan", "i1");
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #4 < 400 Bad Request; Connection: close; Content-Length: 11 = repeated_id
         0     #4 ends: bad_input
@@ -1676,11 +1689,11 @@
 
 #[test]
 fn an_answer_that_cannot_be_read_may_have_run() {
-    let mut node = Node::followed(&RUNNERS[..1]);
+    let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("book", "i1");
-    node.up(3);
+    node.connect(3);
     node.feed(3, "SMTP ready\r\n\r\n");
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
         0     #3 < POST /book/7?x=1; Host: o; X-Request-Id: i1; Idempotency-Key: k; X-Deadline-Ms: 4980; Content-Length: 2 = hi
         0     #3 ends: bad_answer
@@ -1690,9 +1703,9 @@
 
 #[test]
 fn operators_are_answered_whatever_else_is_open() {
-    let mut node = Node::holding("plan");
+    let mut node = Node::with_accepted_forward("plan");
     // Some say nothing, or half a call, and stay: they keep nobody out for long.
-    let silent: Vec<ConnectionId> = (0..16).map(|_| node.operator()).collect();
+    let silent: Vec<ConnectionId> = (0..16).map(|_| node.connect_operator()).collect();
     node.feed(silent[1], "sta");
     node.call("status");
     node.feed(silent[1], "t");
@@ -1700,10 +1713,10 @@
     for line in ["", "status now", "stop", &"x".repeat(600), "\u{1}"] {
         node.call(line);
     }
-    node.pass(5000);
-    node.table.go_down(&mut node.stage);
+    node.advance(5000);
+    node.table.begin_shutdown(&mut node.driver);
     node.call("status");
-    let lines = node.stage.trace.lines().filter(|line| line.contains("YES") || line.contains("NO"));
+    let lines = node.driver.trace.lines().filter(|line| line.contains("YES") || line.contains("NO"));
     expect![[r#"
         0     #20 < YES
         0     #5 < YES
@@ -1715,30 +1728,30 @@
         5000  #32 < NO going down
     "#]]
     .assert_eq(&lines.map(|line| format!("{line}\n")).collect::<String>());
-    assert!(node.stage.trace.contains("#4 ends: made_room"));
-    assert_eq!(node.stage.trace.matches("ends: slow_request").count(), 14);
+    assert!(node.driver.trace.contains("#4 ends: made_room"));
+    assert_eq!(node.driver.trace.matches("ends: slow_request").count(), 14);
 }
 
 #[test]
 fn figures_count_what_clients_were_answered() {
-    let mut node = Node::holding("plan");
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
+    let mut node = Node::with_accepted_forward("plan");
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
     // One whose forward breaks before it is written whole, and comes to nothing elsewhere.
-    node.stage.stuck.insert(3);
+    node.driver.blocked.insert(3);
     let client = node.invoke("book", "i2");
-    node.end(3, CloseReason::Reset);
-    node.stage.stuck.clear();
+    node.close(3, CloseReason::Reset);
+    node.driver.blocked.clear();
     // One that is open, one of a client that leaves, one that is turned away unseen, one that is no good.
     let left = node.invoke("lodge", "i3");
-    node.end(left, CloseReason::PeerClosed);
+    node.close(left, CloseReason::PeerClosed);
     let late = node.accept();
     node.feed(late, "POST /plan HTTP/1.1\r\nX-Request-Id: i4\r\nX-Deadline-Ms: 1\r\n\r\n");
     node.feed(late, "POST /nothing HTTP/1.1\r\nX-Request-Id: i5\r\nX-Deadline-Ms: 1\r\n\r\n");
-    node.table.reload(config::decode(&configuration(&RUNNERS)).unwrap(), &mut node.stage);
-    node.table.turn_down("no JSON");
-    node.stage.trace.clear();
+    node.table.reload(config::decode(&configuration(&RUNNERS)).unwrap(), &mut node.driver);
+    node.table.reject_configuration("no JSON");
+    node.driver.trace.clear();
     node.call("stats");
-    assert!(node.stage.sides.contains_key(&client));
+    assert!(node.driver.roles.contains_key(&client));
     expect![[r#"
         0     #8 < edge_relay.passed.book=0
         edge_relay.passed.lodge=0
@@ -1762,7 +1775,7 @@
         END
         0     #8 ends: answered_last
     "#]]
-    .assert_eq(&node.stage.trace);
+    .assert_eq(&node.driver.trace);
 }
 
 #[test]
@@ -1771,16 +1784,16 @@
         X-Extras: slots=2\r\nX-Deadline-Ms: 900\r\nTransfer-Encoding: chunked\r\n\r\n\
         3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: t\r\n\r\n";
     for cut in 1..request.len() {
-        let mut stage = Stage { now: START, ..Stage::default() };
+        let mut driver = TestDriver { now: START, ..TestDriver::default() };
         let mut clients = Clients::new();
         let told = config::decode(&configuration(&[])).unwrap().decoded;
         clients.operations.set(told.operations.into_iter().zip(told.settings.operations).collect(), START);
-        clients.accepted(7, &mut stage);
+        clients.accepted(7, &mut driver);
         let mut input = request.as_bytes()[..cut].to_vec();
-        clients.bytes(7, &mut input, &mut stage);
+        clients.bytes(7, &mut input, &mut driver);
         assert!(clients.heard.is_empty());
         input.extend_from_slice(&request.as_bytes()[cut..]);
-        clients.bytes(7, &mut input, &mut stage);
+        clients.bytes(7, &mut input, &mut driver);
         let Some(ClientEvent::Invocation(told)) = clients.heard.pop() else {
             panic!("nothing heard, cut at {cut}")
         };
@@ -1797,13 +1810,13 @@
         2e\r\n{\"generation\":7,\"reset\":true,\"instances\":[]}\n\n\r\n\
         4\r\n{\"ge\r\n2a\r\nneration\":8,\"instances\":[{},{\"a\":1}]}\n\n\n\n\n\r\n";
     for cut in 1..watch.len() {
-        let mut stage = Stage { now: START, ..Stage::default() };
+        let mut driver = TestDriver { now: START, ..TestDriver::default() };
         let mut roster = Roster::new("127.0.0.1:1".parse().unwrap(), 0, false);
-        roster.follow(&mut stage);
+        roster.follow(&mut driver);
         let mut input = watch.as_bytes()[..cut].to_vec();
-        roster.bytes(1, &mut input, &mut stage);
+        roster.bytes(1, &mut input, &mut driver);
         input.extend_from_slice(&watch.as_bytes()[cut..]);
-        roster.bytes(1, &mut input, &mut stage);
+        roster.bytes(1, &mut input, &mut driver);
         let heard: Vec<_> = roster.heard.iter().map(|heard| (heard.listing, heard.entries.len())).collect();
         assert_eq!(format!("{heard:?}"), "[(All, 0), (Changes, 0)]", "cut at {cut}");
     }
@@ -1928,15 +1941,15 @@
 
 #[test]
 fn a_runner_out_by_hand_gets_nothing_whatever_the_list_says() {
-    let mut node = Node::followed(&RUNNERS);
+    let mut node = Node::with_watch(&RUNNERS);
     // A forward that waits for its connection has not left: it goes elsewhere.
     node.invoke("plan", "i1");
-    let first = if node.stage.trace.contains(":3001") { "s-a" } else { "s-b" };
+    let first = if node.driver.trace.contains(":3001") { "s-a" } else { "s-b" };
     node.call(&format!("maint-on {first}"));
     node.call(&format!("maint-on {first}"));
     node.call("maint-on s-x");
     node.call("maint-on");
-    node.stage.trace.push_str("listed anew\n");
+    node.driver.trace.push_str("listed anew\n");
     let listed = |started: Micros| {
         let instance = |(id, address): &(&str, &str)| {
             format!(
@@ -1951,7 +1964,7 @@
         node.invoke("plan", id);
     }
     node.call("stats");
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3002
         0     #3 ends: unlisted
         0     #4 < YES
@@ -2023,44 +2036,46 @@
 
 #[test]
 fn an_upgrade_leaves_nothing_behind() {
-    let mut old = Node::holding("plan");
+    let mut old = Node::with_accepted_forward("plan");
     old.call("maint-on s-a");
-    assert!(old.table.accepts() && old.table.may_hand_over());
+    assert!(old.table.accepts_connections() && old.table.can_hand_over());
     let mut new = Node::successor(&mut old, PEER);
-    assert!(!old.table.accepts() && !old.table.may_hand_over() && new.table.accepts());
-    old.stage.trace.clear();
+    assert!(
+        !old.table.accepts_connections() && !old.table.can_hand_over() && new.table.accepts_connections()
+    );
+    old.driver.trace.clear();
     // The list goes on from where the old process had it; who is out by hand stays out.
     new.invoke("plan", "i2");
     // An id that is open in the other process, or was taken there since, has its request.
     new.invoke("plan", "i1");
     let kept = old.accept();
     old.feed(kept, "POST /plan HTTP/1.1\r\nX-Request-Id: i3\r\nX-Deadline-Ms: 900\r\n\r\n");
-    old.passes_on(PEER, &mut new);
+    old.relay_messages(PEER, &mut new);
     new.invoke("plan", "i3");
     // Runners call whoever accepts: the old process hears what is its own, and the other way round.
-    new.call_back(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
-    new.passes_on(PEER, &mut old);
+    new.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
+    new.relay_messages(PEER, &mut old);
     new.call("maint-off s-a");
-    new.passes_on(PEER, &mut old);
+    new.relay_messages(PEER, &mut old);
     // Whoever comes back counts as cold, and what the other process has sent it still counts.
-    new.pass(2100);
+    new.advance(2100);
     new.invoke("plan", "i4");
-    let dialled = new.stage.trace.lines().rev().find_map(|line| line.split_once(" dials 127.0.0.1:3001"));
+    let dialled = new.driver.trace.lines().rev().find_map(|line| line.split_once(" dials 127.0.0.1:3001"));
     let dialled = dialled.unwrap().0.rsplit('#').next().unwrap().parse().unwrap();
-    new.up(dialled);
-    new.feed(dialled, TAKEN);
-    old.call_back(r#"{"id":"i4","from":"s-a","state":"done","result":"q"}"#);
-    old.passes_on(PEER, &mut new);
+    new.connect(dialled);
+    new.feed(dialled, ACCEPTED);
+    old.send_callback(r#"{"id":"i4","from":"s-a","state":"done","result":"q"}"#);
+    old.relay_messages(PEER, &mut new);
     // What neither knows goes back and forth no further.
-    new.call_back(r#"{"id":"i9","from":"s-a","state":"done","result":"r"}"#);
-    new.passes_on(PEER, &mut old);
-    assert!(!old.stage.said.contains_key(&PEER));
-    old.table.go_down(&mut old.stage);
-    old.pass(2100);
-    old.stage.say(&format!("down: {}", old.table.is_down(old.stage.now)));
-    new.stage.trace.insert_str(0, "the new one\n");
-    old.stage.trace.push_str(&new.stage.trace);
-    old.shows(expect![[r#"
+    new.send_callback(r#"{"id":"i9","from":"s-a","state":"done","result":"r"}"#);
+    new.relay_messages(PEER, &mut old);
+    assert!(!old.driver.handover_text.contains_key(&PEER));
+    old.table.begin_shutdown(&mut old.driver);
+    old.advance(2100);
+    old.driver.record(&format!("down: {}", old.table.is_shutdown_complete(old.driver.now)));
+    new.driver.trace.insert_str(0, "the new one\n");
+    old.driver.trace.push_str(&new.driver.trace);
+    old.assert_trace(expect![[r#"
         0     #2 < 200 OK; Connection: close; Content-Length: 1 = r
         0     #2 ends: terminated
         0     #6 < 200 OK; Content-Length: 0
@@ -2093,8 +2108,8 @@
 /// Both together may send a cold runner no more than one dispatcher may.
 #[test]
 fn two_processes_share_one_cold_budget() {
-    let mut old = Node::followed(&RUNNERS[..1]);
-    let started = old.stage.now / 1000 - 1000;
+    let mut old = Node::with_watch(&RUNNERS[..1]);
+    let started = old.driver.now / 1000 - 1000;
     let cold = format!(
         r#"{{"generation":43,"reset":true,"instances":[{{"instanceId":"s-a","hostPort":"127.0.0.1:3001",
         "lifecycle":"up","startedAtMs":{started}}}]}}"#
@@ -2104,43 +2119,43 @@
     for id in ["i1", "i2", "i3"] {
         old.invoke("plan", id);
         if id == "i1" {
-            old.up(3);
+            old.connect(3);
         }
-        old.feed(3, TAKEN);
-        old.pass(450);
-        old.call_back(&format!(r#"{{"id":"{id}","from":"s-a","state":"done","result":"r"}}"#));
+        old.feed(3, ACCEPTED);
+        old.advance(450);
+        old.send_callback(&format!(r#"{{"id":"{id}","from":"s-a","state":"done","result":"r"}}"#));
     }
-    assert_eq!(old.stage.trace.matches("200 OK; Content-Length: 1 = r").count(), 3);
-    old.stage.trace.clear();
+    assert_eq!(old.driver.trace.matches("200 OK; Content-Length: 1 = r").count(), 3);
+    old.driver.trace.clear();
     let mut new = Node::successor(&mut old, PEER);
     new.invoke("plan", "i4");
-    new.pass(300);
-    assert!(!new.stage.trace.contains("dials 127.0.0.1:3001"));
-    new.pass(1800);
-    old.pass(2100);
-    old.stage.trace.clear();
+    new.advance(300);
+    assert!(!new.driver.trace.contains("dials 127.0.0.1:3001"));
+    new.advance(1800);
+    old.advance(2100);
+    old.driver.trace.clear();
     new.invoke("plan", "i5");
     old.invoke("plan", "i6");
-    assert!(new.stage.trace.contains("dials 127.0.0.1:3001"));
-    assert!(!old.stage.trace.contains("POST"));
+    assert!(new.driver.trace.contains("dials 127.0.0.1:3001"));
+    assert!(!old.driver.trace.contains("POST"));
     // The one that was to take over is gone: the old one goes on, with newcomers and, in time, cold runners.
-    old.end(PEER, CloseReason::Reset);
-    assert!(old.table.accepts());
-    old.pass(2100);
+    old.close(PEER, CloseReason::Reset);
+    assert!(old.table.accepts_connections());
+    old.advance(2100);
     old.invoke("plan", "i7");
-    assert!(old.stage.trace.contains("POST"));
+    assert!(old.driver.trace.contains("POST"));
 }
 
 #[test]
 fn settings_change_under_way_and_a_file_that_has_lost_a_key_is_turned_down_whole() {
-    let mut node = Node::holding("plan");
+    let mut node = Node::with_accepted_forward("plan");
     let good = configuration(&RUNNERS);
     let reload = |node: &mut Node, text: &str| {
         match config::decode(text) {
-            Ok(told) => node.table.reload(told, &mut node.stage),
-            Err(fault) => node.table.turn_down(&fault),
+            Ok(told) => node.table.reload(told, &mut node.driver),
+            Err(fault) => node.table.reject_configuration(&fault),
         }
-        node.settle();
+        node.run_until_idle();
     };
     let lost = [
         ("\"cancel\":true,", ""),
@@ -2164,17 +2179,17 @@
         let text = format!("POST /{operation} HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
         node.feed(connection, &text);
     };
-    node.stage.trace.clear();
+    node.driver.trace.clear();
     // Taken under the old settings, it is what it was; what is on its way still comes, but not for long.
-    node.call_back(r#"{"id":"i1","from":"s-a","state":"failed"}"#);
+    node.send_callback(r#"{"id":"i1","from":"s-a","state":"failed"}"#);
     ask(&mut node, "plan", "i2");
     ask(&mut node, "plan-b", "i3");
-    node.pass(1000);
+    node.advance(1000);
     ask(&mut node, "plan", "i4");
     reload(&mut node, &good);
     ask(&mut node, "plan", "i5");
     node.call("stats");
-    node.shows(expect![[r#"
+    node.assert_trace(expect![[r#"
         0     #4 < 200 OK; Content-Length: 0
         0     #2 < 429 Too Many Requests; Retry-After: 0.500; Content-Length: 0
         0     #3 < POST /plan; X-Request-Id: i2; X-Deadline-Ms: 880; Content-Length: 0
