--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,6 +1,6 @@
-//! The topazsail dispatcher on sockets, as a library under a thin binary.
+//! The topazsail dispatcher on real sockets, as a library under a thin binary.
 //!
-//! It owns the list of its modules. Only what the command line and the lab need is public.
+//! It lists the modules. Only what the command line and the lab need is public.
 
 pub mod cli;
 pub mod config;
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,16 +1,17 @@
-//! What a dispatcher has counted since its process began, and how it is told to whoever asks.
+//! What a dispatcher has counted since its process started, and the text form in which operators get it.
 //!
-//! It owns the counts and their names. It must never count an invocation twice, nor keep a text that could
-//! grow old: the figures are written at the call.
+//! It defines the counters and their names. An invocation is never counted twice, and the text is written at
+//! the call, so that it is never out of date.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use crate::net::log;
 
+/// Prefix of every metric's name.
 const PREFIX: &str = "edge_relay";
 
-/// How an invocation ended, as operators know it.
+/// How an invocation ended, as operators see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
     Passed,
@@ -19,7 +20,7 @@
 }
 
 impl FinalStatus {
-    /// By what the client was answered.
+    /// The final status for the HTTP status that the client was answered with.
     pub fn of(status: u16) -> FinalStatus {
         match status {
             200 => FinalStatus::Passed,
@@ -35,44 +36,49 @@
     (FinalStatus::BadGateway, "bad_gateway"),
 ];
 
-/// What stands at the moment of the call.
+/// Values at the time of the call.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
+    /// Open invocations without a final answer.
     pub in_progress: usize,
+    /// Listed runners.
     pub known_runners: usize,
+    /// Listed runners that get nothing for now: set aside by the routing policy or out by an admin override.
     pub skipped_runners: usize,
-    /// Forwards written whole to runners.
+    /// Forwards that were written to runners completely.
     pub forwards_written: u64,
 }
 
-/// Further figures, in the same form.
+/// Further metrics in the same format, one `name=value` a line.
 pub fn format_metrics<'a>(metrics: impl Iterator<Item = &'a (&'static str, u64)>) -> String {
     metrics.map(|(name, value)| format!("{PREFIX}.{name}={value}\n")).collect()
 }
 
+/// The counters of a process.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// By operation, in the order of [`FINAL_STATUSES`]. One that is no longer set keeps its counts: they run from
-    /// the start of the process.
+    /// By operation, in the order of [`FINAL_STATUSES`]. An operation that is no longer in the settings keeps
+    /// its counters, which run from the start of the process.
     final_counts: BTreeMap<String, [u64; 3]>,
-    /// Configurations taken and turned down at SIGHUP.
+    /// Configurations applied and rejected at SIGHUP.
     pub loads: u64,
     pub load_errors: u64,
 }
 
 impl Metrics {
-    /// An operation that is in use from now on: it is told of before anything of it has ended.
+    /// Adds an operation, so that it is listed before any invocation of it has ended.
     pub fn add_operation(&mut self, operation: &str) {
         self.final_counts.entry(operation.to_owned()).or_default();
     }
 
+    /// Counts an invocation that has ended; does nothing if the operation was never added.
     pub fn count(&mut self, operation: &str, status: FinalStatus) {
         if let Some(counts) = self.final_counts.get_mut(operation) {
             counts[status as usize] += 1;
         }
     }
 
-    /// One `name=value` a line.
+    /// All metrics, one `name=value` a line.
     pub fn render(&self, now: &Gauges) -> String {
         let mut text = String::new();
         for (status, name) in FINAL_STATUSES {
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -1,9 +1,10 @@
-//! The open invocations and their forwards: what the parts heard becomes the brain's events, and what the
-//! brain decides becomes calls of the parts.
+//! The request table: the open invocations and their forwards. It turns what clients, runners, discovery,
+//! operators and peers report into events for the routing policy, and carries out the actions that the policy
+//! returns.
 //!
-//! It is the only caller of the brain, and owns what each invocation is still owed: one final answer, and one
-//! outcome for each forward. It must never choose a runner, a retry or an answer of its own, but for the
-//! error that an invocation gets when its client's time is over, and must never send a forward twice.
+//! It is the only caller of the routing policy. It guarantees one final answer for each invocation and one
+//! outcome for each forward. It never chooses a runner, a retry or an answer itself, except the error for an
+//! invocation whose client's time is over, and never sends a forward twice.
 
 mod peer_exchange;
 mod persistence;
@@ -35,78 +36,91 @@
 const STATUS_OK: u16 = 200;
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 const STATUS_BAD_GATEWAY: u16 = 502;
-/// Taken, but not to be held: nothing has been forwarded.
+/// Answer to an invocation that was read but cannot be held; nothing has been forwarded.
 const STATUS_UNAVAILABLE: u16 = 503;
+/// Retry-After of an answer for lack of capacity, unless clients follow only a shorter one.
 const OVERLOAD_RETRY_AFTER: Micros = 1_000_000;
-/// What a client gets whose request a runner will not take in this form.
+/// Answer to a client whose request a runner rejects as malformed.
 const STATUS_BAD_REQUEST: u16 = 400;
-/// How many ids are known after their final answer: each is for one request only, and whoever sends one again
-/// has it from somebody else.
+/// Number of ids remembered after their final answer. An id belongs to one request only: a request that
+/// repeats one is rejected, as its sender must have taken the id from another request.
 const MAX_CLOSED_IDS: usize = 4096;
-/// How long an answer may take that the brain owes when the time is over.
+/// How long the routing policy may take for the final answer once the client's time is over.
 const FINAL_ANSWER_TIMEOUT: Micros = 10_000;
-/// A cancel that failed is tried again after this, doubled each time: the forward is out until then.
+/// Delay before a failed cancel is retried, doubled after each failure. Until a cancel succeeds the forward
+/// counts as outstanding, as the runner may still execute it.
 const CANCEL_RETRY_INTERVAL: Micros = 125_000;
+/// Upper bound of the delay between cancels.
 const MAX_CANCEL_RETRY_INTERVAL: Micros = 2_000_000;
-/// After being told to end we are killed no sooner than the longest client timeout, or this where that is less,
-/// and 0.7 s more.
+/// Upper bound for the client timeout that a shutdown waits for. The process is killed no sooner after
+/// SIGTERM than the longest client timeout, or this bound where that is less, plus 0.7 s.
 const MAX_SHUTDOWN_CLIENT_TIMEOUT: Micros = 3_000_000;
-/// Whatever is not answered so long after the longest client timeout is given up, well before we are killed.
+/// Invocations still unanswered this long after the longest client timeout are answered without waiting any
+/// longer, 0.4 s before the process is killed at the earliest.
 const SHUTDOWN_ANSWER_GRACE: Micros = 300_000;
-/// So long after that the process ends, whoever still has a connection; 0.1 s before it is killed at the earliest.
+/// The process exits this long after that even if connections are still open, 0.1 s before it is killed at
+/// the earliest.
 const SHUTDOWN_EXIT_GRACE: Micros = 300_000;
+/// Interval at which a shutdown closes client connections that have become idle.
 const SHUTDOWN_STEP_INTERVAL: Micros = 50_000;
-/// A start says that it is ready once it has a list that it may act upon, or after this: nine in ten must be ready within
-/// 10 s, however long discovery keeps them waiting.
+/// A starting process reports itself ready once it holds the lease on its roster, or after this at the
+/// latest: nine in ten must be ready within 10 s, however long discovery takes.
 const READY_TIMEOUT: Micros = 9_000_000;
-/// How often a lease that has lapsed is looked at.
+/// Interval at which a lapsed lease is checked again.
 const LAPSED_LEASE_CHECK_INTERVAL: Micros = 1_000_000;
 
+/// One attempt of an invocation at one runner.
 struct Forward {
     runner: Id,
     sent_at: Micros,
+    /// Whether it has not ended yet.
     is_outstanding: bool,
-    /// Its runner has answered 202.
+    /// Whether its runner has answered 202.
     is_accepted: bool,
-    /// How often a cancel has failed.
+    /// Number of cancels that have failed.
     failed_cancels: u32,
-    /// The call-back that ended it.
+    /// Hash of the call-back that ended it, by which a repeat is recognized.
     final_callback_hash: Option<u64>,
 }
 
+/// An invocation that is unanswered or has an outstanding forward.
 struct OpenInvocation {
     connection: ConnectionId,
     operation: usize,
     accepted_at: Micros,
+    /// When the client stops waiting.
     expires_at: Micros,
+    /// Request head and body for further forwards; empty once answered.
     head: Vec<u8>,
     body: Vec<u8>,
-    answered: bool,
-    /// The brain has been told that its time is over.
-    deadline_passed: bool,
+    is_answered: bool,
+    /// Whether the routing policy has been notified that the client's time is over.
+    is_expired: bool,
     forwards: Vec<Forward>,
 }
 
 impl OpenInvocation {
+    /// Index of the outstanding forward, if there is one.
     fn outstanding_forward(&self) -> Option<u32> {
         self.forwards.iter().position(|forward| forward.is_outstanding).map(|number| number as u32)
     }
 
+    /// Bytes held for further forwards.
     fn size(&self) -> usize {
         self.head.len() + self.body.len()
     }
 }
 
-/// Two processes of this dispatcher serve at once, for the time of an upgrade.
+/// Which role the other process of this dispatcher has while both serve during an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Overlap {
-    /// The other one takes over.
+    /// The other process takes over from this one.
     Successor,
-    /// The other one is to end.
+    /// The other process is about to end; this one takes over from it.
     Predecessor,
 }
 
-/// What settings mean on sockets.
+/// Completes decoded settings with what holds on real sockets, and numbers the operations for `clients`.
 fn adapt_settings(
     decoded: &mut DecodedSettings,
     slow_start_is_shared: bool,
@@ -116,8 +130,8 @@
 ) {
     let settings = &mut decoded.settings;
     settings.slow_start_is_shared = slow_start_is_shared;
-    // The list comes only on a watch, and a watch has to be opened whatever the settings say; connections end
-    // by our own time, which is shorter than the runners'.
+    // The roster arrives only on a watch, which has to be opened whatever the settings say. Connections are
+    // closed after our own idle timeout, which is shorter than the runners'.
     settings.must_subscribe = true;
     settings.idle_timeout = decoded.idle_close / 2;
     decoded.operations.iter().for_each(|operation| metrics.add_operation(operation));
@@ -125,6 +139,7 @@
     settings.operations = clients.operations.set(operations.collect(), now);
 }
 
+/// Value and latency objective of each operation, by its index.
 fn operation_values(decoded: &DecodedSettings) -> Vec<OperationValue> {
     let value = |op: &topazsail::Operation| OperationValue {
         value: op.billed_value,
@@ -133,7 +148,7 @@
     decoded.settings.operations.iter().map(value).collect()
 }
 
-/// When to come back where there is no room.
+/// Retry-After of clients that are turned away for lack of capacity, if one is sent.
 fn overload_retry_after(decoded: &DecodedSettings) -> Option<Micros> {
     decoded.settings.max_retry_after.map(|max_retry_after| max_retry_after.min(OVERLOAD_RETRY_AFTER))
 }
@@ -141,13 +156,15 @@
 pub use peer_exchange::PeerExchange;
 pub use persistence::Persistence;
 
+/// The open invocations, the routing policy and the parts of the node that carry out its actions.
 pub struct RequestTable {
     policy: RoutingPolicy,
-    /// What only a start can change.
+    /// Name and listening address: only a restart can change them.
     name: String,
     listen: SocketAddr,
-    /// The file in force.
+    /// The configuration file in force.
     active_file: serde_json::Value,
+    /// Connections of clients and of runners' call-backs.
     pub clients: Clients,
     operators: Operators,
     metrics: Metrics,
@@ -155,43 +172,52 @@
     membership: Membership,
     roster: Roster,
     invocations: BTreeMap<Id, OpenInvocation>,
-    /// The latest ids that have had their final answer, in order and by id.
+    /// The latest ids that have had their final answer: in order, and as a set.
     closed_ids: (VecDeque<Id>, BTreeSet<Id>),
+    /// Events collected for the next call of the routing policy.
     pending_events: Vec<Event>,
+    /// Limit of open invocations.
     max_open: usize,
-    /// Bytes held for further forwards, and the most there may be.
+    /// Bytes of requests held for further forwards, and their limit.
     held_bytes: usize,
     max_held_bytes: usize,
-    /// When to come back where there is no room now, if clients are told.
+    /// Retry-After of clients that are turned away for lack of capacity, if one is sent.
     overload_retry_after: Option<Micros>,
-    /// The longest advice that clients follow, if any.
+    /// The longest Retry-After that clients follow, if one is sent.
     max_retry_after: Option<Micros>,
+    /// When the shutdown began, if it has.
     shutdown_since: Option<Micros>,
-    /// Nobody has been told yet that this process is ready.
+    /// Whether this process still waits for its roster before it reports itself ready. Recovery reports
+    /// readiness on its own.
     is_starting: bool,
-    /// The longest client timeout of the settings in force.
+    /// The longest client timeout of the settings in force, in microseconds.
     longest_client_timeout: Micros,
+    /// Connection to the other process of an upgrade.
     handover_peer: HandoverPeer,
     overlap: Option<Overlap>,
-    /// Descriptors and memory, the other process's among them.
+    /// File descriptors and bytes of memory, including those of the other process during an upgrade.
     resource_limits: (usize, usize),
-    /// Beyond so many connections those go that nothing is owed on: the rest is for the watch, dials and operators.
+    /// Above this number, connections without an unanswered request are closed: the remaining descriptors are
+    /// for the watch, dials and operators.
     max_connections: usize,
-    /// Connections that the other process had when it handed over.
+    /// Connections that the predecessor had open when it handed over.
     predecessor_connections: usize,
+    /// From the settings: the number of dispatchers, the overload window, for which work sent to a cold
+    /// runner counts, and the share of its capacity that a runner starts with.
     dispatcher_count: usize,
     overload_window: Micros,
     cold_capacity_share: f64,
-    /// What each operation is worth, by its number.
+    /// Value and latency objective of each operation, by its index.
     operation_values: Vec<OperationValue>,
-    /// What outlives the process, where there is anything.
+    /// What survives the process, if a store is configured.
     persistence: Option<Persistence>,
-    /// The other dispatchers, where they may talk.
+    /// Exchange with the other dispatchers, if peers are configured.
     peer_exchange: Option<PeerExchange>,
 }
 
 impl RequestTable {
-    /// With a `store_thread` a start from nothing goes through the stages of recovery first.
+    /// Creates the table. `inherited` is the state handed over by a predecessor; without one, a process with
+    /// a `store_thread` goes through the stages of recovery before it serves.
     pub fn new(
         configuration: Configuration,
         inherited: Option<HandoverState>,
@@ -267,7 +293,7 @@
             table.begin_recovery(driver);
             return table;
         }
-        // What another process hands over is nearer than what it has left on the disk.
+        // The state handed over by a running process is more recent than what is on the disk.
         table.persistence = store_thread.map(|store_thread| persistence(store_thread, None).in_service());
         let (known, slow_start_usage) = match inherited {
             Some(inherited) => table.inherit(inherited, configuration.known, started_at),
@@ -281,15 +307,15 @@
             },
             driver,
         );
-        // Once it knows the runners that this is about.
+        // Only after the roster event: the policy must know these runners.
         if !slow_start_usage.is_empty() {
             table.pending_events.push(Event::SlowStartUsage(slow_start_usage));
         }
         table
     }
 
-    /// What the process that served until now knows. Gives the list to begin with, the other's where it
-    /// comes from the same discovery, and what the other has sent to cold runners.
+    /// Applies the state of the predecessor. Returns the roster to begin with (the predecessor's if it comes
+    /// from the same discovery) and the predecessor's slow-start usage.
     fn inherit(
         &mut self,
         inherited: HandoverState,
@@ -311,10 +337,10 @@
             .then(|| RosterSnapshot::from_value(inherited.list));
         match roster {
             Some(Ok(roster)) => {
-                // One that does not say has its list from the watch all the same.
+                // A predecessor that does not send it still has its roster from the watch.
                 let certain_until = if inherited.sure_at > 0 { inherited.sure_at } else { now };
                 self.roster.begin(roster.generation, certain_until);
-                // It holds the lease from the first moment: nobody is listed yet whose standing that could change.
+                // The lease is held from the start, and no runner is listed yet whose state it could change.
                 let _ = self.membership.sure(certain_until, now);
                 (roster, slow_start_usage)
             }
@@ -322,7 +348,8 @@
         }
     }
 
-    /// The process that served until now stays at the other end of this connection until it has ended.
+    /// Attaches the connection to the predecessor, which stays open until that process ends, and reads what
+    /// has already arrived on it.
     pub fn attach_predecessor(
         &mut self,
         connection: ConnectionId,
@@ -335,12 +362,12 @@
         self.apply_resource_limits();
     }
 
-    /// Whether a successor would be handed what this process has.
+    /// Whether this process may hand over to a successor.
     pub fn can_hand_over(&self) -> bool {
         !self.handover_peer.is_there() && self.shutdown_since.is_none()
     }
 
-    /// Another process takes over: newcomers are its own from now on, and it is told what it must know.
+    /// Hands over to a successor: sends it this process's state and leaves new connections to it.
     pub fn hand_over(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         self.collect_events(driver);
         let discovery = self.roster.discovery();
@@ -367,7 +394,7 @@
         self.pause_cold_runners(Micros::MAX, driver);
     }
 
-    /// The list as discovery would tell it, and how far that has been heard.
+    /// The roster in discovery's format, and the generation that it reflects.
     fn current_roster(&self) -> Option<(u64, serde_json::Value)> {
         let generation = self.roster.generation()?;
         let entries = self.membership.as_listed();
@@ -375,18 +402,20 @@
         Some((generation, RosterSnapshot::of(generation, entries)))
     }
 
-    /// Whether newcomers are let in here.
+    /// Whether this process accepts new connections, and not its successor.
     pub fn accepts_connections(&self) -> bool {
         self.overlap != Some(Overlap::Successor)
     }
 
+    /// Keeps cold runners out of use until `until`.
     fn pause_cold_runners(&mut self, until: Micros, driver: &mut dyn ConnectionDriver) {
         let entries = self.membership.rest(until, Micros::MAX, driver.now());
         self.pending_events.push(Event::Roster(List { listing: Listing::Own, entries }));
     }
 
-    /// The other process has ended. Where it was to take over and nobody has told this one to end, it goes
-    /// on; what the other has sent to cold runners still counts.
+    /// Handles the end of the other process. If it was a successor and this process has not been asked to
+    /// shut down, this one resumes service; the successor's slow-start usage still counts, so cold runners
+    /// are paused.
     fn end_overlap(&mut self, driver: &mut dyn ConnectionDriver) {
         let previous = self.overlap.take();
         self.apply_resource_limits();
@@ -398,8 +427,9 @@
         }
     }
 
-    /// Two processes share what one may use: half each, but for descriptors that the old one has no use for. It
-    /// lets nobody in any more, and an eighth is left to it for what it still forwards.
+    /// Applies the resource limits. During an upgrade both processes share them, half each, except for
+    /// descriptors: the predecessor accepts no connections any more, so the successor may use all but the
+    /// predecessor's open connections and an eighth for its forwards.
     fn apply_resource_limits(&mut self) {
         let (sockets, memory) = self.resource_limits;
         let (sockets, memory) = match self.overlap {
@@ -416,9 +446,9 @@
         self.max_held_bytes = memory / 6;
     }
 
-    /// The configuration has been read again: all of it holds from now on but name and addresses of our own.
-    /// The list that the file remembers says less than the watch, and a new seed is for a new start. A file
-    /// that has lost a key is no good.
+    /// Applies a configuration that was read again, except for name and addresses of this process. The known
+    /// roster in the file is older than the watch, and the seed is for a new process only, so both are
+    /// ignored. A file that lacks a key of the previous one is rejected.
     pub fn reload(&mut self, configuration: Configuration, driver: &mut dyn ConnectionDriver) {
         if let Some(key) = config::lacks(&self.active_file, &configuration.file) {
             return self.reject_configuration(&format!("{key} is missing"));
@@ -444,7 +474,7 @@
         self.apply_resource_limits();
         self.active_file = configuration.file;
         self.store_settings();
-        // What has been heard so far was said under the settings that held so far.
+        // Events collected so far belong to the previous settings.
         self.collect_events(driver);
         if settings_changed {
             self.change_settings(configuration.decoded, driver);
@@ -453,6 +483,7 @@
         self.collect_events(driver);
     }
 
+    /// Applies new settings to all parts of the node and to the routing policy.
     fn change_settings(&mut self, mut decoded: DecodedSettings, driver: &mut dyn ConnectionDriver) {
         self.roster.pushed(!decoded.settings.must_subscribe);
         let slow_start_is_shared = self.peer_exchange.is_some();
@@ -481,13 +512,13 @@
         self.pending_events.push(Event::SettingsChanged(Box::new(decoded.settings)));
     }
 
-    /// A configuration that was read again is no good: nothing of it holds.
+    /// Rejects a configuration that was read again; nothing of it is applied.
     pub fn reject_configuration(&mut self, reason: &str) {
         self.metrics.load_errors += 1;
         log!("configuration-refused", "reason={reason:?}");
     }
 
-    /// Whether one more may come in on this side.
+    /// Whether one more connection of this role can be accepted; makes room for it if necessary.
     pub fn room(&mut self, role: ConnectionRole, driver: &mut dyn ConnectionDriver) -> bool {
         match role {
             ConnectionRole::Operator => {
@@ -498,6 +529,7 @@
         }
     }
 
+    /// Registers an accepted connection with the owner of its role.
     pub fn accepted(
         &mut self,
         role: ConnectionRole,
@@ -510,6 +542,7 @@
         }
     }
 
+    /// The owner of the connections of this role.
     pub fn handler(&mut self, role: ConnectionRole) -> &mut dyn ConnectionHandler {
         match role {
             ConnectionRole::Client => &mut self.clients,
@@ -520,7 +553,8 @@
         }
     }
 
-    /// Told to end: what has been taken is still answered, and clients are sent elsewhere.
+    /// Begins the shutdown: accepted invocations are still answered, and clients are directed to other
+    /// dispatchers.
     pub fn begin_shutdown(&mut self, driver: &mut dyn ConnectionDriver) {
         if self.shutdown_since.is_some() {
             return;
@@ -532,42 +566,46 @@
         driver.set_timer(Timer::Down, now + self.shutdown_spans().0);
     }
 
-    /// After being told to end: for how long clients keep their connections, as the dispatcher that was restarted
-    /// before us may not be back yet, and when whatever is not answered is given up. Both go by the settings: with
-    /// client timeouts of a second we are killed long before another customer's clients would have been let go.
-    /// What is taken last has the time between the two.
+    /// The spans after the start of a shutdown for which clients keep their connections, and after which
+    /// unanswered invocations are answered without waiting any longer. Clients keep their connections for a
+    /// while because the dispatcher that was restarted before this one may not be back yet. Both spans depend
+    /// on the settings: with client timeouts of one second the process is killed long before spans meant for
+    /// longer timeouts would have closed the client connections. An invocation accepted last has the time
+    /// between the two.
     fn shutdown_spans(&self) -> (Micros, Micros) {
         let client_timeout = self.longest_client_timeout.min(MAX_SHUTDOWN_CLIENT_TIMEOUT);
         (SHUTDOWN_ANSWER_GRACE + client_timeout * 17 / 30, SHUTDOWN_ANSWER_GRACE + client_timeout)
     }
 
-    /// Whether it is too late to take anything more.
+    /// Whether the shutdown has come too far to accept another invocation.
     fn is_too_late_to_accept(&self, now: Micros) -> bool {
         self.shutdown_since.is_some_and(|since| now >= since + self.shutdown_spans().1)
     }
 
-    /// Whether all is said and done after having been told to end.
+    /// Whether the shutdown is complete: nothing unanswered, no client connections, no cancels under way.
     pub fn is_shutdown_complete(&self, now: Micros) -> bool {
         let Some(since) = self.shutdown_since else { return false };
         let clients_remain = self.clients.remain();
         let (client_span, answer_span) = self.shutdown_spans();
-        // Cancels are waited for no longer than answers; clients may send on what they have until we are killed.
+        // Cancels are waited for no longer than answers; clients may use their connections until the process
+        // is killed.
         let is_cancelling = self.runners.cancelling() && now < since + answer_span + 2 * FINAL_ANSWER_TIMEOUT;
         !self.has_unanswered() && !clients_remain && !is_cancelling && now >= since + client_span
     }
 
-    /// Whether this process is about to be killed: whatever is still at work has had its time.
+    /// Whether the process must exit now because it is about to be killed, even with connections open.
     pub fn must_exit(&self, now: Micros) -> bool {
         self.shutdown_since.is_some_and(|since| {
             !self.has_unanswered() && now >= since + self.shutdown_spans().1 + SHUTDOWN_EXIT_GRACE
         })
     }
 
-    /// Whether some client has not been answered.
+    /// Whether any invocation is unanswered.
     fn has_unanswered(&self) -> bool {
-        self.invocations.values().any(|open| !open.answered)
+        self.invocations.values().any(|open| !open.is_answered)
     }
 
+    /// Handles a timer, except those of connections and of the event loop itself.
     pub fn timer_fired(&mut self, timer: Timer, driver: &mut dyn ConnectionDriver) {
         match timer {
             Timer::Tick => self.pending_events.push(Event::TimerFired),
@@ -598,6 +636,7 @@
         }
     }
 
+    /// Takes the next step of a shutdown: releases client connections, then answers what is still unanswered.
     fn advance_shutdown(&mut self, driver: &mut dyn ConnectionDriver) {
         let (Some(since), now) = (self.shutdown_since, driver.now()) else { return };
         let (client_span, answer_span) = self.shutdown_spans();
@@ -613,26 +652,27 @@
         }
     }
 
-    /// Whether the brain has something to hear at once.
+    /// Whether events wait for the routing policy.
     pub fn has_pending_events(&self) -> bool {
         !self.pending_events.is_empty()
     }
 
-    /// The host gave no descriptor or no memory for one. That passes, and says nothing of how many there may be later:
-    /// one idle connection makes room for the next try.
+    /// Closes one idle connection after the host had no descriptor, or no memory for one, so that the next
+    /// attempt can succeed. The shortage is temporary and does not change the connection limits.
     pub fn handle_descriptor_shortage(&mut self, driver: &mut dyn ConnectionDriver) {
         let made_room = self.clients.make_room(driver) || self.runners.make_room(driver);
         log!("descriptors-short", "connections={} made_room={made_room}", driver.connections());
     }
 
-    /// Against idle connections that leave none for the watch, for dials and for operators.
+    /// Closes idle connections above the limit, which would leave no descriptors for the watch, dials and
+    /// operators.
     fn enforce_connection_limit(&mut self, driver: &mut dyn ConnectionDriver) {
         while driver.connections() > self.max_connections
             && (self.clients.make_room(driver) || self.runners.make_room(driver))
         {}
     }
 
-    /// Hands the brain all that happened in this turn and does what it decides.
+    /// Passes all collected events to the routing policy and carries out its actions.
     pub fn decide(&mut self, driver: &mut dyn ConnectionDriver) {
         self.collect_events(driver);
         self.enforce_connection_limit(driver);
@@ -646,6 +686,7 @@
         self.collect_events(driver);
     }
 
+    /// Carries out one action of the routing policy.
     fn apply_action(&mut self, action: Action, driver: &mut dyn ConnectionDriver) {
         match action {
             Action::Forward { invocation, runner, latest } => {
@@ -664,6 +705,8 @@
         }
     }
 
+    /// Sends an invocation to a runner, by `latest` at the latest if given. A forward that must not be sent
+    /// any more ends at once as void.
     fn forward(
         &mut self,
         invocation: &Id,
@@ -673,7 +716,7 @@
     ) {
         let Some(open) = self.invocations.get_mut(invocation) else { return };
         let number = open.forwards.len() as u32;
-        let can_send = !open.answered && open.outstanding_forward().is_none();
+        let can_send = !open.is_answered && open.outstanding_forward().is_none();
         let sent_at = driver.now();
         open.forwards.push(Forward {
             runner: runner.clone(),
@@ -698,6 +741,7 @@
         }
     }
 
+    /// Cancels a forward if it is outstanding.
     fn cancel(&mut self, invocation: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
         let forward = self.invocations.get(invocation).and_then(|open| open.forwards.get(number as usize));
         if let Some(forward) = forward.filter(|forward| forward.is_outstanding) {
@@ -705,6 +749,7 @@
         }
     }
 
+    /// Sends the final answer unless the invocation has been answered.
     fn answer(
         &mut self,
         invocation: &Id,
@@ -724,15 +769,16 @@
         }
     }
 
-    /// Nothing more is owed to the client; a forward still out keeps its entry until it ends, and does not leave if it
-    /// has not left yet.
+    /// Marks an invocation as answered and returns its client connection, or `None` if it was answered
+    /// before. An outstanding forward keeps the entry until it ends, and is not sent if it has not been sent
+    /// yet.
     fn close_invocation(
         &mut self,
         invocation: &Id,
         driver: &mut dyn ConnectionDriver,
     ) -> Option<ConnectionId> {
-        let open = self.invocations.get_mut(invocation).filter(|open| !open.answered)?;
-        open.answered = true;
+        let open = self.invocations.get_mut(invocation).filter(|open| !open.is_answered)?;
+        open.is_answered = true;
         self.held_bytes -= open.size();
         (open.head, open.body) = (Vec::new(), Vec::new());
         let connection = open.connection;
@@ -747,12 +793,12 @@
         Some(connection)
     }
 
-    /// How often an invocation has been forwarded so far.
+    /// Number of forwards of an invocation so far.
     fn attempt_count(&self, invocation: &Id) -> usize {
         self.invocations.get(invocation).map_or(0, |open| open.forwards.len())
     }
 
-    /// An id that has had its request.
+    /// Remembers an id whose request has been answered.
     fn remember_closed_id(&mut self, invocation: Id) {
         let (order, ids) = &mut self.closed_ids;
         if order.len() >= MAX_CLOSED_IDS {
@@ -762,11 +808,13 @@
         ids.insert(invocation);
     }
 
+    /// The forward of an invocation with this number.
     fn forward_mut(&mut self, invocation: &Id, number: u32) -> Option<&mut Forward> {
         self.invocations.get_mut(invocation)?.forwards.get_mut(number as usize)
     }
 
-    /// A forward's one outcome.
+    /// Ends an outstanding forward and reports its outcome to the routing policy; does nothing if it has
+    /// already ended.
     fn end_forward(
         &mut self,
         invocation: &Id,
@@ -776,7 +824,7 @@
         now: Micros,
     ) {
         let Some(open) = self.invocations.get_mut(invocation) else { return };
-        let answered = open.answered;
+        let answered = open.is_answered;
         let ended = open.forwards.get_mut(number as usize).filter(|ended| ended.is_outstanding);
         let Some(ended) = ended else { return };
         ended.is_outstanding = false;
@@ -793,12 +841,16 @@
         }
     }
 
-    /// The time is over: a forward still out is timed out, and the brain owes the answer now. It knows whether it may
-    /// still be a throttling: what never left, or never ran, has not failed.
+    /// Handles the end of the client's time: an outstanding forward times out, and the routing policy has to
+    /// answer now. The policy decides the answer because it may still be a throttling: an invocation that was
+    /// never sent, or never ran, has not failed. If the policy has not answered by the second call, the
+    /// client gets an error.
     fn handle_deadline(&mut self, invocation: &Id, driver: &mut dyn ConnectionDriver) {
         self.time_out_forward(invocation, driver);
-        let Some(open) = self.invocations.get_mut(invocation).filter(|open| !open.answered) else { return };
-        if std::mem::replace(&mut open.deadline_passed, true) {
+        let Some(open) = self.invocations.get_mut(invocation).filter(|open| !open.is_answered) else {
+            return;
+        };
+        if std::mem::replace(&mut open.is_expired, true) {
             log!("overdue", "inv={invocation} forwards={}", open.forwards.len());
             return self.answer_with_error(invocation, driver);
         }
@@ -806,12 +858,12 @@
         driver.set_timer(Timer::Inv(invocation.clone()), driver.now() + FINAL_ANSWER_TIMEOUT);
     }
 
-    /// Ends the forward that is out, if one is.
+    /// Ends the outstanding forward, if there is one.
     fn time_out_forward(&mut self, invocation: &Id, driver: &mut dyn ConnectionDriver) {
         let Some(open) = self.invocations.get(invocation) else { return };
         let Some(number) = open.outstanding_forward() else { return };
         let runner = open.forwards[number as usize].runner.clone();
-        // What has not left cannot have run, and need not be errored.
+        // A forward that was not sent cannot have run, and does not count as timed out.
         let was_held_back = self.runners.hold_back(&runner, invocation, number, driver);
         let result = if was_held_back { ForwardResult::Void } else { ForwardResult::TimedOut };
         self.end_forward(invocation, number, result, Vec::new(), driver.now());
@@ -820,13 +872,13 @@
         }
     }
 
-    /// Answers without waiting for the brain, which hears that nothing more is owed.
+    /// Answers without the routing policy, and notifies it that the invocation is closed.
     fn answer_with_error(&mut self, invocation: &Id, driver: &mut dyn ConnectionDriver) {
         self.answer(invocation, STATUS_BAD_GATEWAY, None, b"", driver);
         self.pending_events.push(Event::ClientLeft { invocation: invocation.clone() });
     }
 
-    /// Turns what the parts have heard into events.
+    /// Turns everything received since the last call into events.
     pub fn collect_events(&mut self, driver: &mut dyn ConnectionDriver) {
         self.collect_store_events(driver);
         for event in std::mem::take(&mut self.roster.heard) {
@@ -848,7 +900,8 @@
         for message in std::mem::take(&mut self.handover_peer.heard) {
             match message {
                 HandoverMessage::Told(callback, hash) => self.handle_callback(callback, hash, false, driver),
-                // Where it was never listed here, the other process has said so.
+                // If the runner was never listed here, the other process has already answered the operator
+                // so.
                 HandoverMessage::Hand { id, out } => {
                     if self.set_maintenance(&id, out, driver).is_ok() {
                         self.store_admin_override(&id, None, driver);
@@ -877,7 +930,7 @@
                     self.end_forward(&invocation, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
                 runners::RunnerEvent::Unusable { inv: invocation, number } => {
-                    // No runner will take it, and it says nothing against this one.
+                    // No runner would accept the request, and the rejection is no failure of this one.
                     self.answer(&invocation, STATUS_BAD_REQUEST, None, b"", driver);
                     self.end_forward(&invocation, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
@@ -902,7 +955,7 @@
         }
     }
 
-    /// An operator's call.
+    /// Answers an operator's call; maintenance calls with a store are answered once they are stored.
     fn handle_operator_call(
         &mut self,
         connection: ConnectionId,
@@ -922,7 +975,7 @@
             Call::Stats => {
                 let (known_runners, out) = self.membership.count();
                 let now = Gauges {
-                    in_progress: self.invocations.values().filter(|open| !open.answered).count(),
+                    in_progress: self.invocations.values().filter(|open| !open.is_answered).count(),
                     known_runners,
                     skipped_runners: self.policy.set_aside(driver.now()) + out,
                     forwards_written: self.runners.written(),
@@ -962,7 +1015,8 @@
         self.operators.answer(connection, &answer, driver);
     }
 
-    /// From the answer on nothing new goes to a runner that is out, nor what waits for a connection there.
+    /// Applies an admin override. Once this returns, nothing new goes to a runner that is out, including
+    /// forwards that wait for a connection. Fails with the reason if the runner is unknown.
     fn set_maintenance(
         &mut self,
         id: &str,
@@ -980,12 +1034,13 @@
         Ok(())
     }
 
-    /// Whether the list may still be acted upon. Against sending to a runner whose drain counts as told, though it was
-    /// never heard: discovery could be reached, and did not get through for as long as that takes.
+    /// Updates the lease on the roster. When it lapses, listed runners are treated as draining, so that
+    /// nothing is sent to a runner whose drain counts as notified but was missed: discovery was reachable,
+    /// and its changes did not arrive for as long as the lease lasts.
     fn update_lease(&mut self, driver: &mut dyn ConnectionDriver) {
         let (certain_until, now) = (self.roster.sure_at(), driver.now());
         let Some(entries) = self.membership.sure(certain_until, now) else { return };
-        // The list to begin with may be acted upon, or discovery cannot be reached.
+        // Either the roster is confirmed, or discovery cannot be reached.
         self.finish_starting();
         log!(
             "lease",
@@ -999,7 +1054,7 @@
         self.pending_events.push(Event::Roster(List { listing: Listing::Own, entries }));
     }
 
-    /// A start has come to its end.
+    /// Reports this process ready if it was still starting.
     fn finish_starting(&mut self) {
         if std::mem::take(&mut self.is_starting) {
             log!("ready", "lease={}", if self.membership.lapsed() { "none" } else { "held" });
@@ -1007,6 +1062,7 @@
         }
     }
 
+    /// Applies a roster or its changes to the connections, the membership and the routing policy.
     fn apply_listing(&mut self, event: roster::RosterEvent, driver: &mut dyn ConnectionDriver) {
         let is_whole_list = matches!(event.listing, Listing::All | Listing::Remembered);
         if is_whole_list {
@@ -1029,6 +1085,7 @@
         self.update_slow_start_shares(driver.now());
     }
 
+    /// Accepts a new invocation, or answers it at once if it cannot be held or is not admitted.
     fn accept_invocation(&mut self, request: Invocation, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
         if self.invocations.contains_key(&request.id) || self.closed_ids.1.contains(&request.id) {
@@ -1089,7 +1146,7 @@
         let (connection, expires_at, head, body) =
             (request.connection, request.expires_at, request.head, request.body);
         let accepted_at = now;
-        let (answered, deadline_passed, forwards) = (false, false, Vec::new());
+        let (is_answered, is_expired, forwards) = (false, false, Vec::new());
         let open = OpenInvocation {
             connection,
             operation,
@@ -1097,16 +1154,17 @@
             expires_at,
             head,
             body,
-            answered,
-            deadline_passed,
+            is_answered,
+            is_expired,
             forwards,
         };
         self.invocations.insert(request.id, open);
     }
 
+    /// Closes an invocation whose client has left.
     fn handle_client_left(&mut self, connection: ConnectionId, id: Id, driver: &mut dyn ConnectionDriver) {
         let is_unanswered =
-            self.invocations.get(&id).is_some_and(|open| open.connection == connection && !open.answered);
+            self.invocations.get(&id).is_some_and(|open| open.connection == connection && !open.is_answered);
         if is_unanswered {
             log!("client-left", "inv={id} link={connection} attempts={}", self.attempt_count(&id));
             self.close_invocation(&id, driver);
@@ -1114,9 +1172,10 @@
         }
     }
 
-    /// News of a job. The newest forward to its runner is meant; what has ended stays ended. Of a job that is
-    /// not open here the other process hears, if there is one; it was told here because runners call whoever
-    /// accepts.
+    /// Applies a runner's call-back. It concerns the newest forward to that runner; forwards that have ended
+    /// stay ended. A call-back for an invocation that is not open here is passed to the other process of an
+    /// upgrade, if there is one: runners call whichever process accepts connections. `from_runner` is false
+    /// for a call-back that the other process has passed on, which is not passed back.
     fn handle_callback(
         &mut self,
         callback: RunnerCallback,
@@ -1136,15 +1195,15 @@
             return log!("odd-call-back", "inv={invocation} from={:?}", callback.from);
         };
         let (forward, number) = (&open.forwards[index], index as u32);
-        // Again to the same runner: what ended the earlier forward may be told once more, and is no word on
-        // this one.
+        // The invocation was sent to the same runner again: a repeat of the call-back that ended the earlier
+        // forward says nothing about this one.
         let ended_earlier_forward = open.forwards[..index]
             .iter()
             .any(|earlier| earlier.runner == forward.runner && earlier.final_callback_hash == Some(hash));
         if ended_earlier_forward && !forward.is_accepted {
             return;
         }
-        let (is_outstanding, answered, now) = (forward.is_outstanding, open.answered, driver.now());
+        let (is_outstanding, answered, now) = (forward.is_outstanding, open.is_answered, driver.now());
         let result = match callback.state {
             State::Started if is_outstanding => {
                 return self.pending_events.push(Event::Started { invocation, forward: number });
@@ -1164,7 +1223,7 @@
             self.record_success(operation, latency);
             self.answer(&invocation, STATUS_OK, None, body.as_bytes(), driver);
             if !is_outstanding {
-                // Given up, but it came to its end all the same: this is the result that is owed.
+                // The forward was given up but has completed: its result is the answer.
                 log!("late-result", "inv={invocation} runner={}", callback.from);
                 self.pending_events.push(Event::ClientLeft { invocation: invocation.clone() });
             }
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -1,8 +1,8 @@
-//! What the desk does with the other dispatchers: who is out by hand is agreed with them, this life's number, and which
-//! portions of cold runners' budgets are its own.
+//! The request table's side of the other dispatchers: with them it agrees on admin overrides, on this process
+//! run's boot number, and on its share of cold runners' slow-start budgets.
 //!
-//! It turns datagrams into calls of the core and what that says into calls of its own. What is believed is the core's
-//! to say; a peer's word on a runner holds here as an operator's would.
+//! It turns datagrams into calls of [`Peers`] and the resulting actions into calls of its own. What is
+//! believed is decided there; a peer's admin override takes effect here as an operator's would.
 
 use std::net::SocketAddr;
 
@@ -17,30 +17,35 @@
 use crate::net::connection::{ConnectionDriver, Timer};
 use crate::net::log::log;
 
-/// The other dispatchers: from the start as configured, and once this life has a number, or none is to be had, as met.
+/// The exchange with the other dispatchers. It begins once this process run has a boot number, or none is to
+/// be had.
 pub struct PeerExchange {
     configuration: PeersConfiguration,
     name: String,
     seed: u64,
     peers: Option<Peers>,
-    /// Whether a round is asked for already.
+    /// When the next round is scheduled.
     round_at: Option<Micros>,
 }
 
 impl PeerExchange {
+    /// An exchange that has not begun.
     pub fn new(configuration: PeersConfiguration, name: &str, seed: u64) -> PeerExchange {
         PeerExchange { configuration, name: name.to_owned(), seed, peers: None, round_at: None }
     }
 
+    /// Number of peers that are alive.
     fn alive_count(&self) -> usize {
         let states = self.peers.iter().flat_map(|peers| peers.lives());
         states.filter(|(_, state, _)| *state == PeerState::Alive).count()
     }
 
+    /// Alive and configured peers for an operator's `status`.
     pub fn status(&self) -> String {
         format!(" peers={}/{}", self.alive_count(), self.configuration.members.len())
     }
 
+    /// Counters and gauges for an operator's `stats`.
     pub fn metrics(&self) -> [(&'static str, u64); 7] {
         let counters = self.peers.as_ref().map(|peers| peers.counts).unwrap_or_default();
         [
@@ -54,19 +59,21 @@
         ]
     }
 
-    /// How new the word on a runner is, where peers are set.
+    /// Version of a runner's admin override, if one is known.
     fn version(&self, id: &str) -> Option<Version> {
         self.peers.as_ref()?.hands.get(id).map(|entry| entry.version)
     }
 }
 
 impl RequestTable {
-    /// The others, once they have been met.
+    /// The peers, once the exchange has begun.
     fn peers(&mut self) -> Option<&mut Peers> {
         self.peer_exchange.as_mut()?.peers.as_mut()
     }
 
-    /// The others are met in this life, with what the last one knew of runners out by hand.
+    /// Begins the exchange with the other dispatchers, with the admin overrides that the previous process run
+    /// has left. If it has begun already, passes on the boot number and the overrides of a store that opened
+    /// late.
     pub(super) fn join_peers(
         &mut self,
         boot: Option<u64>,
@@ -79,13 +86,13 @@
         let stored_override =
             |(runner, entry): &(String, store::StoredOverride)| topazsail_peers::AdminOverride {
                 runner: runner.clone(),
-                // One that was said before there were peers is older than whatever they say.
+                // An override from before peers were configured is older than any of theirs.
                 version: Version { count: entry.count.max(1), author: entry.author },
                 out_since: entry.out_since,
                 was_out: entry.was_out,
             };
         if let Some(peers) = &mut peer_exchange.peers {
-            // The disk opens late: the others hear of what it holds all the same.
+            // The disk opened late: the peers are notified of what it holds all the same.
             peers.numbered(boot.unwrap_or(0));
             let in_force: Vec<_> =
                 loaded.iter().filter_map(|loaded| peers.remember(stored_override(loaded))).collect();
@@ -113,20 +120,20 @@
         self.run_peer_round(driver);
     }
 
-    /// The disk has this life's number, perhaps only now.
+    /// Passes on this process run's boot number, which may have reached the disk only now.
     pub(super) fn set_peer_boot(&mut self, boot: Option<u64>) {
         if let Some(peers) = self.peers() {
             peers.numbered(boot.unwrap_or(0));
         }
     }
 
-    /// How new the word on a runner is: its count and its author.
+    /// Count and author of the version of a runner's admin override; zeros if there is none.
     pub(super) fn override_version(&self, id: &str) -> (u64, u32) {
         let version = self.peer_exchange.as_ref().and_then(|peer_exchange| peer_exchange.version(id));
         version.map_or((0, 0), |version| (version.count, version.author))
     }
 
-    /// A call that was made here is told to the others.
+    /// Announces an operator's call made here to the peers.
     pub(super) fn announce_admin_override(&mut self, id: &str, driver: &mut dyn ConnectionDriver) {
         let (out_since, was_out) = self.membership.hand(id);
         let Some(peers) = self.peers() else { return };
@@ -134,6 +141,7 @@
         self.apply_peer_actions(actions, driver);
     }
 
+    /// Announces the stage of recovery to the peers.
     pub(super) fn announce_stage(&mut self) {
         let stage = self.persistence.as_ref().map(|persistence| persistence.stage());
         if let (Some(stage), Some(peers)) = (stage, self.peers()) {
@@ -141,7 +149,7 @@
         }
     }
 
-    /// A round of probes, where one is due.
+    /// Runs a round of probes if one is due, and schedules the next.
     pub(super) fn run_peer_round(&mut self, driver: &mut dyn ConnectionDriver) {
         let Some(peer_exchange) = &mut self.peer_exchange else { return };
         let Some(peers) = &mut peer_exchange.peers else { return };
@@ -152,12 +160,12 @@
             peer_exchange.round_at = Some(round_at);
             driver.set_timer(Timer::Peers, round_at);
         }
-        // Before anything else is decided: a promise may begin in this round.
+        // Before any other decision: a promise to a peer may begin in this round.
         self.update_slow_start_shares(now);
         self.apply_peer_actions(actions, driver);
     }
 
-    /// The settings of the account on cold runners have been read again.
+    /// Passes changed settings for the sharing of slow-start budgets to the peers.
     pub(super) fn update_peer_settings(&mut self) {
         let (dispatcher_count, overload_window) = (self.dispatcher_count, self.overload_window);
         if let Some(peers) = self.peers() {
@@ -165,7 +173,7 @@
         }
     }
 
-    /// Which portions of cold runners' budgets are this dispatcher's own.
+    /// Passes this dispatcher's shares of cold runners' slow-start budgets to the routing policy.
     pub(super) fn update_slow_start_shares(&mut self, now: Micros) {
         if self.peers().is_none() {
             return;
@@ -179,7 +187,7 @@
         }
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn datagram(&mut self, from: SocketAddr, bytes: &[u8], driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
         let Some(peers) = self.peers() else { return };
@@ -187,6 +195,7 @@
         self.apply_peer_actions(actions, driver);
     }
 
+    /// Carries out the actions of the peers, and notifies recovery of how many agree.
     fn apply_peer_actions(&mut self, actions: Vec<Action>, driver: &mut dyn ConnectionDriver) {
         for action in actions {
             match action {
@@ -204,8 +213,8 @@
         self.handle_recovery_event(recovery::Event::Agree { all, agree }, driver);
     }
 
-    /// Others have heard of a later life of this dispatcher than its own disk has: it was rolled back, or could not be
-    /// written. This life gets a number above that.
+    /// Handles a boot number of this dispatcher that a peer knows and that is not below the current one: the
+    /// disk was rolled back, or could not be written. This process run takes a number above it.
     fn resolve_boot_conflict(&mut self, boot: u64) {
         let Some(peers) = self.peers() else { return };
         if boot >= peers.boot() {
@@ -215,7 +224,8 @@
         }
     }
 
-    /// A peer has a newer word on a runner: it holds here as a call would. Its times are of another clock.
+    /// Applies a newer admin override from a peer as an operator's call would be. Its times are not used, as
+    /// they are of another clock.
     fn apply_peer_override(&mut self, id: &str, out: bool, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
         let is_out = self.membership.hand(id).0.is_some();
@@ -230,7 +240,8 @@
         self.store_admin_override(id, None, driver);
     }
 
-    /// What holds of all runners is told anew, after bans have been learnt of.
+    /// Passes the state of all listed runners to the routing policy again, after admin overrides have been
+    /// restored.
     pub(super) fn republish_members(&mut self, driver: &mut dyn ConnectionDriver) {
         let entries = self.membership.stand(driver.now());
         if !entries.is_empty() {
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -1,7 +1,8 @@
-//! What the desk does with its store: begins with what the last life has left, and keeps what the next must know.
+//! The request table's side of the store: it begins with what the previous process run has left, and stores
+//! what the next one needs.
 //!
-//! It owns which answers wait for the disk. What is believed and in which order service begins is `recovery`'s to say,
-//! when something is on the disk the keeper's.
+//! It decides which operator answers wait for the disk. Which stored data is trusted and in which order
+//! service begins is decided by `topazsail_recovery`; when data is on the disk is up to the store thread.
 
 use std::collections::BTreeMap;
 
@@ -17,48 +18,57 @@
 use crate::net::log::log;
 use crate::upstream::roster::{self, RosterSnapshot};
 
-/// An operator's answer waits for the disk no longer than this.
+/// Longest time that an operator's answer waits for the disk.
 const OPERATOR_WRITE_TIMEOUT: Micros = 2_000_000;
-/// A list that has changed is kept after this, the more so the longer it is: at most a megabyte in four seconds.
+/// Delay before a changed roster is stored, plus the same again for every [`ROSTER_BYTES_PER_DELAY`] of its
+/// last size: at most about a megabyte is written in four seconds.
 const ROSTER_WRITE_DELAY: Micros = 1_000_000;
+/// Bytes of stored roster that add one [`ROSTER_WRITE_DELAY`] to the next write.
 const ROSTER_BYTES_PER_DELAY: usize = 256 << 10;
-/// Those who come before there is service come back within this after it, not all at once.
+/// Clients that are turned away before service begins retry within this span after it, spread evenly so that
+/// they do not all come at once.
 const RETRY_AFTER_SPREAD: Micros = 1_000_000;
 
-/// What stands between a start and its end on the disk.
+/// State of recovery and of the store.
 pub struct Persistence {
     store_thread: StoreThread,
     recovery: Recovery,
-    /// The list that the configuration remembers, until it is known which one to begin with.
+    /// The configuration's known roster, until the roster to begin with is chosen.
     configured_roster: Option<RosterSnapshot>,
-    /// When this process began: whoever started later had nothing from the life before.
+    /// When this process started: a runner that started later received nothing from the previous process run.
     started_at: Micros,
-    /// What the last life left, until it has been used.
+    /// What the previous process run left, until it has been used.
     loaded: Option<Box<LoadedStore>>,
+    /// This process run's boot number, once it is on the disk.
     boot: Option<u64>,
-    /// Why the disk cannot be relied on now, if so.
+    /// Why the disk cannot be relied on now, if it cannot.
     store_failure: Option<String>,
-    /// Operators that wait for the disk, and their calls.
+    /// Operators' calls that wait for the disk, by store ticket.
     waiting_calls: BTreeMap<u64, (ConnectionId, Call)>,
-    /// A write of the list is due; how long the last one was.
+    /// Whether a write of the roster is scheduled, and the length of the last one in bytes.
     roster_write_is_scheduled: bool,
     stored_roster_bytes: usize,
-    /// When the stage is to be looked at next.
+    /// When the recovery timer fires next.
     timer_at: Micros,
-    /// Without a store there is no service; and why there is none, then.
+    /// Whether the process must not serve without a store, and why it must not serve, once that is known.
     store_is_required: bool,
     fatal_error: Option<String>,
+    /// Which operations are admitted while the fleet is cold.
     admission_limits: AdmissionLimits,
-    /// Runners that the list to begin with had; and warmth as it was a moment ago.
+    /// Number of runners in the roster that service began with, and the fleet's warmth with the time at which
+    /// it was computed.
     initial_runners: usize,
     cached_warmth: (f64, Micros),
 }
 
-/// Warmth is looked at again after so long; where nothing comes after so long.
+/// How long the fleet's warmth is cached.
 const WARMTH_CACHE_WINDOW: Micros = 50_000;
+/// Interval at which recovery is checked while a cold fleet limits admission, as its warmth changes even when
+/// no invocations come.
 const LIMITED_CHECK_INTERVAL: Micros = 500_000;
 
 impl Persistence {
+    /// Starts recovery. `configured_roster` is the known roster of the configuration.
     pub fn new(
         store_thread: StoreThread,
         (store_is_required, has_peers): (bool, bool),
@@ -85,13 +95,14 @@
         }
     }
 
-    /// Another process has handed all over: there is nothing to recover.
+    /// Marks recovery as complete: another process has handed over its state.
     pub fn in_service(mut self) -> Persistence {
         self.recovery = Recovery::in_service();
         self
     }
 
-    /// Nothing is kept for now, and why. A start that must not do without ends here; who serves already goes on.
+    /// Records that nothing can be stored for now, and why. A start that requires the store ends here; a
+    /// process that already serves continues.
     fn record_store_failure(&mut self, why: &str) {
         self.store_failure = Some(why.to_owned());
         if self.store_is_required && self.stage() < Stage::Listed {
@@ -99,19 +110,21 @@
         }
     }
 
+    /// The stage of recovery.
     pub fn stage(&self) -> Stage {
         self.recovery.stage()
     }
 
-    /// How it stands with the store, in the words of `status`.
+    /// Stage, boot number and state of the store for an operator's `status`.
     pub fn status(&self) -> String {
-        // Others may have heard of a later life: until they have been asked the number may not be the last word.
+        // Peers may know of a later boot: until they have been asked the number is not final.
         let boot = self.boot.filter(|_| self.stage() >= Stage::Asked);
         let boot = boot.map_or_else(|| "none".to_owned(), |boot| boot.to_string());
         let store_state = if self.store_failure.is_some() { "failing" } else { "well" };
         format!("stage={} boot={boot} store={store_state}", self.stage().code())
     }
 
+    /// Counters and gauges for an operator's `stats`.
     pub fn metrics(&self) -> [(&'static str, u64); 4] {
         [
             ("boot", self.boot.unwrap_or(0)),
@@ -123,25 +136,28 @@
 }
 
 impl RequestTable {
-    /// A start from nothing, with a store: nothing is listed before that has been read.
+    /// Begins a start without a predecessor but with a store: nothing is listed before the store has been
+    /// read.
     pub(super) fn begin_recovery(&mut self, driver: &mut dyn ConnectionDriver) {
         self.clients.ready(false);
         self.arm_recovery_timer(driver);
     }
 
-    /// Whether anything may be forwarded: not before there is a list.
+    /// Whether anything may be forwarded, which needs a roster.
     pub(super) fn may_forward(&self) -> bool {
         self.persistence.as_ref().is_none_or(|persistence| persistence.recovery.may_forward())
     }
 
-    /// When those who come before there is service are to come back: spread, so that they do not come together.
+    /// Retry-After of clients that are turned away before service begins, if one is sent: spread by id so
+    /// that they do not retry all at once.
     pub(super) fn recovery_retry_after(&self, id: &str, now: Micros) -> Option<Micros> {
         let time_left = self.persistence.as_ref().map_or(0, |persistence| persistence.recovery.left(now));
         let spread = topazsail::hash(id.as_bytes()) % RETRY_AFTER_SPREAD as u64;
         self.max_retry_after.map(|max_retry_after| (time_left + spread as Micros).min(max_retry_after))
     }
 
-    /// Whether one that comes now is taken, as far as a cold fleet limits what is.
+    /// Whether an invocation is admitted; always true unless a cold fleet limits admission. The id decides
+    /// which share of an operation's invocations is admitted.
     pub(super) fn admits(&mut self, operation: usize, id: &str, now: Micros) -> bool {
         if self.current_warmth(now).is_none() {
             return true;
@@ -151,7 +167,8 @@
         persistence.admission_limits.takes(operation, draw, now)
     }
 
-    /// The share of its full capacity that the fleet has, while that limits anything.
+    /// The share of its full capacity that the fleet has; `None` unless recovery is in the stage in which
+    /// that limits admission.
     fn current_warmth(&mut self, now: Micros) -> Option<f64> {
         let persistence =
             self.persistence.as_mut().filter(|persistence| persistence.stage() == Stage::Limited)?;
@@ -171,7 +188,7 @@
         Some(persistence.cached_warmth.0)
     }
 
-    /// Something that was taken found no room.
+    /// Records that an admitted invocation was throttled.
     pub(super) fn record_throttling(&mut self, now: Micros) {
         if let Some(warmth) = self.current_warmth(now)
             && let Some(persistence) = &mut self.persistence
@@ -180,7 +197,7 @@
         }
     }
 
-    /// One has succeeded, so long after it was taken.
+    /// Records a success with its latency.
     pub(super) fn record_success(&mut self, operation: usize, latency: Micros) {
         if let Some(persistence) =
             self.persistence.as_mut().filter(|persistence| persistence.stage() == Stage::Limited)
@@ -189,38 +206,40 @@
         }
     }
 
-    /// Why this process must not serve, where it has no store and must not do without.
+    /// Why this process must not serve: it requires a store and has none.
     pub fn fatal_error(&self) -> Option<String> {
         self.persistence.as_ref()?.fatal_error.clone()
     }
 
+    /// Advances recovery whose stage may have timed out.
     pub(super) fn recovery_timer_fired(&mut self, driver: &mut dyn ConnectionDriver) {
         let Some(persistence) = &mut self.persistence else { return };
         let was_finding = persistence.stage() == Stage::Finding;
         let actions = persistence.recovery.tick(driver.now());
         if was_finding && !actions.is_empty() {
-            persistence.record_store_failure("not read in time");
+            persistence.record_store_failure("the store was not read in time");
         }
         self.apply_recovery_actions(actions, driver);
-        // Whether the fleet has become warm shows also where nothing comes.
+        // The fleet may have become warm although no invocations come.
         self.current_warmth(driver.now());
         self.arm_recovery_timer(driver);
     }
 
-    /// Asks for the next look at the stage, once.
+    /// Sets the timer for the next check of the stage, unless one is set that fires in time.
     fn arm_recovery_timer(&mut self, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
         let Some(persistence) = &mut self.persistence else { return };
         let Some(due) = persistence.recovery.due() else { return };
         let is_limited = persistence.stage() == Stage::Limited;
         let at = if is_limited { due.min(now + LIMITED_CHECK_INTERVAL) } else { due };
-        // One that is asked for already, and comes in time, will ask for the next.
+        // A timer that is set already and fires in time will set the next one.
         if persistence.timer_at <= now || at < persistence.timer_at {
             persistence.timer_at = at;
             driver.set_timer(Timer::Recovery, at);
         }
     }
 
+    /// Carries out the actions of recovery.
     fn apply_recovery_actions(&mut self, actions: Vec<Action>, driver: &mut dyn ConnectionDriver) {
         for action in actions {
             match action {
@@ -235,6 +254,7 @@
         self.arm_recovery_timer(driver);
     }
 
+    /// Passes an event to recovery and carries out its actions.
     pub(super) fn handle_recovery_event(
         &mut self,
         event: recovery::Event,
@@ -247,14 +267,16 @@
         }
     }
 
-    pub(super) fn raise_boot_above(&mut self, heard: u64) {
+    /// Requests a boot number above `boot`, which a peer knows; until then this process has none.
+    pub(super) fn raise_boot_above(&mut self, boot: u64) {
         if let Some(persistence) = &mut self.persistence {
             persistence.boot = None;
-            persistence.store_thread.above(heard);
+            persistence.store_thread.above(boot);
         }
     }
 
-    /// The list to begin with, and what holds of it.
+    /// Chooses the roster to begin with and applies it, together with the stored admin overrides and
+    /// slow-start usage.
     fn begin_with_roster(&mut self, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
         let boot = self.persistence.as_ref().and_then(|persistence| persistence.boot);
@@ -291,7 +313,7 @@
         }
         if pause > 0 {
             let entries = self.membership.rest(now + pause, started_at, now);
-            debug_assert!(entries.is_empty(), "nothing is listed yet");
+            debug_assert!(entries.is_empty(), "no runner may be listed yet");
             log!("trusts", "item=spent belief=dropped rest_ms={}", pause / 1000);
             driver.set_timer(Timer::Rested, now + pause);
         }
@@ -307,7 +329,8 @@
             let (trust, why) = recovery::trust_slow_start_usage(&loaded.found);
             if let Some(usage) = loaded.spent.filter(|_| trust == Trust::Trusted) {
                 log!("trusts", "item=spent belief=trusted reason={why:?} runners={}", usage.runners.len());
-                // It is told as how long before the life's end; that it is over for longer only helps.
+                // Usage is stored as ages at the end of the process run. The time since then is known only as
+                // a lower bound, and the usage may be older: that errs on the safe side.
                 let ended_at = now - loaded.found.away;
                 let absolute = |work: Vec<(Micros, f64)>| {
                     work.into_iter().map(move |(ago, w)| (ended_at - ago, w)).collect()
@@ -318,14 +341,14 @@
         }
     }
 
-    /// Who was out by hand is out, whatever else is in doubt.
+    /// Restores the stored admin overrides: they hold whatever else is in doubt.
     fn restore_admin_overrides(&mut self, loaded: &LoadedStore, driver: &mut dyn ConnectionDriver) {
         let (trust, why) = recovery::trust_admin_overrides(&loaded.found);
         let out =
             loaded.hands.iter().filter(|(_, admin_override)| admin_override.out_since.is_some()).count();
         log!("trusts", "item=hands belief={trust:?} out={out} reason={why:?}");
         for (id, admin_override) in &loaded.hands {
-            // What has been said since the start goes first.
+            // An override made since the start takes precedence.
             if self.membership.hand(id) == (None, None) {
                 self.membership.inherit(id, admin_override.out_since, admin_override.was_out);
             }
@@ -333,7 +356,7 @@
         self.republish_members(driver);
     }
 
-    /// What the keeper has to say.
+    /// Handles the events of the store thread.
     pub(super) fn collect_store_events(&mut self, driver: &mut dyn ConnectionDriver) {
         let Some(persistence) = &mut self.persistence else { return };
         for event in persistence.store_thread.heard() {
@@ -353,7 +376,8 @@
                         self.store_settings();
                         self.apply_recovery_actions(actions, driver);
                     } else {
-                        // It comes late, or after an upgrade that came to nothing: bans hold all the same.
+                        // The store opened late, or after an upgrade that failed: admin overrides are applied
+                        // all the same.
                         log!("store", "state=opened boot={boot:?}");
                         self.restore_admin_overrides(&loaded, driver);
                         self.join_peers(boot, Some(&loaded), driver);
@@ -382,7 +406,7 @@
         }
     }
 
-    /// Discovery has been heard, or not.
+    /// Passes an update from discovery, or its refusal, to recovery, and schedules a write of the roster.
     pub(super) fn note_listing(&mut self, listing: Listing, driver: &mut dyn ConnectionDriver) {
         let Some(persistence) = &mut self.persistence else { return };
         let event = match listing {
@@ -400,7 +424,7 @@
         self.apply_recovery_actions(actions, driver);
     }
 
-    /// The list as it is now, for the next life.
+    /// Stores the current roster for the next process run.
     pub(super) fn store_roster(&mut self) {
         let roster = self.current_roster();
         let discovery = self.roster.discovery().to_string();
@@ -412,11 +436,13 @@
         persistence.store_thread.keep("", Some(&StoredRoster { discovery, generation, json }));
     }
 
+    /// Stores the configuration in force, and logs if its settings differ from those of the previous process
+    /// run.
     pub(super) fn store_settings(&mut self) {
         let Some(persistence) = &mut self.persistence else { return };
         let settings = self.active_file.get("settings").map(ToString::to_string).unwrap_or_default();
         let version = topazsail::hash(settings.as_bytes());
-        let previous = persistence.loaded.as_ref().and_then(|left| left.settings.as_ref());
+        let previous = persistence.loaded.as_ref().and_then(|loaded| loaded.settings.as_ref());
         if let Some(previous) = previous.filter(|previous| previous.version != version) {
             log!(
                 "trusts",
@@ -429,6 +455,7 @@
             .keep("", Some(&StoredSettings { version, json: self.active_file.to_string() }));
     }
 
+    /// Stores settings, roster and admin overrides in a store that has just been opened.
     fn store_all(&mut self, driver: &mut dyn ConnectionDriver) {
         self.store_settings();
         self.store_roster();
@@ -437,7 +464,7 @@
         }
     }
 
-    /// What the hand has done to a runner is kept; whoever called is answered once it is.
+    /// Stores the admin override of a runner; an operator's `call` is answered once it is on the disk.
     pub(super) fn store_admin_override(
         &mut self,
         id: &str,
@@ -458,7 +485,7 @@
         }
     }
 
-    /// The disk has kept what an operator waits for, or has not.
+    /// Answers an operator's call whose write has succeeded or failed.
     pub(super) fn finish_stored_call(
         &mut self,
         ticket: u64,
@@ -471,17 +498,18 @@
             Ok(()) => "YES\n".to_owned(),
             Err(why) => {
                 log!("not-kept", "call={call:?} reason={why:?}");
-                format!("NO it holds here until a restart, and is not kept: {why}\n")
+                format!("NO in force here until a restart, but not stored: {why}\n")
             }
         };
         self.operators.answer(connection, &answer, driver);
     }
 
+    /// Answers an operator's call that the disk has kept waiting for too long.
     pub(super) fn time_out_stored_call(&mut self, ticket: u64, driver: &mut dyn ConnectionDriver) {
-        self.finish_stored_call(ticket, Err("the disk has not answered in time".to_owned()), driver);
+        self.finish_stored_call(ticket, Err("the disk did not answer in time".to_owned()), driver);
     }
 
-    /// Another process has the folder from now on, or this one again.
+    /// Releases the store to another process, or opens it again for this one.
     pub(super) fn release_store(&mut self, released: bool) {
         let Some(persistence) = &mut self.persistence else { return };
         if released {
@@ -491,7 +519,8 @@
         }
     }
 
-    /// The process ends as it should: the next life knows to the last forward what was spent.
+    /// Stores the roster and the slow-start usage at a regular end, so that the next process run knows the
+    /// usage up to the last forward, and closes the store within `timeout`.
     pub fn close_store(mut self, now: Micros, timeout: std::time::Duration) {
         let usage = self.policy.slow_start_usage(now);
         self.store_roster();
