--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -14,8 +14,11 @@
 /// How an invocation ended, as operators see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
+    /// Answered with success.
     Passed,
+    /// Throttled or turned away.
     Dropped,
+    /// Answered with any other error.
     BadGateway,
 }
 
@@ -30,6 +33,7 @@
     }
 }
 
+/// The final statuses in the order of their variants, with their names in metrics.
 const FINAL_STATUSES: [(FinalStatus, &str); 3] = [
     (FinalStatus::Passed, "passed"),
     (FinalStatus::Dropped, "dropped"),
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -1,4 +1,5 @@
-//! The node from bytes and a clock to bytes: what is sent, dialled and ended, as short traces.
+//! Trace tests of the node, from bytes and a clock to bytes: each checks what is sent, dialled and closed as
+//! a short trace of times in ms.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -22,29 +23,34 @@
 
 const START: Micros = 1_700_000_000_000_000;
 
-/// Sockets that only write down what is done to them.
+/// A [`ConnectionDriver`] without sockets that records what is done to its connections.
 #[derive(Default)]
 struct TestDriver {
     now: Micros,
-    /// For how long the process has stood still.
+    /// For how long the process has been frozen, in microseconds.
     stalled_for: Micros,
     next: ConnectionId,
     roles: BTreeMap<ConnectionId, ConnectionRole>,
     inputs: BTreeMap<ConnectionId, Vec<u8>>,
-    /// Connections whose other side has ended unnoticed, and those that take no bytes.
+    /// Connections that are no longer reusable.
     stale: BTreeSet<ConnectionId>,
+    /// Connections whose other side has closed, which has not been read yet.
     closed_by_peer: BTreeSet<ConnectionId>,
+    /// Connections that take no bytes.
     blocked: BTreeSet<ConnectionId>,
+    /// Connections that are kept only until their last bytes are sent.
     lingering: Vec<ConnectionId>,
+    /// Timers by their time and a running number.
     timers: BTreeMap<(Micros, u64), Timer>,
     timer_count: u64,
     to_process_again: Vec<ConnectionId>,
-    /// What was sent to another process.
+    /// Text sent to another process of an upgrade.
     handover_text: BTreeMap<ConnectionId, String>,
     trace: String,
 }
 
 impl TestDriver {
+    /// Adds a line to the trace, after the time in ms.
     fn record(&mut self, line: &str) {
         writeln!(self.trace, "{:<5} {line}", (self.now - START) / 1000).unwrap();
     }
@@ -125,13 +131,16 @@
     }
 }
 
+/// A request table on a [`TestDriver`].
 struct Node {
     table: RequestTable,
     driver: TestDriver,
 }
 
+/// Ids and addresses of the runners.
 const RUNNERS: [(&str, &str); 2] = [("s-a", "127.0.0.1:3001"), ("s-b", "127.0.0.1:3002")];
 
+/// A configuration with these runners in its known roster.
 fn configuration(runners: &[(&str, &str)]) -> String {
     let instance = |(id, address): &(&str, &str)| {
         format!(
@@ -172,44 +181,45 @@
         Node::from_text(&configuration(runners))
     }
 
-    fn from_text(configuration: &str) -> Node {
+    fn from_text(text: &str) -> Node {
         let mut driver = TestDriver { now: START, ..TestDriver::default() };
-        let told = config::decode(configuration).unwrap();
-        let mut node = Node { table: RequestTable::new(told, None, None, &mut driver), driver };
+        let configuration = config::decode(text).unwrap();
+        let mut node = Node { table: RequestTable::new(configuration, None, None, &mut driver), driver };
         node.run_until_idle();
         node
     }
 
-    /// One that takes over from another, with what that one says to it on connection `link`.
+    /// A successor of `of`, with the messages that `of` sends to it on `connection`.
     fn successor(of: &mut Node, connection: ConnectionId) -> Node {
         of.driver.roles.insert(connection, ConnectionRole::Peer);
         of.driver.inputs.insert(connection, Vec::new());
         of.table.hand_over(connection, &mut of.driver);
         of.run_until_idle();
-        let said = of.driver.handover_text.remove(&connection).unwrap();
-        let (state, since) = said.split_once('\n').unwrap();
+        let text = of.driver.handover_text.remove(&connection).unwrap();
+        let (state, later_text) = text.split_once('\n').unwrap();
         let state = serde_json::from_str(state).unwrap();
         let mut driver = TestDriver { now: of.driver.now, next: 100, ..TestDriver::default() };
-        let told = config::decode(&configuration(&[])).unwrap();
-        let mut node = Node { table: RequestTable::new(told, Some(state), None, &mut driver), driver };
+        let configuration = config::decode(&configuration(&[])).unwrap();
+        let mut node =
+            Node { table: RequestTable::new(configuration, Some(state), None, &mut driver), driver };
         node.driver.roles.insert(connection, ConnectionRole::Peer);
-        node.table.attach_predecessor(connection, since.as_bytes().to_vec(), &mut node.driver);
+        node.table.attach_predecessor(connection, later_text.as_bytes().to_vec(), &mut node.driver);
         node.run_until_idle();
         node
     }
 
-    /// Passes on what was said to the other process since.
+    /// Delivers the messages sent to the other process since the last call.
     fn relay_messages(&mut self, connection: ConnectionId, to: &mut Node) {
-        let said = self.driver.handover_text.remove(&connection).unwrap_or_default();
-        to.feed(connection, &said);
+        let text = self.driver.handover_text.remove(&connection).unwrap_or_default();
+        to.feed(connection, &text);
     }
 
-    /// One that has its list from the watch, told from here on.
+    /// A node whose watch has been answered, with an empty trace.
     fn with_watch(runners: &[(&str, &str)]) -> Node {
         Node::new(runners).with_watch_answered()
     }
 
-    /// Its first call is answered: nothing has changed.
+    /// Answers the first call to discovery, on which nothing has changed, and clears the trace.
     fn with_watch_answered(mut self) -> Node {
         let connection =
             *self.driver.roles.iter().find(|(_, role)| **role == ConnectionRole::Roster).unwrap().0;
@@ -220,7 +230,7 @@
         self
     }
 
-    /// One whose only runner has taken `i1`, from the client on connection 2, over connection 3.
+    /// A node whose only runner has accepted `i1`, from the client on connection 2, over connection 3.
     fn with_accepted_forward(operation: &str) -> Node {
         let mut node = Node::with_watch(&RUNNERS[..1]);
         node.invoke(operation, "i1");
@@ -229,6 +239,7 @@
         node
     }
 
+    /// Lets the table decide until nothing is pending.
     fn run_until_idle(&mut self) {
         loop {
             self.table.decide(&mut self.driver);
@@ -241,6 +252,7 @@
         }
     }
 
+    /// Accepts a client's connection.
     fn accept(&mut self) -> ConnectionId {
         assert!(self.table.clients.room(&mut self.driver));
         let connection = self.driver.open_connection(ConnectionRole::Client);
@@ -248,6 +260,7 @@
         connection
     }
 
+    /// Accepts an operator's connection.
     fn connect_operator(&mut self) -> ConnectionId {
         assert!(self.table.room(ConnectionRole::Operator, &mut self.driver));
         let connection = self.driver.open_connection(ConnectionRole::Operator);
@@ -255,12 +268,13 @@
         connection
     }
 
-    /// An operator's call on a connection of its own.
+    /// Makes an operator's call on a connection of its own.
     fn call(&mut self, line: &str) {
         let connection = self.connect_operator();
         self.feed(connection, &format!("{line}\n"));
     }
 
+    /// Receives text on a connection, unless it has been closed.
     fn feed(&mut self, connection: ConnectionId, text: &str) {
         let Some(role) = self.driver.roles.get(&connection).copied() else { return };
         let mut input = self.driver.inputs.remove(&connection).unwrap_or_default();
@@ -270,20 +284,22 @@
         self.run_until_idle();
     }
 
+    /// Completes a dial.
     fn connect(&mut self, connection: ConnectionId) {
         let role = self.driver.roles[&connection];
         self.table.handler(role).up(connection, &mut self.driver);
         self.run_until_idle();
     }
 
-    /// The other side ends a connection.
-    fn close(&mut self, connection: ConnectionId, end: CloseReason) {
+    /// Closes a connection from the other side.
+    fn close(&mut self, connection: ConnectionId, reason: CloseReason) {
         let role = self.driver.roles.remove(&connection).unwrap();
         let (unsent, input) = (self.driver.unsent(connection), self.driver.inputs[&connection].clone());
-        self.table.handler(role).ended(connection, end, unsent, &input, &mut self.driver);
+        self.table.handler(role).ended(connection, reason, unsent, &input, &mut self.driver);
         self.run_until_idle();
     }
 
+    /// Lets time pass and fires the timers that are due.
     fn advance(&mut self, ms: i64) {
         let until = self.driver.now + ms * 1000;
         while let Some(entry) = self.driver.timers.first_entry().filter(|entry| entry.key().0 <= until) {
@@ -301,6 +317,7 @@
         self.driver.now = until;
     }
 
+    /// Sends an invocation on a new client connection and returns the connection.
     fn invoke(&mut self, operation: &str, id: &str) -> ConnectionId {
         let connection = self.accept();
         self.feed(
@@ -313,26 +330,31 @@
         connection
     }
 
-    fn send_callback(&mut self, told: &str) {
+    /// Sends a runner's call-back on a new connection.
+    fn send_callback(&mut self, body: &str) {
         let connection = self.accept();
-        let length = told.len();
+        let length = body.len();
         self.feed(
             connection,
-            &format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{told}"),
+            &format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{body}"),
         );
     }
 
+    /// Compares the whole trace with the expected one.
     fn assert_trace(&self, expected: Expect) {
         expected.assert_eq(&self.driver.trace);
     }
 }
 
+/// One chunk of a chunked response.
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// A new generation without changes.
 const EMPTY_CHANGE: &str = "{\"generation\":43,\"reset\":false,\"instances\":[]}\n";
+/// An empty line in a chunk, which keeps a watch alive.
 const EMPTY_LINE: &str = "1\r\n\n\r\n";
 const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 const NO_CONTENT: &str = "HTTP/1.1 204 No Content\r\n\r\n";
@@ -349,7 +371,7 @@
     node.send_callback(
         r#"{"id":"i1","from":"s-a","state":"done","result":"a \"b\"","load":{"x0":1,"outstanding":2}}"#,
     );
-    // Told again, as if the 200 had been lost.
+    // Repeated, as if the 200 had been lost.
     node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"a \"b\""}"#);
     node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
@@ -392,24 +414,25 @@
     "#]]);
 }
 
-/// It tells of the connection, not of the runner. One that has just been made is another matter.
+/// Guards against taking a reused connection that breaks for a runner that is down: the probe is repeated on
+/// a new connection, whose failure counts.
 #[test]
-fn a_probe_on_a_kept_connection_that_breaks_is_asked_once_more() {
+fn a_probe_on_a_reused_connection_that_breaks_is_repeated_once() {
     let mut driver = TestDriver { now: START, ..TestDriver::default() };
-    let told = config::decode(&configuration(&RUNNERS[..1])).unwrap();
-    let mut runners = Runners::new(&told.decoded);
-    let tgt = Id::from("s-a");
-    runners.note(&tgt, true, Some("127.0.0.1:3001".parse().unwrap()), &mut driver);
-    runners.probe(&tgt, &mut driver);
+    let configuration = config::decode(&configuration(&RUNNERS[..1])).unwrap();
+    let mut runners = Runners::new(&configuration.decoded);
+    let runner = Id::from("s-a");
+    runners.note(&runner, true, Some("127.0.0.1:3001".parse().unwrap()), &mut driver);
+    runners.probe(&runner, &mut driver);
     runners.up(1, &mut driver);
     let mut answer = b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"x0\":1,\"inflight\":0} ".to_vec();
     runners.bytes(1, &mut answer, &mut driver);
-    runners.probe(&tgt, &mut driver);
+    runners.probe(&runner, &mut driver);
     runners.ended(1, CloseReason::Reset, false, b"", &mut driver);
     runners.up(2, &mut driver);
     runners.ended(2, CloseReason::Reset, false, b"", &mut driver);
-    for heard in runners.heard {
-        driver.record(&format!("{heard:?}"));
+    for event in runners.heard {
+        driver.record(&format!("{event:?}"));
     }
     expect![[r#"
         0     #1 dials 127.0.0.1:3001
@@ -491,8 +514,8 @@
     "#]]);
 }
 
-/// A forward at a runner that is cut off is out for as long as its cancel is not answered: another one would
-/// be a second copy.
+/// Guards against a second copy of a job: a forward to an unreachable runner is outstanding until its cancel
+/// is answered, and the cancel is retried until then.
 #[test]
 fn a_cancel_is_tried_until_it_is_answered() {
     let mut node = Node::with_accepted_forward("plan");
@@ -502,7 +525,7 @@
         r#""lifecycle":"up"}]}"#
     );
     node.feed(1, &chunk(&format!("{changed}\n")));
-    // Progress is missing.
+    // No progress is reported.
     for _ in 0..3 {
         node.advance(999);
         node.feed(1, EMPTY_LINE);
@@ -524,10 +547,10 @@
     "#]]);
 }
 
-/// Off the list is not off the net: a forward is out until its cancel is answered, or nobody listens there
-/// any more.
+/// Guards against a second copy of a job at a runner that was removed from the roster but still runs: a
+/// forward is outstanding until its cancel is answered or the runner's address refuses connections.
 #[test]
-fn a_runner_that_is_listed_no_more_may_still_be_at_it() {
+fn a_runner_that_is_no_longer_listed_may_still_execute_its_job() {
     let mut node = Node::with_accepted_forward("plan");
     let removed = r#"{"generation":43,"reset":false,"instances":[{"instanceId":"s-a","lifecycle":"removed"},
         {"instanceId":"s-b","hostPort":"127.0.0.1:3002","lifecycle":"up"}]}"#;
@@ -558,7 +581,7 @@
     node.advance(20);
     node.close(client, CloseReason::PeerClosed);
     node.feed(3, NO_CONTENT);
-    // Before the 202 its connection is closed as well.
+    // Before the 202 its connection is closed too.
     let client = node.invoke("plan", "i2");
     node.close(client, CloseReason::PeerClosed);
     node.assert_trace(expect![[r#"
@@ -571,9 +594,9 @@
     "#]]);
 }
 
-/// Given up by the brain, but the runner had finished: the result is the one that is owed.
+/// The routing policy gave up the forward, but the runner completed it: its result is the answer.
 #[test]
-fn a_late_result_is_answered_while_it_is_owed() {
+fn a_late_result_is_answered_while_the_invocation_is_unanswered() {
     let mut node = Node::with_accepted_forward("plan");
     node.advance(1600);
     node.feed(3, NO_CONTENT);
@@ -587,7 +610,7 @@
     "#]]);
 }
 
-/// The repeat of what ended an earlier forward to the same runner says nothing of the new one.
+/// A repeat of the call-back that ended an earlier forward to the same runner does not end the new one.
 #[test]
 fn a_repeated_return_ends_no_later_forward() {
     let mut node = Node::with_accepted_forward("book");
@@ -625,10 +648,10 @@
         4980  #2 < 502 Bad Gateway; Content-Length: 0"#]]);
 }
 
-/// Against a process that was frozen for longer than a client waits, and gave what had come meanwhile its whole
-/// time from then on: the answer came when nobody was there any more.
+/// Guards against a process that was frozen for longer than clients wait and then gave the requests that had
+/// arrived meanwhile their whole time: the answers came after the clients had left.
 #[test]
-fn what_came_while_the_process_stood_still_has_had_that_time() {
+fn the_time_a_request_waited_while_the_process_was_frozen_counts() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     node.driver.stalled_for = 3_000_000;
     node.invoke("plan", "i1");
@@ -650,7 +673,7 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_or_ends_is_asked_for_again() {
+fn a_watch_that_falls_silent_or_ends_is_opened_again() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     node.advance(2000);
     node.feed(1, EMPTY_LINE);
@@ -658,7 +681,7 @@
     node.connect(2);
     node.feed(2, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     node.advance(1200);
-    // Not even a dial comes up.
+    // Not even a connection is established.
     node.advance(1500);
     node.assert_trace(expect![[r#"
         5046  #2 dials 127.0.0.1:8500
@@ -672,9 +695,9 @@
     "#]]);
 }
 
-/// Against a call that fell silent before it was answered, and took most of the 6 s after which what it does not tell
-/// counts as told; and against one given up just before its turn, which many callers make a late one: the one that is
-/// late goes on beside the next.
+/// Guards against two failures of the watch: a call that stays unanswered takes most of the 6 s after which a
+/// change counts as notified, and a call that is given up just before its answer when discovery answers many
+/// callers slowly. A late call therefore stays open beside the next one.
 #[test]
 fn a_call_that_is_late_is_made_again_and_may_still_be_answered() {
     let mut node = Node::new(&RUNNERS[..1]);
@@ -682,7 +705,7 @@
     node.advance(2900);
     node.connect(1);
     node.feed(1, WATCH_HEAD);
-    // The head alone says nothing.
+    // The response head alone is no answer.
     node.advance(600);
     node.connect(2);
     node.advance(400);
@@ -704,7 +727,7 @@
     "#]]);
 }
 
-/// What can become of a call, or of a watch.
+/// How a call to discovery, or a watch, can fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CallFault {
     NeverUp,
@@ -733,12 +756,12 @@
 ];
 
 impl Node {
-    /// What comes of the call on this connection; it is left with the fault just done.
-    fn inject_fault(&mut self, connection: ConnectionId, how: CallFault) {
-        if !matches!(how, CallFault::NeverUp | CallFault::Refused) {
+    /// Makes the call on this connection fail, and leaves it right after the fault.
+    fn inject_fault(&mut self, connection: ConnectionId, fault: CallFault) {
+        if !matches!(fault, CallFault::NeverUp | CallFault::Refused) {
             self.connect(connection);
         }
-        let said = match how {
+        let answer = match fault {
             CallFault::NeverUp | CallFault::SilentBeforeHead => return,
             CallFault::Refused => return self.close(connection, CloseReason::Refused),
             CallFault::Reset => return self.close(connection, CloseReason::Reset),
@@ -752,26 +775,26 @@
             }
             CallFault::SilentWithinLine => format!("{WATCH_HEAD}{}{}", chunk(EMPTY_CHANGE), chunk("{\"gen")),
         };
-        self.feed(connection, &said);
-        if how == CallFault::ResetAfterLine {
+        self.feed(connection, &answer);
+        if fault == CallFault::ResetAfterLine {
             self.close(connection, CloseReason::Reset);
         }
     }
 
-    /// The connection of the call to discovery that came after the one on this, if there is one.
+    /// The connection of the first call to discovery after the one on `before`, if there is one.
     fn next_call(&self, before: ConnectionId) -> Option<ConnectionId> {
         let calls = self.driver.roles.iter().filter(|(_, role)| **role == ConnectionRole::Roster);
         calls.map(|(connection, _)| *connection).find(|connection| *connection > before)
     }
 
-    /// The next call fails like this, if it has come. Gives the connection of the last one.
-    fn fault_next_call(&mut self, before: ConnectionId, how: CallFault) -> ConnectionId {
+    /// Makes the next call fail if it has been made. Returns the connection of the last call.
+    fn fault_next_call(&mut self, before: ConnectionId, fault: CallFault) -> ConnectionId {
         let Some(connection) = self.next_call(before) else { return before };
-        self.inject_fault(connection, how);
+        self.inject_fault(connection, fault);
         connection
     }
 
-    /// The connection of the next call, as soon as there is one.
+    /// Waits for the next call and returns its connection.
     fn wait_for_next_call(&mut self, before: ConnectionId) -> ConnectionId {
         for _ in 0..1000 {
             if let Some(connection) = self.next_call(before) {
@@ -779,54 +802,54 @@
             }
             self.advance(10);
         }
-        panic!("it never asks again: {}", self.driver.trace);
+        panic!("discovery is not called again: {}", self.driver.trace);
     }
 }
 
-/// From the moment in which discovery is well again, whatever two things went wrong before, its list is in force within
-/// the 6 s after which it counts as told, also where it keeps each caller waiting for two of them. From the last line
-/// on nothing is forwarded for longer than that.
+/// After any two failures, the roster is in force within the 6 s after which a change counts as notified,
+/// counted from the recovery of discovery, even if discovery takes two of them to answer. With a lapsed lease
+/// nothing would be forwarded for longer than that.
 #[test]
-fn whatever_goes_wrong_twice_the_list_is_in_force_in_time() {
+fn the_roster_is_in_force_in_time_after_any_two_call_failures() {
     for first in CALL_FAULTS {
-        for then in CALL_FAULTS {
+        for second in CALL_FAULTS {
             let mut node = Node::with_watch(&RUNNERS[..1]);
             node.close(1, CloseReason::Reset);
             let connection = node.wait_for_next_call(1);
             node.inject_fault(connection, first);
             let connection = node.wait_for_next_call(connection);
-            node.inject_fault(connection, then);
-            let well_at = node.driver.now;
+            node.inject_fault(connection, second);
+            let recovered_at = node.driver.now;
             let connection = node.wait_for_next_call(connection);
             node.connect(connection);
             node.advance(2000);
             node.feed(connection, &format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE)));
-            let took = (node.driver.now - well_at) / 1000;
-            assert!(took < 5800, "{first:?}, {then:?}: {took} ms, {}", node.driver.trace);
+            let took = (node.driver.now - recovered_at) / 1000;
+            assert!(took < 5800, "{first:?}, {second:?}: {took} ms, {}", node.driver.trace);
             node.driver.trace.clear();
             node.invoke("plan", "i1");
             assert!(
                 node.driver.trace.contains("dials 127.0.0.1:3001"),
-                "{first:?}, {then:?}: {}",
+                "{first:?}, {second:?}: {}",
                 node.driver.trace
             );
         }
     }
 }
 
-/// Against sending to whom a drain counts as told to that was never heard: discovery could be reached, and did not get
-/// through.
+/// Guards against sending to a runner whose drain counts as notified but was missed: discovery was reachable,
+/// but its changes did not arrive.
 #[test]
 fn nothing_is_forwarded_by_a_list_that_may_be_out_of_date() {
     let silent = [CallFault::SilentBeforeHead, CallFault::SilentBeforeLine, CallFault::Unavailable];
-    for how in silent {
+    for fault in silent {
         let mut node = Node::with_watch(&RUNNERS[..1]);
         node.advance(1000);
-        // Its dial comes up only when the list is in force no more.
+        // Its dial would be established only after the lease has lapsed.
         node.invoke("plan", "i1");
         let mut connection = 1;
         while node.driver.now < START + 5_990_000 {
-            connection = node.fault_next_call(connection, how);
+            connection = node.fault_next_call(connection, fault);
             node.advance(10);
         }
         node.driver.trace.clear();
@@ -835,91 +858,93 @@
         node.invoke("plan", "i3");
         node.advance(300);
         let trace = &node.driver.trace;
-        assert_eq!(trace.matches("dials 127.0.0.1:3001").count(), 1, "{how:?}: {trace}");
-        assert!(trace.contains("ends: unlisted"), "{how:?}: {trace}");
-        // The list is heard: it goes on.
+        assert_eq!(trace.matches("dials 127.0.0.1:3001").count(), 1, "{fault:?}: {trace}");
+        assert!(trace.contains("ends: unlisted"), "{fault:?}: {trace}");
+        // The roster arrives and service resumes.
         let connection = node.wait_for_next_call(connection);
         node.connect(connection);
         node.feed(connection, &format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE)));
         node.driver.trace.clear();
         node.invoke("plan", "i4");
-        assert!(node.driver.trace.contains("dials 127.0.0.1:3001"), "{how:?}: {}", node.driver.trace);
+        assert!(node.driver.trace.contains("dials 127.0.0.1:3001"), "{fault:?}: {}", node.driver.trace);
     }
 }
 
-/// Against a process that starts and sends by what its file remembers, while discovery has long told all others of a
-/// drain. Whoever turns it away at once may be down or have too many callers; a dial that fails says that it cannot be
-/// reached.
+/// Guards against a starting process that forwards by the roster in its file while discovery has already
+/// notified the others of a drain. A refusal at once may come from a discovery that is down or overloaded; a
+/// dial that fails means that it cannot be reached.
 #[test]
-fn a_start_sends_nothing_before_discovery_has_been_heard_or_cannot_be_reached() {
-    const READY: &str = "GET /healthz HTTP/1.1\r\n\r\n";
-    let starts = |how: CallFault, heard: bool| {
+fn a_start_sends_nothing_before_discovery_answers_or_is_unreachable() {
+    const HEALTH_REQUEST: &str = "GET /healthz HTTP/1.1\r\n\r\n";
+    let start = |fault: CallFault, has_change: bool| {
         let mut node = Node::new(&RUNNERS[..1]);
-        node.inject_fault(1, how);
+        node.inject_fault(1, fault);
         node.invoke("plan", "i1");
-        let look = node.accept();
-        node.feed(look, READY);
-        if heard {
+        let health_check = node.accept();
+        node.feed(health_check, HEALTH_REQUEST);
+        if has_change {
             node.feed(1, &chunk(EMPTY_CHANGE));
         }
-        node.feed(look, READY);
+        node.feed(health_check, HEALTH_REQUEST);
         let mut connection = 1;
         let mut ready_at = None;
         for _ in 0..910 {
-            connection = node.fault_next_call(connection, how);
+            connection = node.fault_next_call(connection, fault);
             node.advance(10);
             if ready_at.is_none() && node.driver.trace.contains("200 OK") {
                 ready_at = Some((node.driver.now - START) / 1000);
             }
             if ready_at.is_none() {
-                node.feed(look, READY);
+                node.feed(health_check, HEALTH_REQUEST);
             }
         }
         (node.driver.trace.contains("dials 127.0.0.1:3001"), ready_at)
     };
-    assert_eq!(starts(CallFault::SilentBeforeLine, true), (true, Some(10)));
-    assert_eq!(starts(CallFault::Refused, false), (true, Some(10)));
-    assert_eq!(starts(CallFault::NeverUp, false), (false, Some(1010)));
-    assert_eq!(starts(CallFault::Unavailable, false), (false, Some(9010)));
-    assert_eq!(starts(CallFault::SilentBeforeHead, false), (false, Some(9010)));
+    assert_eq!(start(CallFault::SilentBeforeLine, true), (true, Some(10)));
+    assert_eq!(start(CallFault::Refused, false), (true, Some(10)));
+    assert_eq!(start(CallFault::NeverUp, false), (false, Some(1010)));
+    assert_eq!(start(CallFault::Unavailable, false), (false, Some(9010)));
+    assert_eq!(start(CallFault::SilentBeforeHead, false), (false, Some(9010)));
 }
 
-/// Where lists are pushed an agent that does not answer has learnt nothing, as discovery is down: against an end of all
-/// service 6 s after its watch fell silent.
+/// Where rosters are pushed, an agent that does not answer has received nothing either, as when discovery is
+/// down. Guards against the end of all service 6 s after the watch fell silent.
 #[test]
 fn an_agent_that_is_silent_stops_no_service() {
-    for how in [CallFault::SilentBeforeHead, CallFault::SilentBeforeLine, CallFault::Unavailable] {
+    for fault in [CallFault::SilentBeforeHead, CallFault::SilentBeforeLine, CallFault::Unavailable] {
         let pushed = configuration(&RUNNERS[..1]).replace("subscribe", "automatic");
         let mut node = Node::from_text(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":500000"))
             .with_watch_answered();
         let mut connection = 1;
         while node.driver.now < START + 20_000_000 {
-            connection = node.fault_next_call(connection, how);
+            connection = node.fault_next_call(connection, fault);
             node.advance(10);
             let ms = (node.driver.now - START) / 1000;
             if [6_500, 13_000, 19_500].contains(&ms) {
                 node.driver.trace.clear();
                 node.invoke("plan", &format!("i{ms}"));
-                assert!(node.driver.trace.contains(":3001"), "{how:?} at {ms}: {}", node.driver.trace);
+                assert!(node.driver.trace.contains(":3001"), "{fault:?} at {ms}: {}", node.driver.trace);
             }
         }
     }
 }
 
-/// One that turns every call away for as long as a start may take is taken for down: service has to begin.
+/// Discovery that refuses every call for as long as a start may take counts as down, so that service can
+/// begin.
 #[test]
-fn a_discovery_that_turns_every_call_away_for_long_is_down() {
+fn a_discovery_that_refuses_every_call_for_long_counts_as_down() {
     let mut node = Node::new(&RUNNERS[..1]);
-    let (mut connection, mut sent_at, mut next_ask) = (0, None, START);
+    let (mut connection, mut sent_at, mut next_request_at) = (0, None, START);
     let client = node.accept();
     while node.driver.now < START + 30_000_000 && sent_at.is_none() {
         connection = node.fault_next_call(connection, CallFault::Unavailable);
         node.advance(50);
-        if node.driver.now >= next_ask {
-            next_ask += 1_000_000;
-            let asks =
-                format!("POST /plan HTTP/1.1\r\nX-Request-Id: i{next_ask}\r\nX-Deadline-Ms: 900\r\n\r\n");
-            node.feed(client, &asks);
+        if node.driver.now >= next_request_at {
+            next_request_at += 1_000_000;
+            let request = format!(
+                "POST /plan HTTP/1.1\r\nX-Request-Id: i{next_request_at}\r\nX-Deadline-Ms: 900\r\n\r\n"
+            );
+            node.feed(client, &request);
         }
         sent_at = node
             .driver
@@ -930,27 +955,28 @@
     assert!(sent_at.is_some_and(|sent_at| (25..=26).contains(&sent_at)), "{sent_at:?}");
 }
 
-/// Where discovery is down or cut off nothing can be told, and service goes on by the list that there is.
+/// Where discovery is down or unreachable no change can be notified, and service continues by the current
+/// roster.
 #[test]
 fn a_discovery_that_cannot_be_reached_stops_no_service() {
     let down = [CallFault::NeverUp, CallFault::Refused, CallFault::Reset, CallFault::Unavailable];
-    for how in down {
+    for fault in down {
         let mut node = Node::with_watch(&RUNNERS[..1]);
         node.advance(1000);
         node.close(1, CloseReason::Reset);
         let mut connection = 1;
         while node.driver.now < START + 20_000_000 {
-            connection = node.fault_next_call(connection, how);
+            connection = node.fault_next_call(connection, fault);
             node.advance(10);
         }
         node.driver.trace.clear();
         node.invoke("plan", "i1");
-        assert!(node.driver.trace.contains("dials 127.0.0.1:3001"), "{how:?}: {}", node.driver.trace);
+        assert!(node.driver.trace.contains("dials 127.0.0.1:3001"), "{fault:?}: {}", node.driver.trace);
     }
 }
 
-/// Against a whole list that takes longer than a watch may be silent, cut and begun again for ever; and against one that
-/// trickles for ever.
+/// Guards against two failures: a whole roster that takes longer than a watch may be silent was cut off and
+/// requested again without end, and one that arrives in small pieces without end was waited for.
 #[test]
 fn a_whole_list_may_come_slowly_but_not_for_ever() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
@@ -982,9 +1008,10 @@
     "#]]);
 }
 
-/// Where lists are pushed a change counts though nobody listens: waits that grow would outlast the drain's grace.
+/// Where rosters are pushed a change counts as notified even if no dispatcher listens: growing retry delays
+/// would outlast the drain grace.
 #[test]
-fn a_discovery_that_refuses_is_asked_again_within_the_grace_where_lists_are_pushed() {
+fn a_refusing_discovery_is_called_again_within_the_drain_grace_where_rosters_are_pushed() {
     let pushed = configuration(&RUNNERS).replace("subscribe", "automatic");
     let mut node = Node::from_text(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":250000"));
     for connection in 1..=9 {
@@ -994,7 +1021,7 @@
     assert_eq!(node.driver.trace.matches("dials 127.0.0.1:8500").count(), 10, "{}", node.driver.trace);
 }
 
-/// A byte now and then is no sign of life: what the watch does not tell counts as told all the same.
+/// Single bytes without a whole line do not keep a watch alive: changes count as notified all the same.
 #[test]
 fn a_watch_that_trickles_without_a_whole_line_is_silent() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
@@ -1008,9 +1035,10 @@
     "#]]);
 }
 
-/// Against a version that counts as had while its drain was thrown away: nothing tells it again.
+/// Guards against a roster generation that counts as received while one of its drains was dropped: it is not
+/// sent again.
 #[test]
-fn a_drain_is_heard_whatever_else_of_its_entry_cannot_be_read() {
+fn a_drain_is_applied_even_if_the_rest_of_its_entry_is_unreadable() {
     let mut node = Node::with_watch(&RUNNERS);
     let changes = [
         r#"{"instanceId":"s-a","lifecycle":"draining","hostPort":"nowhere","cell":"x"}"#,
@@ -1027,7 +1055,7 @@
     "#]]);
 }
 
-/// An indented list is many lines and one object; it may come in pieces.
+/// An indented roster is one JSON object over many lines, and may arrive in pieces.
 #[test]
 fn a_list_over_several_lines_is_read_once_it_is_whole() {
     let mut node = Node::with_watch(&RUNNERS);
@@ -1049,7 +1077,8 @@
     "#]]);
 }
 
-/// Discovery has begun to count anew at the same address: a drain between its counts would be told by neither.
+/// Discovery has restarted its generations at the same address: a drain between the two counts would be in
+/// neither.
 #[test]
 fn a_generation_that_goes_back_brings_the_whole_list() {
     let mut node = Node::with_watch(&RUNNERS);
@@ -1070,9 +1099,9 @@
     "#]]);
 }
 
-/// What waits for a dial to the address that a runner had before goes to the one that it has.
+/// A forward that waits for a dial to a runner's previous address goes to its new one.
 #[test]
-fn what_waits_for_a_dial_to_an_address_of_before_goes_to_the_new_one() {
+fn a_forward_waiting_for_a_dial_to_an_old_address_goes_to_the_new_one() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("plan", "i1");
     let moved = r#"{"generation":43,"instances":[{"instanceId":"s-a","lifecycle":"up","hostPort":"127.0.0.1:3009"}]}"#;
@@ -1088,14 +1117,14 @@
 }
 
 #[test]
-fn a_new_discovery_is_asked_for_its_whole_list_at_once() {
+fn a_new_discovery_address_is_queried_for_the_whole_roster_at_once() {
     let mut node = Node::with_watch(&RUNNERS);
     let moved = |port: &str| {
         let text = configuration(&RUNNERS).replace("8500", port).replace("\"sockets\":64", "\"sockets\":128");
         config::decode(&text).unwrap()
     };
     node.table.reload(moved("8501"), &mut node.driver);
-    // The same again leaves the watch that is under way alone.
+    // The same address again leaves the current watch alone.
     node.table.reload(moved("8501"), &mut node.driver);
     node.connect(2);
     node.feed(2, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
@@ -1105,11 +1134,11 @@
         "hostPort":"127.0.0.1:3002"}]}"#;
     node.feed(3, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
     node.feed(3, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    // Nothing more goes to a runner that the new list does not know.
+    // Nothing more goes to a runner that the new roster does not contain.
     for id in ["i1", "i2", "i3"] {
         node.invoke("plan", id);
     }
-    // Told to end while yet another watch is being dialled.
+    // The shutdown begins while yet another watch is being dialled.
     node.table.reload(moved("8502"), &mut node.driver);
     node.table.begin_shutdown(&mut node.driver);
     node.assert_trace(expect![[r#"
@@ -1146,7 +1175,7 @@
 }
 
 #[test]
-fn told_to_end_it_answers_what_it_has_taken() {
+fn a_shutdown_answers_what_has_been_accepted() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     let idle = node.accept();
     node.invoke("plan", "i1");
@@ -1158,7 +1187,7 @@
     node.feed(late, "GET /healthz HTTP/1.1\r\n\r\n");
     node.advance(1000);
     node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
-    // Whoever has a connection may have no other dispatcher to go to yet.
+    // Clients keep their connections for a while, as no other dispatcher may be available yet.
     node.advance(900);
     node.feed(idle, "POST /plan HTTP/1.1\r\nX-Request-Id: i2\r\nX-Deadline-Ms: 900\r\n\r\n");
     node.feed(4, ACCEPTED);
@@ -1183,9 +1212,9 @@
     "#]]);
 }
 
-/// What has come on a connection that was to be ended as idle has been taken.
+/// A request that has arrived on a connection about to be closed as idle is accepted.
 #[test]
-fn told_to_end_it_reads_what_has_just_come() {
+fn a_shutdown_reads_what_has_just_arrived() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     let client = node.accept();
     node.driver.stale.insert(client);
@@ -1208,7 +1237,7 @@
 }
 
 #[test]
-fn told_to_end_it_leaves_nothing_unanswered() {
+fn a_shutdown_leaves_nothing_unanswered() {
     let mut node = Node::with_accepted_forward("book");
     node.table.begin_shutdown(&mut node.driver);
     node.advance(2200);
@@ -1228,9 +1257,10 @@
     "#]]);
 }
 
-/// What may be repeated would be forwarded anew, and be lost when the process ends.
+/// Guards against forwarding an idempotent invocation again just before the process ends, which would lose
+/// it.
 #[test]
-fn told_to_end_it_forwards_nothing_anew_at_the_last_moment() {
+fn a_shutdown_forwards_nothing_again_at_the_last_moment() {
     let mut node = Node::with_watch(&RUNNERS);
     node.table.begin_shutdown(&mut node.driver);
     node.advance(2900);
@@ -1251,27 +1281,28 @@
     "#]]);
 }
 
-/// Against the time of one customer's clients deciding for another's: killed 0.7 s after the longest client timeout,
-/// with clients still let in. What comes after the last step is answered all the same, and what never left has not
-/// failed.
+/// Guards against shutdown spans fitted to longer client timeouts than the settings have: the process was
+/// killed 0.7 s after the longest client timeout while it still accepted clients. Requests after the last
+/// step are still answered, and one that was never sent has not failed.
 #[test]
-fn told_to_end_it_goes_by_the_longest_client_timeout_of_its_settings() {
+fn a_shutdown_follows_the_longest_client_timeout_of_the_settings() {
     let text = configuration(&RUNNERS[..1]);
     let mut node = Node::from_text(&text.replace("8000000", "900000").replace("5000000", "600000"))
         .with_watch_answered();
-    let kept: Vec<ConnectionId> = (0..3).map(|_| node.accept()).collect();
-    let asks = |id: &str| format!("POST /book HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
+    let clients: Vec<ConnectionId> = (0..3).map(|_| node.accept()).collect();
+    let request =
+        |id: &str| format!("POST /book HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
     node.table.begin_shutdown(&mut node.driver);
     node.advance(800);
-    node.feed(kept[0], &asks("i1"));
+    node.feed(clients[0], &request("i1"));
     node.connect(5);
-    // What has come on the others is read later; the second one's dial is still under way at the end.
-    node.driver.stale.extend(&kept[1..]);
+    // Requests on the other connections are read later; the second one's dial is still under way at the end.
+    node.driver.stale.extend(&clients[1..]);
     node.advance(300);
-    node.feed(kept[1], &asks("i2"));
+    node.feed(clients[1], &request("i2"));
     node.advance(101);
     node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
-    node.feed(kept[2], &asks("i3"));
+    node.feed(clients[2], &request("i3"));
     node.advance(30);
     node.driver.record(&format!("down: {}", node.table.is_shutdown_complete(node.driver.now)));
     node.assert_trace(expect![[r#"
@@ -1291,23 +1322,23 @@
     "#]]);
 }
 
-/// A client that has left is not served, whatever its invocation waits for, also where no cancel may be sent.
+/// A client that has left is not served, whatever its invocation waits for, even where no cancel may be sent.
 #[test]
-fn what_has_not_left_when_its_client_does_never_leaves() {
+fn a_forward_not_sent_when_its_client_leaves_is_never_sent() {
     let text = configuration(&RUNNERS[..1]).replace("\"cancel\":true", "\"cancel\":false");
     let mut node = Node::from_text(&text).with_watch_answered();
-    let dials = node.invoke("book", "i1");
-    node.close(dials, CloseReason::PeerClosed);
+    let waiting_client = node.invoke("book", "i1");
+    node.close(waiting_client, CloseReason::PeerClosed);
     node.connect(3);
-    // Behind a full socket only part of it has gone, which no runner begins on.
+    // Only part of the request went into a full socket; no runner starts on a part.
     node.driver.blocked.insert(3);
-    let half = node.invoke("book", "i2");
-    node.close(half, CloseReason::Reset);
-    // After a forward that came back, and before the next.
-    let again = node.invoke("book", "i3");
+    let half_sent_client = node.invoke("book", "i2");
+    node.close(half_sent_client, CloseReason::Reset);
+    // After a forward that was returned, and before the next.
+    let returned_client = node.invoke("book", "i3");
     node.connect(6);
     node.feed(6, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-    node.close(again, CloseReason::PeerClosed);
+    node.close(returned_client, CloseReason::PeerClosed);
     node.advance(900);
     node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
@@ -1318,9 +1349,9 @@
     "#]]);
 }
 
-/// A runner that is told of time that the dial has used up works for nobody.
+/// Guards against a runner that works in vain because its deadline includes the time that the dial took.
 #[test]
-fn a_forward_tells_what_is_left_when_it_leaves() {
+fn a_forward_carries_the_time_left_when_it_is_sent() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("plan", "i1");
     node.advance(200);
@@ -1331,28 +1362,29 @@
     "#]]);
 }
 
-/// Its end has come and has not been read, as the turn was long, or the dial came up first: first and further forward,
-/// over a connection at rest, a dial and one that comes free.
+/// Guards against serving a client whose close has arrived but has not been read, because the turn of the
+/// event loop was long or the dial completed first. Covers first and further forwards over an idle
+/// connection, a new one and one that becomes free.
 #[test]
 fn a_client_whose_end_has_not_been_read_yet_is_not_served() {
     let mut node = Node::with_accepted_forward("plan");
     node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
     node.driver.trace.clear();
-    // Over the connection at rest.
+    // Over the idle connection.
     let client = node.accept();
     node.driver.closed_by_peer.insert(client);
     node.feed(client, "POST /plan HTTP/1.1\r\nX-Request-Id: i2\r\nX-Deadline-Ms: 5000\r\n\r\n");
-    // Its end, when it is read, is no more news; the next one has the connection.
+    // Its close has no effect when it is read; the next one gets the connection.
     node.close(client, CloseReason::PeerClosed);
     let third = node.invoke("plan", "i3");
-    // Over a dial, and over connections that come free.
-    let dialling = |node: &mut Node, id: &str| {
+    // Over a new connection, and over connections that become free.
+    let dial_for = |node: &mut Node, id: &str| {
         let client = node.invoke("plan", id);
         node.driver.closed_by_peer.insert(client);
         *node.driver.roles.iter().rfind(|(_, role)| **role == ConnectionRole::Runner).unwrap().0
     };
-    let dialled = dialling(&mut node, "i4");
-    dialling(&mut node, "i5");
+    let dialled = dial_for(&mut node, "i4");
+    dial_for(&mut node, "i5");
     node.connect(dialled);
     node.feed(3, ACCEPTED);
     // A further forward.
@@ -1364,9 +1396,10 @@
     assert!(trace.contains("X-Request-Id: i3"), "{trace}");
 }
 
-/// Against dials that come up after the grace, with a forward for a runner that drains or is gone.
+/// Guards against dials that complete after the drain grace, with a forward for a runner that drains or is
+/// gone.
 #[test]
-fn what_waits_for_a_dial_to_a_runner_that_drains_goes_elsewhere() {
+fn a_forward_waiting_for_a_dial_to_a_draining_runner_goes_elsewhere() {
     for left in
         [r#"{"instanceId":"s-a","lifecycle":"draining"}"#, r#"{"instanceId":"s-a","lifecycle":"removed"}"#]
     {
@@ -1383,18 +1416,18 @@
     }
 }
 
-/// A second answer that comes when the connection has its next task: a job that runs is not taken for one that never
-/// did, and a cancel that nobody heard not for one that was.
+/// Guards against a second answer that arrives when the connection carries its next request: a running job
+/// must not count as one that never ran, nor an unanswered cancel as answered.
 #[test]
-fn an_answer_that_may_be_anothers_never_says_that_nothing_ran() {
+fn an_answer_that_may_belong_to_another_request_never_counts_as_not_run() {
     for second in ["503 Service Unavailable\r\nX-Not-Run: 1", "400 Bad Request", "500 Internal Server Error"]
     {
         let mut node = Node::with_accepted_forward("book");
         node.invoke("book", "i2");
         node.feed(3, &format!("HTTP/1.1 {second}\r\nContent-Length: 0\r\n\r\n"));
         node.advance(300);
-        let of = |text: &str| node.driver.trace.matches(text).count();
-        assert_eq!((of("X-Request-Id: i2"), of("502 Bad Gateway")), (1, 1), "{}", node.driver.trace);
+        let count = |text: &str| node.driver.trace.matches(text).count();
+        assert_eq!((count("X-Request-Id: i2"), count("502 Bad Gateway")), (1, 1), "{}", node.driver.trace);
         assert!(node.driver.trace.contains("#3 ends: bad_answer"), "{}", node.driver.trace);
     }
     let mut node = Node::with_accepted_forward("plan");
@@ -1407,23 +1440,23 @@
     assert_eq!(deletes(&node), 2, "{}", node.driver.trace);
 }
 
-/// Who asks nothing goes first, then who has only asked whether we are ready, then whoever was idle longest.
+/// Connections are closed in this order: without a request, with health checks only, then the longest idle.
 #[test]
-fn a_newcomer_takes_the_place_of_one_that_asks_nothing() {
+fn a_new_connection_replaces_one_that_sends_nothing() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
-    let usual = node.accept();
-    node.feed(usual, "POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 15\r\n\r\n");
-    let asked = node.accept();
-    node.feed(asked, "GET /healthz HTTP/1.1\r\n\r\n");
+    let invoking_client = node.accept();
+    node.feed(invoking_client, "POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 15\r\n\r\n");
+    let health_check = node.accept();
+    node.feed(health_check, "GET /healthz HTTP/1.1\r\n\r\n");
     for _ in 0..36 {
         node.accept();
         node.advance(5);
     }
     node.driver.trace.clear();
-    let lingers = node.driver.open_connection(ConnectionRole::Client);
-    node.driver.lingering.push(lingers);
+    let lingering = node.driver.open_connection(ConnectionRole::Client);
+    node.driver.lingering.push(lingering);
     node.accept();
-    // All newcomers are too young.
+    // All new connections are still within their grace period.
     node.accept();
     node.accept();
     node.advance(110);
@@ -1441,22 +1474,23 @@
 }
 
 #[test]
-fn whoever_asks_nothing_whole_in_time_is_let_go() {
+fn a_client_without_a_whole_request_in_time_is_closed() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
-    let links = [node.accept(), node.accept(), node.accept()];
+    let clients = [node.accept(), node.accept(), node.accept()];
     for _ in 0..12 {
         node.advance(200);
-        node.feed(links[1], "G");
-        node.feed(links[2], "GET /hea");
-        node.feed(links[2], "lthz HTTP/1.1\r\n\r\n");
+        node.feed(clients[1], "G");
+        node.feed(clients[2], "GET /hea");
+        node.feed(clients[2], "lthz HTTP/1.1\r\n\r\n");
     }
     node.driver.trace.clear();
     node.feed(1, EMPTY_LINE);
     node.advance(1000);
-    let looks = node.driver.timers.values().filter(|due| **due == Timer::Connection(links[2])).count();
-    node.driver.record(&format!("looks asked for: {looks}"));
-    // One that has asked before may rest, but its next request must be whole in time too.
-    node.feed(links[2], "GET /hea");
+    let timers = node.driver.timers.values().filter(|due| **due == Timer::Connection(clients[2])).count();
+    node.driver.record(&format!("looks asked for: {timers}"));
+    // A connection that has sent a request before may be idle, but its next request must be whole in time
+    // too.
+    node.feed(clients[2], "GET /hea");
     node.advance(3000);
     node.assert_trace(expect![[r#"
         2500  #2 ends: silent
@@ -1469,17 +1503,17 @@
 }
 
 #[test]
-fn half_a_request_and_a_close_reach_no_runner_and_many_at_once_are_taken_in_turn() {
+fn half_a_request_reaches_no_runner_and_pipelined_requests_run_in_turn() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
-    let half = node.accept();
+    let half_request_client = node.accept();
     node.feed(
-        half,
+        half_request_client,
         "POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 900\r\nContent-Length: 9\r\n\r\nhi",
     );
-    node.close(half, CloseReason::PeerClosed);
-    let hasty = node.accept();
+    node.close(half_request_client, CloseReason::PeerClosed);
+    let pipelining_client = node.accept();
     let request = |id| format!("POST /plan HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
-    node.feed(hasty, &(request("i1") + &request("i2") + &request("i2") + &request("i3")));
+    node.feed(pipelining_client, &(request("i1") + &request("i2") + &request("i2") + &request("i3")));
     node.connect(4);
     for id in ["i1", "i2"] {
         node.feed(4, ACCEPTED);
@@ -1499,7 +1533,7 @@
 }
 
 #[test]
-fn whoever_reads_no_answers_is_read_no_further() {
+fn a_client_that_reads_no_answers_is_read_no_further() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     let client = node.accept();
     node.feed(client, "GET /healthz HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\n\r\n");
@@ -1520,7 +1554,7 @@
     "#]]);
 }
 
-/// An id is for one request: sent again after its answer it is somebody else's.
+/// An id belongs to one request: sent again after its answer it is rejected.
 #[test]
 fn an_id_that_has_been_answered_is_not_taken_again() {
     let mut node = Node::with_accepted_forward("plan");
@@ -1534,7 +1568,7 @@
 }
 
 #[test]
-fn what_a_runner_cannot_use_is_not_tried_again_nor_held_against_it() {
+fn a_request_that_a_runner_rejects_is_neither_retried_nor_held_against_it() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     for id in ["i1", "i2", "i3"] {
         node.invoke("plan", id);
@@ -1556,7 +1590,7 @@
 }
 
 #[test]
-fn beyond_what_it_may_hold_it_turns_away_at_once() {
+fn invocations_beyond_the_limit_are_rejected_at_once() {
     let text = configuration(&RUNNERS[..1]).replace("\"openCap\":20000", "\"openCap\":1");
     let mut driver = TestDriver { now: START, ..TestDriver::default() };
     let table = RequestTable::new(config::decode(&text).unwrap(), None, None, &mut driver);
@@ -1571,18 +1605,19 @@
     "#]]);
 }
 
+/// The trace of a bad request and of a health check on another connection, without times.
 fn refusal(request: &str) -> String {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     let connection = node.accept();
     node.feed(connection, request);
-    let unharmed = node.accept();
-    node.feed(unharmed, "GET /healthz HTTP/1.1\r\n\r\n");
+    let other_client = node.accept();
+    node.feed(other_client, "GET /healthz HTTP/1.1\r\n\r\n");
     node.driver.trace.lines().map(|line| line[6..].to_owned() + "\n").collect()
 }
 
 #[test]
 fn bad_input_is_refused_and_does_no_harm() {
-    let call =
+    let callback =
         |body: &str| format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let plan = |headers: &str| format!("POST /plan HTTP/1.1\r\n{headers}\r\n");
     let requests = [
@@ -1611,9 +1646,9 @@
         plan("Transfer-Encoding: gzip\r\n"),
         plan(&format!("A: {}\r\n", "b".repeat(17 << 10))),
         plan(&"A: b\r\n".repeat(65)),
-        call("{"),
-        call(r#"{"id":"i1","from":"s-a","state":"odd"}"#),
-        call(r#"{"id":"i1","from":"s-a","state":"done"}"#),
+        callback("{"),
+        callback(r#"{"id":"i1","from":"s-a","state":"odd"}"#),
+        callback(r#"{"id":"i1","from":"s-a","state":"done"}"#),
         plan("X-Request-Id: a\r\nX-Deadline-Ms: 15\r\n"),
     ];
     let outcomes: String = requests.iter().map(|request| refusal(request)).collect();
@@ -1704,7 +1739,7 @@
 #[test]
 fn operators_are_answered_whatever_else_is_open() {
     let mut node = Node::with_accepted_forward("plan");
-    // Some say nothing, or half a call, and stay: they keep nobody out for long.
+    // Some send nothing, or half a call, and stay connected: they must not keep others out for long.
     let silent: Vec<ConnectionId> = (0..16).map(|_| node.connect_operator()).collect();
     node.feed(silent[1], "sta");
     node.call("status");
@@ -1733,15 +1768,16 @@
 }
 
 #[test]
-fn figures_count_what_clients_were_answered() {
+fn metrics_count_what_clients_were_answered() {
     let mut node = Node::with_accepted_forward("plan");
     node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
-    // One whose forward breaks before it is written whole, and comes to nothing elsewhere.
+    // An invocation whose forward breaks before it is written completely, and is not forwarded elsewhere.
     node.driver.blocked.insert(3);
     let client = node.invoke("book", "i2");
     node.close(3, CloseReason::Reset);
     node.driver.blocked.clear();
-    // One that is open, one of a client that leaves, one that is turned away unseen, one that is no good.
+    // One that is open, one of a client that leaves, one that expires before it is accepted, and one that is
+    // invalid.
     let left = node.invoke("lodge", "i3");
     node.close(left, CloseReason::PeerClosed);
     let late = node.accept();
@@ -1786,19 +1822,21 @@
     for cut in 1..request.len() {
         let mut driver = TestDriver { now: START, ..TestDriver::default() };
         let mut clients = Clients::new();
-        let told = config::decode(&configuration(&[])).unwrap().decoded;
-        clients.operations.set(told.operations.into_iter().zip(told.settings.operations).collect(), START);
+        let decoded = config::decode(&configuration(&[])).unwrap().decoded;
+        clients
+            .operations
+            .set(decoded.operations.into_iter().zip(decoded.settings.operations).collect(), START);
         clients.accepted(7, &mut driver);
         let mut input = request.as_bytes()[..cut].to_vec();
         clients.bytes(7, &mut input, &mut driver);
         assert!(clients.heard.is_empty());
         input.extend_from_slice(&request.as_bytes()[cut..]);
         clients.bytes(7, &mut input, &mut driver);
-        let Some(ClientEvent::Invocation(told)) = clients.heard.pop() else {
-            panic!("nothing heard, cut at {cut}")
+        let Some(ClientEvent::Invocation(invocation)) = clients.heard.pop() else {
+            panic!("no invocation received, cut at {cut}")
         };
-        assert_eq!((told.operation, told.slots, told.key), (1, 2.0, Some(Id::from("k"))));
-        assert_eq!((told.body.as_slice(), input.len()), (b"abcde".as_slice(), 0));
+        assert_eq!((invocation.operation, invocation.slots, invocation.key), (1, 2.0, Some(Id::from("k"))));
+        assert_eq!((invocation.body.as_slice(), input.len()), (b"abcde".as_slice(), 0));
     }
     let answer = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
     for cut in 1..answer.len() {
@@ -1817,8 +1855,8 @@
         roster.bytes(1, &mut input, &mut driver);
         input.extend_from_slice(&watch.as_bytes()[cut..]);
         roster.bytes(1, &mut input, &mut driver);
-        let heard: Vec<_> = roster.heard.iter().map(|heard| (heard.listing, heard.entries.len())).collect();
-        assert_eq!(format!("{heard:?}"), "[(All, 0), (Changes, 0)]", "cut at {cut}");
+        let events: Vec<_> = roster.heard.iter().map(|event| (event.listing, event.entries.len())).collect();
+        assert_eq!(format!("{events:?}"), "[(All, 0), (Changes, 0)]", "cut at {cut}");
     }
     assert_eq!(
         http::request(b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n").unwrap_err(),
@@ -1829,43 +1867,45 @@
 
 #[test]
 fn a_bad_store_names_the_field() {
-    let fault = |store: &str| {
+    let decode_store = |store: &str| {
         let text = configuration(&[]).replacen('{', &format!("{{\"store\":{store},"), 1);
-        config::decode(&text).map(|told| told.store.is_some())
+        config::decode(&text).map(|configuration| configuration.store.is_some())
     };
-    assert_eq!(fault("null"), Ok(false));
-    assert_eq!(fault(r#"{"folder":"/x","require":true}"#), Ok(true));
-    for (store, said) in [
+    assert_eq!(decode_store("null"), Ok(false));
+    assert_eq!(decode_store(r#"{"folder":"/x","require":true}"#), Ok(true));
+    for (store, message) in [
         ("5", "store has the bad value 5"),
         ("{}", "store.folder is missing"),
         (r#"{"folder":""}"#, "store.folder has the bad value \"\""),
         (r#"{"folder":"/x","require":1}"#, "store.require has the bad value 1"),
         (r#"{"folder":"/x","foldr":"y"}"#, "store.foldr is unknown"),
     ] {
-        assert_eq!(fault(store), Err(said.to_owned()), "{store}");
+        assert_eq!(decode_store(store), Err(message.to_owned()), "{store}");
     }
 }
 
 #[test]
 fn the_example_with_a_store_and_peers_is_accepted() {
-    let told = config::decode(include_str!("../../deploy/kept.json")).unwrap();
-    assert!(told.store.is_some() && told.peers.is_some_and(|peers| peers.members.len() == 2));
+    let configuration = config::decode(include_str!("../../deploy/kept.json")).unwrap();
+    assert!(
+        configuration.store.is_some() && configuration.peers.is_some_and(|peers| peers.members.len() == 2)
+    );
 }
 
 #[test]
 fn bad_peers_name_the_field() {
-    let fault = |peers: &str, store: &str| {
+    let decode_peers = |peers: &str, store: &str| {
         let text = configuration(&[]).replacen('{', &format!("{{\"peers\":{peers},{store}"), 1);
-        config::decode(&text).map(|told| told.peers.map_or(0, |peers| peers.members.len()))
+        config::decode(&text).map(|configuration| configuration.peers.map_or(0, |peers| peers.members.len()))
     };
     let members = |members: &str| format!(r#"{{"listen":"127.0.0.1:7000","members":[{members}]}}"#);
     let store = r#""store":{"folder":"/x"},"#;
     let other = r#"{"name":"n1","address":"127.0.0.1:7001"}"#;
-    assert_eq!(fault(&members(other), store), Ok(1));
-    assert_eq!(fault("null", ""), Ok(0));
+    assert_eq!(decode_peers(&members(other), store), Ok(1));
+    assert_eq!(decode_peers("null", ""), Ok(0));
     let missing = "peers is set and store is missing: lives are numbered there";
-    assert_eq!(fault(&members(other), ""), Err(missing.to_owned()));
-    for (peers, said) in [
+    assert_eq!(decode_peers(&members(other), ""), Err(missing.to_owned()));
+    for (peers, message) in [
         ("7".to_owned(), "peers has the bad value 7"),
         (r#"{"members":[]}"#.to_owned(), "peers.listen is missing"),
         (r#"{"listen":"x","members":[]}"#.to_owned(), "peers.listen has the bad address \"x\""),
@@ -1877,14 +1917,14 @@
         (members(&format!("{other},{other}")), "peers.members.1 is named twice"),
         (r#"{"listen":"127.0.0.1:1","every":0,"members":[]}"#.to_owned(), "peers.every is unknown"),
     ] {
-        assert_eq!(fault(&peers, store), Err(said.to_owned()), "{peers}");
+        assert_eq!(decode_peers(&peers, store), Err(message.to_owned()), "{peers}");
     }
 }
 
 #[test]
 fn a_bad_configuration_names_the_field() {
     let good = configuration(&RUNNERS);
-    let bad = [
+    let replacements = [
         ("\"127.0.0.1:0\"", "\"nowhere\""),
         ("8c1f30d27a5be964", "xyz"),
         ("\"more\":null", "\"admin_addr\":\"here\""),
@@ -1900,7 +1940,8 @@
         ("\"tipAfter\"", "\"extraFloor\":3,\"repeatRatio\":0.1,\"extraWindow\":0,\"tipAfter\""),
         ("}}", "}"),
     ];
-    let faults = bad.iter().map(|(was, is)| config::decode(&good.replacen(was, is, 1)).unwrap_err());
+    let errors =
+        replacements.iter().map(|(old, new)| config::decode(&good.replacen(old, new, 1)).unwrap_err());
     expect![[r#"
         listen has the bad address 'nowhere'
         seed has the bad value 'xyz'
@@ -1916,8 +1957,8 @@
         settings: invariants.extraFloor has the bad value 'x'
         settings: invariants.extraWindow is out of range
         no JSON: EOF while parsing an object at line 15 column 106"#]]
-    .assert_eq(&faults.collect::<Vec<_>>().join("\n"));
-    let numbers = [
+    .assert_eq(&errors.collect::<Vec<_>>().join("\n"));
+    let bad_numbers = [
         ("\"clientTimeout\":8000000", "\"clientTimeout\":-5"),
         ("\"clientTimeout\":8000000", "\"clientTimeout\":\"8000000\""),
         ("\"clientTimeout\":8000000", "\"clientTimeout\":null"),
@@ -1925,7 +1966,8 @@
         ("\"mostForwards\":3", "\"mostForwards\":0"),
         ("\"mostForwards\":3", "\"most\":3"),
     ];
-    let faults = numbers.iter().map(|(was, is)| config::decode(&good.replacen(was, is, 1)).unwrap_err());
+    let errors =
+        bad_numbers.iter().map(|(old, new)| config::decode(&good.replacen(old, new, 1)).unwrap_err());
     expect![[r#"
         settings: operations.0.clientTimeout has the bad value -5
         settings: operations.0.clientTimeout has the bad value "8000000"
@@ -1933,16 +1975,16 @@
         settings: limits.mostForwards has the bad value "3"
         settings: limits.mostForwards has the bad value 0
         settings: limits.mostForwards is missing"#]]
-    .assert_eq(&faults.collect::<Vec<_>>().join("\n"));
+    .assert_eq(&errors.collect::<Vec<_>>().join("\n"));
     let decoded = config::decode(&good).unwrap().decoded;
     expect![[r#"["x0", "outstanding"] [FreeSlots, InFlight]"#]]
         .assert_eq(&format!("{:?} {:?}", decoded.report_fields, decoded.settings.report_fields));
 }
 
 #[test]
-fn a_runner_out_by_hand_gets_nothing_whatever_the_list_says() {
+fn a_runner_in_maintenance_gets_nothing_whatever_the_roster_says() {
     let mut node = Node::with_watch(&RUNNERS);
-    // A forward that waits for its connection has not left: it goes elsewhere.
+    // A forward that waits for its connection has not been sent: it goes elsewhere.
     node.invoke("plan", "i1");
     let first = if node.driver.trace.contains(":3001") { "s-a" } else { "s-b" };
     node.call(&format!("maint-on {first}"));
@@ -2002,9 +2044,10 @@
     "#]]);
 }
 
-/// Whoever comes back counts as just started unless the list tells of a start since: too warm could push it over.
+/// Guards against overloading a runner that comes back from maintenance: it counts as just started unless the
+/// roster reports a later start.
 #[test]
-fn a_runner_that_comes_back_is_cold_though_the_list_says_so_late() {
+fn a_runner_back_from_maintenance_is_cold_before_the_roster_says_so() {
     let entry = |launched: Option<Micros>| RosterEntry {
         runner: "s-a".into(),
         cell: 1,
@@ -2020,7 +2063,7 @@
     members.listed(Listing::All, vec![entry(Some(5))], 10);
     assert_eq!(members.by_hand("s-a", true, 20).unwrap().unwrap().readiness, Readiness::Draining);
     assert!(members.by_hand("s-a", true, 25).unwrap().is_none());
-    // What discovery says in between changes nothing, not even that it is gone.
+    // Updates from discovery in between change nothing, not even its removal.
     assert_eq!(members.listed(Listing::Changes, vec![entry(Some(5))], 30)[0].readiness, Readiness::Draining);
     members.listed(Listing::All, vec![], 35);
     assert_eq!(members.count(), (0, 0));
@@ -2035,7 +2078,7 @@
 const PEER: ConnectionId = 50;
 
 #[test]
-fn an_upgrade_leaves_nothing_behind() {
+fn an_upgrade_loses_no_state() {
     let mut old = Node::with_accepted_forward("plan");
     old.call("maint-on s-a");
     assert!(old.table.accepts_connections() && old.table.can_hand_over());
@@ -2044,20 +2087,21 @@
         !old.table.accepts_connections() && !old.table.can_hand_over() && new.table.accepts_connections()
     );
     old.driver.trace.clear();
-    // The list goes on from where the old process had it; who is out by hand stays out.
+    // The roster continues from where the old process had it; a runner in maintenance stays out.
     new.invoke("plan", "i2");
-    // An id that is open in the other process, or was taken there since, has its request.
+    // An id that is open in the other process, or was accepted there since, is taken.
     new.invoke("plan", "i1");
-    let kept = old.accept();
-    old.feed(kept, "POST /plan HTTP/1.1\r\nX-Request-Id: i3\r\nX-Deadline-Ms: 900\r\n\r\n");
+    let old_client = old.accept();
+    old.feed(old_client, "POST /plan HTTP/1.1\r\nX-Request-Id: i3\r\nX-Deadline-Ms: 900\r\n\r\n");
     old.relay_messages(PEER, &mut new);
     new.invoke("plan", "i3");
-    // Runners call whoever accepts: the old process hears what is its own, and the other way round.
+    // Runners call the process that accepts connections: the old process gets call-backs for its own
+    // invocations, and the other way round.
     new.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
     new.relay_messages(PEER, &mut old);
     new.call("maint-off s-a");
     new.relay_messages(PEER, &mut old);
-    // Whoever comes back counts as cold, and what the other process has sent it still counts.
+    // A runner that comes back counts as cold, and the other process's slow-start usage still counts.
     new.advance(2100);
     new.invoke("plan", "i4");
     let dialled = new.driver.trace.lines().rev().find_map(|line| line.split_once(" dials 127.0.0.1:3001"));
@@ -2066,7 +2110,7 @@
     new.feed(dialled, ACCEPTED);
     old.send_callback(r#"{"id":"i4","from":"s-a","state":"done","result":"q"}"#);
     old.relay_messages(PEER, &mut new);
-    // What neither knows goes back and forth no further.
+    // A call-back that neither process knows is passed on only once.
     new.send_callback(r#"{"id":"i9","from":"s-a","state":"done","result":"r"}"#);
     new.relay_messages(PEER, &mut old);
     assert!(!old.driver.handover_text.contains_key(&PEER));
@@ -2105,7 +2149,7 @@
     "#]]);
 }
 
-/// Both together may send a cold runner no more than one dispatcher may.
+/// Both processes together may send a cold runner no more than one dispatcher may.
 #[test]
 fn two_processes_share_one_cold_budget() {
     let mut old = Node::with_watch(&RUNNERS[..1]);
@@ -2115,7 +2159,7 @@
         "lifecycle":"up","startedAtMs":{started}}}]}}"#
     );
     old.feed(1, &chunk(&format!("{}\n", cold.replace('\n', ""))));
-    // As much as one dispatcher may send there by then.
+    // As much as one dispatcher may send to it by then.
     for id in ["i1", "i2", "i3"] {
         old.invoke("plan", id);
         if id == "i1" {
@@ -2138,7 +2182,8 @@
     old.invoke("plan", "i6");
     assert!(new.driver.trace.contains("dials 127.0.0.1:3001"));
     assert!(!old.driver.trace.contains("POST"));
-    // The one that was to take over is gone: the old one goes on, with newcomers and, in time, cold runners.
+    // The successor is gone: the old process resumes, with new connections at once and cold runners after a
+    // pause.
     old.close(PEER, CloseReason::Reset);
     assert!(old.table.accepts_connections());
     old.advance(2100);
@@ -2147,25 +2192,25 @@
 }
 
 #[test]
-fn settings_change_under_way_and_a_file_that_has_lost_a_key_is_turned_down_whole() {
+fn settings_change_while_serving_and_a_file_that_lacks_a_key_is_rejected_whole() {
     let mut node = Node::with_accepted_forward("plan");
     let good = configuration(&RUNNERS);
     let reload = |node: &mut Node, text: &str| {
         match config::decode(text) {
-            Ok(told) => node.table.reload(told, &mut node.driver),
-            Err(fault) => node.table.reject_configuration(&fault),
+            Ok(configuration) => node.table.reload(configuration, &mut node.driver),
+            Err(error) => node.table.reject_configuration(&error),
         }
         node.run_until_idle();
     };
-    let lost = [
+    let bad_files = [
         ("\"cancel\":true,", ""),
         ("\"lateBilledValue\":0.5", "\"more\":1"),
         ("\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":64},", ""),
         ("\"known\"", "\"unknown\""),
         ("\"mostForwards\":3", "\"mostForwards\":-3"),
     ];
-    lost.iter().for_each(|(was, is)| reload(&mut node, &good.replacen(was, is, 1)));
-    // A new operation, one that is stricter than it was, one that is gone, and fewer forwards.
+    bad_files.iter().for_each(|(old, new)| reload(&mut node, &good.replacen(old, new, 1)));
+    // A new operation, one with a stricter effect, one that is removed, and fewer forwards.
     let changed = good
         .replace(
             "\"name\":\"lodge\",\"effect\":\"deduplicated\"",
@@ -2174,20 +2219,21 @@
         .replace("\"name\":\"plan\"", "\"name\":\"plan-b\"")
         .replace("\"mostForwards\":3", "\"mostForwards\":1");
     reload(&mut node, &changed);
-    let ask = |node: &mut Node, operation: &str, id: &str| {
+    let invoke_on_new_connection = |node: &mut Node, operation: &str, id: &str| {
         let connection = node.accept();
         let text = format!("POST /{operation} HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: 900\r\n\r\n");
         node.feed(connection, &text);
     };
     node.driver.trace.clear();
-    // Taken under the old settings, it is what it was; what is on its way still comes, but not for long.
+    // An invocation accepted under the old settings keeps its operation; requests for a removed operation
+    // that are under way are still accepted, but not for long.
     node.send_callback(r#"{"id":"i1","from":"s-a","state":"failed"}"#);
-    ask(&mut node, "plan", "i2");
-    ask(&mut node, "plan-b", "i3");
+    invoke_on_new_connection(&mut node, "plan", "i2");
+    invoke_on_new_connection(&mut node, "plan-b", "i3");
     node.advance(1000);
-    ask(&mut node, "plan", "i4");
+    invoke_on_new_connection(&mut node, "plan", "i4");
     reload(&mut node, &good);
-    ask(&mut node, "plan", "i5");
+    invoke_on_new_connection(&mut node, "plan", "i5");
     node.call("stats");
     node.assert_trace(expect![[r#"
         0     #4 < 200 OK; Content-Length: 0
@@ -2229,71 +2275,73 @@
     "#]]);
 }
 
-/// A definition keeps its number for good, so that what is under way keeps its operation.
+/// A definition keeps its index for good, so that open invocations keep their operation.
 #[test]
 fn a_changed_operation_is_another_one_and_an_old_one_can_return() {
-    let decoded = |text: &str| {
-        let told = config::decode(text).unwrap().decoded;
-        told.operations.into_iter().zip(told.settings.operations).collect::<Vec<_>>()
+    let operations_of = |text: &str| {
+        let decoded = config::decode(text).unwrap().decoded;
+        decoded.operations.into_iter().zip(decoded.settings.operations).collect::<Vec<_>>()
     };
     let good = configuration(&[]);
-    let (first, then) = (decoded(&good), decoded(&good.replace("8000000", "9000000").replace("0.5", "0.25")));
+    let (first, second) =
+        (operations_of(&good), operations_of(&good.replace("8000000", "9000000").replace("0.5", "0.25")));
     let mut operations = Operations::default();
-    let number =
+    let numbers =
         |operations: &Operations| ["plan", "lodge", "book"].map(|name| operations.number(name, START));
     operations.set(first.clone(), START);
-    assert_eq!(number(&operations), [Some(0), Some(1), Some(2)]);
-    let all = operations.set(then, START);
-    assert_eq!(number(&operations), [Some(3), Some(4), Some(5)]);
+    assert_eq!(numbers(&operations), [Some(0), Some(1), Some(2)]);
+    let all = operations.set(second, START);
+    assert_eq!(numbers(&operations), [Some(3), Some(4), Some(5)]);
     assert_eq!(all.iter().map(|o| o.in_use).collect::<Vec<_>>(), [false, false, false, true, true, true]);
     assert_eq!(operations.set(first[..1].to_vec(), START).len(), 6);
-    assert_eq!(number(&operations), [Some(0), Some(4), Some(5)]);
+    assert_eq!(numbers(&operations), [Some(0), Some(4), Some(5)]);
     assert_eq!(operations.number("book", START + 1_000_000), None);
     assert_eq!(operations.name(5), "book");
 }
 
-/// Nobody there, a file that somebody left, one who says nothing, and one who says what cannot be read: each time
-/// the new process listens for itself, and soon.
+/// No process, a leftover socket file, a process that sends nothing, and one that sends an unreadable state:
+/// each time the new process listens for itself within a short time.
 #[test]
-fn a_process_that_hands_nothing_over_is_done_without() {
+fn a_start_without_a_usable_handover_listens_on_its_own() {
     let folder = std::env::temp_dir().join(format!("topazsail-handover-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let place = folder.join("one.sock");
-    assert!(handover::ask(&place).is_none());
-    drop(handover::offer(&place).unwrap());
-    assert!(handover::ask(&place).is_none());
-    // What was left there gives way; whoever asks and is not let in waits for a second at most.
-    let silent = handover::offer(&place).unwrap();
+    let path = folder.join("one.sock");
+    assert!(handover::ask(&path).is_none());
+    drop(handover::offer(&path).unwrap());
+    assert!(handover::ask(&path).is_none());
+    // A leftover file is replaced; a process whose connection is not accepted waits for a second at most.
+    let silent = handover::offer(&path).unwrap();
     let before = std::time::Instant::now();
-    assert!(handover::ask(&place).is_none());
+    assert!(handover::ask(&path).is_none());
     assert!(before.elapsed() < std::time::Duration::from_secs(20));
     let _ = silent.accept().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let asks = {
-        let place = place.clone();
-        std::thread::spawn(move || handover::ask(&place).is_none())
+    let successor = {
+        let path = path.clone();
+        std::thread::spawn(move || handover::ask(&path).is_none())
     };
     silent.set_nonblocking(false).unwrap();
     let (mut stream, _) = silent.accept().unwrap();
     handover::give(&stream, &listener).unwrap();
     std::io::Write::write_all(&mut stream, b"{\"discovery\":7}\n").unwrap();
-    assert!(asks.join().unwrap());
-    // Whoever has handed over goes on speaking at once.
-    let asks = {
-        let place = place.clone();
-        std::thread::spawn(move || handover::ask(&place).unwrap().since)
+    assert!(successor.join().unwrap());
+    // A process that has handed over sends messages right away.
+    let successor = {
+        let path = path.clone();
+        std::thread::spawn(move || handover::ask(&path).unwrap().since)
     };
     let (mut stream, _) = silent.accept().unwrap();
     handover::give(&stream, &listener).unwrap();
     let state = serde_json::to_string(&handover::HandoverState::default()).unwrap();
     std::io::Write::write_all(&mut stream, format!("{state}\n{{\"taken\":\"i1\"}}\n").as_bytes()).unwrap();
-    assert!(b"{\"taken\":\"i1\"}\n".starts_with(&asks.join().unwrap()));
-    // A folder whose name is too long for a socket's.
+    assert!(b"{\"taken\":\"i1\"}\n".starts_with(&successor.join().unwrap()));
+    // A path that is too long for a socket.
     assert!(handover::offer(&folder.join("x".repeat(120))).is_err());
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// The wall clock of all machines is set back, or forward, by an hour while this process runs by the monotonic one.
+/// The wall clock of all machines is set back or forward by an hour while this process uses the monotonic
+/// clock: a runner's start time is bounded by the last roster without it.
 #[test]
 fn a_runner_that_starts_after_a_step_of_the_wall_clock_counts_as_started_now() {
     const SECOND: Micros = 1_000_000;
@@ -2307,22 +2355,22 @@
         launched: Some(launched),
     };
     let now = START + 100 * SECOND;
-    let told = |heard_before: Option<Micros>, launched| {
+    let age_when_listed = |heard_before: Option<Micros>, launched| {
         let mut members = Membership::new(10 * SECOND);
         members.heard_before(heard_before);
         let first = members.listed(Listing::Changes, vec![entry(launched)], now)[0].launched;
-        // Told once more it is the same start.
+        // Listed again, it has the same start.
         members.heard_before(Some(now + 50 * SECOND));
         let again = members.listed(Listing::Changes, vec![entry(launched)], now + 60 * SECOND)[0].launched;
         assert_eq!(first, again);
         first.map(|started| now - started)
     };
     let hour = 3_600 * SECOND;
-    // It was heard two seconds ago: nobody who is new has started long before that.
-    assert_eq!(told(Some(now - 2 * SECOND), now - SECOND - hour), Some(2 * SECOND));
-    assert_eq!(told(Some(now - 2 * SECOND), now - SECOND + hour), Some(0));
-    assert_eq!(told(None, now - SECOND + hour), Some(0));
-    // As it was told, where that may be.
-    assert_eq!(told(Some(now - 2 * SECOND), now - 9 * SECOND), Some(9 * SECOND));
-    assert_eq!(told(None, now - hour), Some(hour));
+    // The last roster was received two seconds ago: a runner that is new cannot have started long before it.
+    assert_eq!(age_when_listed(Some(now - 2 * SECOND), now - SECOND - hour), Some(2 * SECOND));
+    assert_eq!(age_when_listed(Some(now - 2 * SECOND), now - SECOND + hour), Some(0));
+    assert_eq!(age_when_listed(None, now - SECOND + hour), Some(0));
+    // The listed start counts where it is possible.
+    assert_eq!(age_when_listed(Some(now - 2 * SECOND), now - 9 * SECOND), Some(9 * SECOND));
+    assert_eq!(age_when_listed(None, now - hour), Some(hour));
 }
