--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -357,7 +357,7 @@
 
     fn accept(&mut self, table: &mut RequestTable, listener: &Listener) {
         for _ in 0..ACCEPTS {
-            if !table.room(listener.role, self) {
+            if !table.ensure_room(listener.role, self) {
                 log!("accept-paused", "connections={} reason=no_room", self.conns.len());
                 return self.pause(listener, ROOM_AGAIN);
             }
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 use topazsail::{
-    Action, Arrival, Event, ForwardResult, Id, Listing, Micros, Outcome, Readiness, Roster as List,
+    Action, Arrival, Event, ForwardResult, Id, Listing, Micros, Outcome, Readiness, Roster as RosterUpdate,
     RoutingPolicy, SlowStartUsage,
 };
 use topazsail_recovery::Stage;
@@ -410,7 +410,7 @@
     /// Keeps cold runners out of use until `until`.
     fn pause_cold_runners(&mut self, until: Micros, driver: &mut dyn ConnectionDriver) {
         let entries = self.membership.rest(until, Micros::MAX, driver.now());
-        self.pending_events.push(Event::Roster(List { listing: Listing::Own, entries }));
+        self.pending_events.push(Event::Roster(RosterUpdate { listing: Listing::Own, entries }));
     }
 
     /// Handles the end of the other process. If it was a successor and this process has not been asked to
@@ -519,7 +519,7 @@
     }
 
     /// Whether one more connection of this role can be accepted; makes room for it if necessary.
-    pub fn room(&mut self, role: ConnectionRole, driver: &mut dyn ConnectionDriver) -> bool {
+    pub fn ensure_room(&mut self, role: ConnectionRole, driver: &mut dyn ConnectionDriver) -> bool {
         match role {
             ConnectionRole::Operator => {
                 self.operators.make_room(driver);
@@ -1030,7 +1030,7 @@
         if out {
             self.runners.recall(&entry.runner, driver);
         }
-        self.pending_events.push(Event::Roster(List { listing: Listing::Own, entries: vec![entry] }));
+        self.pending_events.push(Event::Roster(RosterUpdate { listing: Listing::Own, entries: vec![entry] }));
         Ok(())
     }
 
@@ -1051,7 +1051,7 @@
         if self.membership.lapsed() {
             self.runners.recall_all_waiting(driver);
         }
-        self.pending_events.push(Event::Roster(List { listing: Listing::Own, entries }));
+        self.pending_events.push(Event::Roster(RosterUpdate { listing: Listing::Own, entries }));
     }
 
     /// Reports this process ready if it was still starting.
@@ -1081,7 +1081,7 @@
         self.membership.heard_before(event.heard_before);
         let entries = self.membership.listed(event.listing, entries, driver.now());
         self.note_listing(event.listing, driver);
-        self.pending_events.push(Event::Roster(List { listing: event.listing, entries }));
+        self.pending_events.push(Event::Roster(RosterUpdate { listing: event.listing, entries }));
         self.update_slow_start_shares(driver.now());
     }
 
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -262,7 +262,7 @@
 
     /// Accepts an operator's connection.
     fn connect_operator(&mut self) -> ConnectionId {
-        assert!(self.table.room(ConnectionRole::Operator, &mut self.driver));
+        assert!(self.table.ensure_room(ConnectionRole::Operator, &mut self.driver));
         let connection = self.driver.open_connection(ConnectionRole::Operator);
         self.table.accepted(ConnectionRole::Operator, connection, &mut self.driver);
         connection
