--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -156,8 +156,8 @@
         self.max_retry_after.map(|max_retry_after| (time_left + spread as Micros).min(max_retry_after))
     }
 
-    /// Whether an invocation is admitted; always true unless a cold fleet limits admission. The id decides
-    /// which share of an operation's invocations is admitted.
+    /// Whether an invocation is admitted; always true unless a cold fleet limits admission. The random
+    /// draw is derived from the id.
     pub(super) fn admits(&mut self, operation: usize, id: &str, now: Micros) -> bool {
         if self.current_warmth(now).is_none() {
             return true;
@@ -211,7 +211,7 @@
         self.persistence.as_ref()?.fatal_error.clone()
     }
 
-    /// Advances recovery whose stage may have timed out.
+    /// Advances recovery when its stage may have timed out.
     pub(super) fn recovery_timer_fired(&mut self, driver: &mut dyn ConnectionDriver) {
         let Some(persistence) = &mut self.persistence else { return };
         let was_finding = persistence.stage() == Stage::Finding;
@@ -289,18 +289,17 @@
         let stored = loaded.as_ref().and_then(|loaded| loaded.list.as_ref());
         let stored_snapshot =
             stored.and_then(|list| Some((list, serde_json::from_str::<RosterSnapshot>(&list.json).ok()?)));
-        let known = |discovery, stored_snapshot: &RosterSnapshot| KnownRoster {
+        let known = |discovery, snapshot: &RosterSnapshot| KnownRoster {
             discovery,
-            generation: stored_snapshot.generation,
-            runners: stored_snapshot.len(),
+            generation: snapshot.generation,
+            runners: snapshot.len(),
         };
-        let stored = stored_snapshot
-            .as_ref()
-            .map(|(list, stored_snapshot)| known(list.discovery.as_str(), stored_snapshot));
+        let stored =
+            stored_snapshot.as_ref().map(|(list, snapshot)| known(list.discovery.as_str(), snapshot));
         let (source, why) = recovery::choose_roster(stored, known(&discovery, &configured_roster));
         log!("trusts", "item=list source={source:?} reason={why:?}");
         let chosen = match stored_snapshot {
-            Some((_, stored_snapshot)) if source == Source::Store => stored_snapshot,
+            Some((_, snapshot)) if source == Source::Store => snapshot,
             _ => configured_roster,
         };
         self.roster.begin(chosen.generation, self.roster.sure_at());
