--- a/lab/src/bin/lab-dispatcher.rs
+++ b/lab/src/bin/lab-dispatcher.rs
@@ -64,10 +64,13 @@
         full: ailment.full,
         read_only: ailment.read_only,
         sync_fails: ailment.sync_fails,
-        lies: twin() == "unsynced" || ailment.lies,
-        slow: Duration::from_micros(ailment.slow.max(0) as u64),
+        sync_skipped: twin() == "unsynced" || ailment.lies,
+        sync_delay: Duration::from_micros(ailment.slow.max(0) as u64),
         crash_at: None,
-        machine: Some(Machine { life: format!("m{}", ailment.life), up: (unix - ailment.up_since).max(0) }),
+        machine: Some(Machine {
+            boot_id: format!("m{}", ailment.life),
+            uptime: (unix - ailment.up_since).max(0),
+        }),
     }
 }
 
--- a/lab/src/start.rs
+++ b/lab/src/start.rs
@@ -36,7 +36,7 @@
             latency_objective: op.latency_objective,
         };
         let mut recovery = Recovery::new(peers, now);
-        recovery.handle(now, Event::Opened { found: &LoadSummary::default(), boot: Some(1) });
+        recovery.handle(now, Event::StoreOpened { summary: &LoadSummary::default(), boot: Some(1) });
         Start {
             recovery,
             limits: AdmissionLimits::new(settings.operations.iter().map(worth), now),
@@ -66,12 +66,12 @@
                 self.listed.remove(&runner)
             };
         }
-        self.recovery.handle(now, Event::Heard);
+        self.recovery.handle(now, Event::RosterReceived);
     }
 
     /// Of so many others so many have answered.
     pub fn agree(&mut self, (all, agree): (usize, usize), now: Micros) {
-        self.recovery.handle(now, Event::Agree { all, agree });
+        self.recovery.handle(now, Event::PeerAgreement { all, agree });
     }
 
     pub fn asks(&self) -> bool {
@@ -85,7 +85,7 @@
     }
 
     pub fn refused(&mut self, now: Micros) {
-        self.recovery.handle(now, Event::Refused);
+        self.recovery.handle(now, Event::DiscoveryFailed);
     }
 
     fn warmth(&self, now: Micros) -> f64 {
@@ -101,25 +101,26 @@
         }
         self.recovery.tick(now);
         let (drawn, spread): (f64, Micros) = (self.drawn.random(), self.drawn.random_range(0..SPREAD));
-        let come_back = self.come_back_most.map(|most| (self.recovery.left(now) + spread).min(most));
+        let come_back =
+            self.come_back_most.map(|most| (self.recovery.time_to_service(now) + spread).min(most));
         if !self.recovery.may_forward() {
             return Err(come_back);
         }
         self.recovery.handle(now, Event::Warmth(self.warmth(now)));
         let limited = self.recovery.stage() == Stage::Limited;
-        if limited && !self.limits.takes(operation, drawn, now) { Err(come_back) } else { Ok(()) }
+        if limited && !self.limits.admit(operation, drawn, now) { Err(come_back) } else { Ok(()) }
     }
 
     /// Something that was taken found no room.
     pub fn short(&mut self, now: Micros) {
         if self.recovery.stage() == Stage::Limited {
-            self.limits.short(self.warmth(now), now);
+            self.limits.record_shortage(self.warmth(now), now);
         }
     }
 
     pub fn succeeded(&mut self, operation: usize, took: Micros) {
         if self.recovery.stage() == Stage::Limited {
-            self.limits.succeeded(operation, took);
+            self.limits.record_success(operation, took);
         }
     }
 }
--- a/lab/src/talk.rs
+++ b/lab/src/talk.rs
@@ -48,7 +48,7 @@
         let members = others.map(|d| Member { name: name(d), address: address(d) }).collect();
         let (nonce, seed) = (drawn.random(), drawn.random());
         let mut core = Peers::new(&name(d), members, (boot, nonce), seed, now);
-        core.settings(settings.dispatchers as usize, settings.overload_window);
+        core.configure(settings.dispatchers as usize, settings.overload_window);
         Talk { core, rests_until }
     }
 
@@ -58,8 +58,8 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => sent.push((number(to), bytes)),
-                Action::PeerEvent(PeerEvent::Numbered(heard)) => self.core.numbered(heard + 1),
-                Action::PeerEvent(PeerEvent::Peer { .. } | PeerEvent::AdminOverride(_)) => {}
+                Action::PeerEvent(PeerEvent::BootTaken(heard)) => self.core.set_boot(heard + 1),
+                Action::PeerEvent(PeerEvent::StateChanged { .. } | PeerEvent::AdminOverride(_)) => {}
             }
         }
         sent
@@ -71,13 +71,13 @@
     }
 
     pub fn heard(&mut self, from: u32, bytes: &[u8], now: Micros) -> Vec<Datagram> {
-        let actions = self.core.heard(now, address(from), bytes);
+        let actions = self.core.receive(now, address(from), bytes);
         self.act(actions)
     }
 
     /// What is this dispatcher's own of cold runners' budgets.
     pub fn portions(&mut self, cold: Vec<topazsail::Id>, now: Micros) -> Vec<topazsail::SlowStartShare> {
-        let portions = self.core.portions(cold.iter().map(|id| &**id), now);
+        let portions = self.core.slow_start_shares(cold.iter().map(|id| &**id), now);
         if now < self.rests_until {
             return Vec::new();
         }
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -478,7 +478,7 @@
         let Some(dispatcher) = self.living(life) else { return };
         let Some(talk) = &mut dispatcher.talk else { return };
         let said = talk.round(now);
-        let due = talk.core.due();
+        let due = talk.core.next_tick();
         self.push(due, Ev::Round(life));
         self.portions(life.d);
         self.say(life.d, said);
@@ -512,7 +512,7 @@
         if let (Some(start), Some(talk)) = (&mut dispatcher.start, &dispatcher.talk)
             && start.asks()
         {
-            start.agree(talk.core.agree(), now);
+            start.agree(talk.core.agreement(), now);
         }
     }
 
--- a/node/src/lifecycle/store_report.rs
+++ b/node/src/lifecycle/store_report.rs
@@ -18,22 +18,22 @@
 }
 
 fn value(record: &Record) -> Value {
-    if let Some(list) = stored_types::value::<StoredRoster>(record) {
+    if let Some(list) = stored_types::decode::<StoredRoster>(record) {
         let list_json: Value = serde_json::from_str(&list.json).unwrap_or_default();
         let runners = list_json.get("instances").and_then(Value::as_array).map_or(0, Vec::len);
         return json!({
             "discovery": list.discovery, "generation": list.generation, "runners": runners, "list": list_json,
         });
     }
-    if let Some(hand) = stored_types::value::<StoredOverride>(record) {
+    if let Some(hand) = stored_types::decode::<StoredOverride>(record) {
         return json!({
             "out_since": hand.out_since, "was_out": hand.was_out, "count": hand.count, "author": hand.author,
         });
     }
-    if let Some(spent) = stored_types::value::<StoredSlowStartUsage>(record) {
+    if let Some(spent) = stored_types::decode::<StoredSlowStartUsage>(record) {
         return json!({"runners": spent.runners});
     }
-    if let Some(settings) = stored_types::value::<StoredSettings>(record) {
+    if let Some(settings) = stored_types::decode::<StoredSettings>(record) {
         let version = format!("{:016x}", settings.version);
         return json!({"version": version, "configuration": serde_json::from_str::<Value>(&settings.json).ok()});
     }
@@ -78,20 +78,20 @@
         return Err(fault("no such folder".to_owned()));
     }
     let inspection = inspect(&mut DirectoryDisk::new(folder)).map_err(|error| fault(error.to_string()))?;
-    let found = &inspection.found;
-    let doubts: Vec<String> = found.doubts.iter().map(IntegrityWarning::to_string).collect();
+    let found = &inspection.summary;
+    let doubts: Vec<String> = found.warnings.iter().map(IntegrityWarning::to_string).collect();
     let well = doubts.is_empty();
     if as_json {
         let records = inspection.records.values().filter(|_| all).map(|record| {
             json!({
-                "table": stored_types::name(record.table), "key": record.key, "form": record.form, "boot": record.boot,
+                "table": stored_types::table_name(record.table), "key": record.key, "form": record.form, "boot": record.boot,
                 "written": record.written, "value": value(record),
             })
         });
         let whole = json!({
-            "owner": inspection.owner, "store": format!("{:016x}", inspection.store), "boot": found.boot, "clean": found.clean,
-            "torn": found.torn, "written": found.written, "doubts": doubts, "empty": found.fresh,
-            "unwritten": found.unwritten.as_ref().map(WriteError::to_string),
+            "owner": inspection.owner, "store": format!("{:016x}", inspection.store), "boot": found.boot, "clean": found.ended_cleanly,
+            "torn": found.torn_bytes, "written": found.last_written, "doubts": doubts, "empty": found.is_new,
+            "unwritten": found.write_error.as_ref().map(WriteError::to_string),
             "files": inspection.files.iter().map(|(name, bytes)| json!({"name": name, "bytes": bytes})).collect::<Vec<_>>(),
             "records": records.collect::<Vec<_>>(),
         });
@@ -99,18 +99,19 @@
     }
     let mut text = String::new();
     let mut line = |name: &str, value: &dyn std::fmt::Display| _ = writeln!(text, "{name:<9} {value}");
-    if found.fresh {
+    if found.is_new {
         line("state", &"empty: no dispatcher has kept anything here");
         return Ok(StoreReport { text, well });
     }
     line("owner", &inspection.owner.as_deref().unwrap_or("not known"));
     line("boot", &found.boot);
-    let ended = if found.clean { "the last life ended as it should" } else { "cut short, or still going on" };
+    let ended =
+        if found.ended_cleanly { "the last life ended as it should" } else { "cut short, or still going on" };
     line("state", &ended);
-    line("written", &seconds(found.written));
+    line("written", &seconds(found.last_written));
     inspection.files.iter().for_each(|(name, bytes)| line("file", &format!("{name}, {bytes} bytes")));
-    if found.torn > 0 {
-        line("torn", &format!("{} bytes at the end are no record", found.torn));
+    if found.torn_bytes > 0 {
+        line("torn", &format!("{} bytes at the end are no record", found.torn_bytes));
     }
     doubts.iter().for_each(|doubt| line("doubt", doubt));
     line("records", &inspection.records.len());
@@ -118,7 +119,7 @@
         let head = ("table", "key", "boot", "written", "value");
         let _ = writeln!(text, "{:<9} {:<20} {:>5} {:>17} {}", head.0, head.1, head.2, head.3, head.4);
         for record in inspection.records.values() {
-            let (table, at) = (stored_types::name(record.table), seconds(record.written));
+            let (table, at) = (stored_types::table_name(record.table), seconds(record.written));
             let key = record.key.escape_debug().to_string();
             let short = short(record);
             let _ = writeln!(text, "{table:<9} {key:<20} {:>5} {at:>17} {short}", record.boot);
--- a/node/src/lifecycle/store_thread.rs
+++ b/node/src/lifecycle/store_thread.rs
@@ -10,7 +10,7 @@
 
 use topazsail::Micros;
 use topazsail_store::stored_types::{
-    Storable, StoredOverride, StoredRoster, StoredSettings, StoredSlowStartUsage, all, bytes,
+    Storable, StoredOverride, StoredRoster, StoredSettings, StoredSlowStartUsage, all, encode,
 };
 use topazsail_store::{Disk, LoadSummary, Store, Table};
 
@@ -117,13 +117,13 @@
     }
 
     pub fn keep<T: Storable>(&mut self, key: &str, kept: Option<&T>) {
-        let (key, value) = (key.to_owned(), kept.map(bytes));
+        let (key, value) = (key.to_owned(), kept.map(encode));
         self.ask(StoreRequest::Put { table: T::TABLE, key, form: T::FORMAT, value });
     }
 
     /// The same, and a number under which it is told when this is on the disk.
     pub fn keep_now<T: Storable>(&mut self, key: &str, kept: Option<&T>) -> u64 {
-        let (key, value) = (key.to_owned(), kept.map(bytes));
+        let (key, value) = (key.to_owned(), kept.map(encode));
         self.tickets += 1;
         let put = self.ask(StoreRequest::Put { table: T::TABLE, key, form: T::FORMAT, value });
         if !put || !self.ask(StoreRequest::Sync(self.tickets)) {
@@ -236,7 +236,7 @@
             let (longest, last) = self.away;
             self.away = (longest.max(last.elapsed()), Instant::now());
             if let Some(store) = &mut self.store {
-                store.alive(2 * self.away.0.as_micros() as Micros);
+                store.note_alive(2 * self.away.0.as_micros() as Micros);
             }
             let overdue = due.is_some_and(|due| Instant::now() >= due);
             // After a fault nobody who asks has the disk tried at once: each try may take long.
@@ -302,7 +302,7 @@
             });
             match opened {
                 Ok(Ok((store, found))) => {
-                    self.well = found.unwritten.is_none();
+                    self.well = found.write_error.is_none();
                     let records = store.records();
                     let left = LoadedStore {
                         boot: store.boot(),
--- a/node/src/lifecycle/store_thread/tests.rs
+++ b/node/src/lifecycle/store_thread/tests.rs
@@ -24,19 +24,21 @@
 fn what_is_told_as_kept_is_there_for_the_next_life() {
     let (under, faults) = Default::default();
     let mut first = store_thread(&under, &faults);
-    assert!(matches!(next(&mut first), StoreEvent::Opened(left) if left.found.fresh && left.boot == Some(1)));
+    assert!(
+        matches!(next(&mut first), StoreEvent::Opened(left) if left.found.is_new && left.boot == Some(1))
+    );
     let ticket = first.keep_now("r1", Some(&out()));
     assert!(matches!(next(&mut first), StoreEvent::Synced(t, Ok(())) if t == ticket));
     // The process is killed: its thread is left where it is, and the disk as it is now.
     let mut second = store_thread(&under, &faults);
     let StoreEvent::Opened(left) = next(&mut second) else { panic!() };
     assert_eq!(
-        (left.boot, left.hands.as_slice(), left.found.clean),
+        (left.boot, left.hands.as_slice(), left.found.ended_cleanly),
         (Some(2), &[("r1".to_owned(), out())][..], false)
     );
     assert!(second.finish(Duration::from_secs(30)));
     let StoreEvent::Opened(left) = next(&mut store_thread(&under, &faults)) else { panic!() };
-    assert!(left.found.clean && left.hands.len() == 1);
+    assert!(left.found.ended_cleanly && left.hands.len() == 1);
 }
 
 #[test]
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -12,7 +12,7 @@
 
 use polling::{Event, Events, PollMode, Poller};
 use topazsail::Micros;
-use topazsail_peers::PACKET_MOST;
+use topazsail_peers::MAX_PACKET_BYTES;
 
 use crate::config;
 use crate::lifecycle::handover;
@@ -258,7 +258,7 @@
 
     /// Datagrams of other dispatchers, some at a time.
     fn hear(&mut self, table: &mut RequestTable) {
-        let mut bytes = [0; 2 * PACKET_MOST];
+        let mut bytes = [0; 2 * MAX_PACKET_BYTES];
         for _ in 0..DATAGRAMS {
             let heard = self.datagrams.as_ref().map(|socket| socket.recv_from(&mut bytes));
             match heard {
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -33,7 +33,7 @@
     }
 
     fn alive(&self) -> usize {
-        let lives = self.core.iter().flat_map(|core| core.lives());
+        let lives = self.core.iter().flat_map(|core| core.peer_states());
         lives.filter(|(_, life, _)| *life == PeerState::Alive).count()
     }
 
@@ -42,21 +42,21 @@
     }
 
     pub fn metrics(&self) -> [(&'static str, u64); 7] {
-        let counts = self.core.as_ref().map(|core| core.counts).unwrap_or_default();
+        let counts = self.core.as_ref().map(|core| core.counters).unwrap_or_default();
         [
             ("peers", self.at.members.len() as u64),
             ("peers_alive", self.alive() as u64),
             ("peers_sent", counts.sent),
             ("peers_sent_bytes", counts.sent_bytes),
             ("peers_heard", counts.heard),
-            ("peers_bad", counts.bad + counts.strangers),
+            ("peers_bad", counts.bad + counts.unlisted),
             ("peers_old", counts.old),
         ]
     }
 
     /// How new the word on a runner is, where peers are set.
     fn version(&self, id: &str) -> Option<Version> {
-        self.core.as_ref()?.hands.get(id).map(|hand| hand.version)
+        self.core.as_ref()?.overrides.get(id).map(|hand| hand.version)
     }
 }
 
@@ -85,8 +85,8 @@
         };
         if let Some(core) = &mut peer_exchange.core {
             // The disk opens late: the others hear of what it holds all the same.
-            core.numbered(boot.unwrap_or(0));
-            let holds: Vec<_> = left.iter().filter_map(|left| core.remember(of_left(left))).collect();
+            core.set_boot(boot.unwrap_or(0));
+            let holds: Vec<_> = left.iter().filter_map(|left| core.restore(of_left(left))).collect();
             for hand in holds {
                 self.hand_heard(&hand.runner, hand.out_since.is_some(), driver);
             }
@@ -97,9 +97,9 @@
         let seed = peer_exchange.seed ^ u64::from(nonce);
         let life = (boot.unwrap_or(0), nonce);
         let mut core = Peers::new(&peer_exchange.name, peer_exchange.at.members.clone(), life, seed, now);
-        core.settings(self.dispatchers, self.tip_after);
+        core.configure(self.dispatchers, self.tip_after);
         for left in left {
-            core.remember(of_left(left));
+            core.restore(of_left(left));
         }
         peer_exchange.core = Some(core);
         self.round(driver);
@@ -108,7 +108,7 @@
     /// The disk has this life's number, perhaps only now.
     pub(super) fn meet_numbered(&mut self, boot: Option<u64>) {
         if let Some(core) = self.peers() {
-            core.numbered(boot.unwrap_or(0));
+            core.set_boot(boot.unwrap_or(0));
         }
     }
 
@@ -122,14 +122,14 @@
     pub(super) fn tell_hand(&mut self, id: &str, driver: &mut dyn ConnectionDriver) {
         let (out_since, was_out) = self.members.hand(id);
         let Some(core) = self.peers() else { return };
-        let (_, actions) = core.call(id, out_since, was_out, driver.now());
+        let (_, actions) = core.set_override(id, out_since, was_out, driver.now());
         self.act_on_peers(actions, driver);
     }
 
     pub(super) fn stage_for_peers(&mut self) {
         let stage = self.persistence.as_ref().map(|persistence| persistence.stage());
         if let (Some(stage), Some(core)) = (stage, self.peers()) {
-            core.stage(stage as u8);
+            core.set_stage(stage as u8);
         }
     }
 
@@ -139,7 +139,7 @@
         let Some(core) = &mut peer_exchange.core else { return };
         let now = driver.now();
         let actions = core.tick(now);
-        let due = core.due();
+        let due = core.next_tick();
         if peer_exchange.due != Some(due) {
             peer_exchange.due = Some(due);
             driver.set_timer(Timer::Peers, due);
@@ -153,7 +153,7 @@
     pub(super) fn account(&mut self) {
         let (dispatchers, tip_after) = (self.dispatchers, self.tip_after);
         if let Some(core) = self.peers() {
-            core.settings(dispatchers, tip_after);
+            core.configure(dispatchers, tip_after);
         }
     }
 
@@ -164,7 +164,7 @@
         }
         let cold = self.members.cold(now);
         let Some(core) = self.peers() else { return };
-        let portions = core.portions(cold.iter().map(|id| &**id), now);
+        let portions = core.slow_start_shares(cold.iter().map(|id| &**id), now);
         if !cold.is_empty() {
             let told = cold.into_iter().zip(portions).map(|(id, p)| (id, p.share, p.until));
             self.happened.push(Event::SlowStartShares(told.collect()));
@@ -175,7 +175,7 @@
     pub fn datagram(&mut self, from: SocketAddr, bytes: &[u8], driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
         let Some(core) = self.peers() else { return };
-        let actions = core.heard(now, from, bytes);
+        let actions = core.receive(now, from, bytes);
         self.act_on_peers(actions, driver);
     }
 
@@ -183,17 +183,17 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => driver.datagram(to, &bytes),
-                Action::PeerEvent(PeerEvent::Peer { name, life, boot }) => {
+                Action::PeerEvent(PeerEvent::StateChanged { name, state: life, boot }) => {
                     log!("peer", "name={name} life={} boot={boot}", life.code());
                 }
-                Action::PeerEvent(PeerEvent::Numbered(heard)) => self.number_taken(heard),
+                Action::PeerEvent(PeerEvent::BootTaken(heard)) => self.number_taken(heard),
                 Action::PeerEvent(PeerEvent::AdminOverride(hand)) => {
                     self.hand_heard(&hand.runner, hand.out_since.is_some(), driver);
                 }
             }
         }
-        let Some((all, agree)) = self.peers().map(|core| core.agree()) else { return };
-        self.heard_of_peers(recovery::Event::Agree { all, agree }, driver);
+        let Some((all, agree)) = self.peers().map(|core| core.agreement()) else { return };
+        self.heard_of_peers(recovery::Event::PeerAgreement { all, agree }, driver);
     }
 
     /// Others have heard of a later life of this dispatcher than its own disk has: it was rolled back, or could not be
@@ -202,7 +202,7 @@
         let Some(core) = self.peers() else { return };
         if heard >= core.boot() {
             log!("boot-taken", "heard={heard} ours={}", core.boot());
-            core.numbered(heard + 1);
+            core.set_boot(heard + 1);
             self.keep_above(heard);
         }
     }
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -136,7 +136,8 @@
 
     /// When those who come before there is service are to come back: spread, so that they do not come together.
     pub(super) fn come_back_after(&self, id: &str, now: Micros) -> Option<Micros> {
-        let left = self.persistence.as_ref().map_or(0, |persistence| persistence.recovery.left(now));
+        let left =
+            self.persistence.as_ref().map_or(0, |persistence| persistence.recovery.time_to_service(now));
         let spread = topazsail::hash(id.as_bytes()) % SPREAD as u64;
         self.come_back_most.map(|most| (left + spread as Micros).min(most))
     }
@@ -148,7 +149,7 @@
         }
         let Some(persistence) = &mut self.persistence else { return true };
         let drawn = topazsail::hash(id.as_bytes()) as f64 / u64::MAX as f64;
-        persistence.limits.takes(operation, drawn, now)
+        persistence.limits.admit(operation, drawn, now)
     }
 
     /// The share of its full capacity that the fleet has, while that limits anything.
@@ -176,7 +177,7 @@
         if let Some(warmth) = self.warmth(now)
             && let Some(persistence) = &mut self.persistence
         {
-            persistence.limits.short(warmth, now);
+            persistence.limits.record_shortage(warmth, now);
         }
     }
 
@@ -185,7 +186,7 @@
         if let Some(persistence) =
             self.persistence.as_mut().filter(|persistence| persistence.stage() == Stage::Limited)
         {
-            persistence.limits.succeeded(operation, took);
+            persistence.limits.record_success(operation, took);
         }
     }
 
@@ -211,7 +212,7 @@
     fn arm(&mut self, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
         let Some(persistence) = &mut self.persistence else { return };
-        let Some(due) = persistence.recovery.due() else { return };
+        let Some(due) = persistence.recovery.next_tick() else { return };
         let limited = persistence.stage() == Stage::Limited;
         let at = if limited { due.min(now + LIMITED_AGAIN) } else { due };
         // One that is asked for already, and comes in time, will ask for the next.
@@ -228,7 +229,7 @@
                     log!("stage", "stage={} {why}", stage.code());
                     self.stage_for_peers();
                 }
-                Action::Begin => self.begin(driver),
+                Action::ChooseRoster => self.begin(driver),
                 Action::Serve => self.clients.ready(self.down_since.is_none()),
             }
         }
@@ -301,7 +302,7 @@
             if let Some(spent) = left.spent.filter(|_| belief == Trust::Trusted) {
                 log!("trusts", "item=spent belief=trusted reason={why:?} runners={}", spent.runners.len());
                 // It is told as how long before the life's end; that it is over for longer only helps.
-                let end = now - left.found.away;
+                let end = now - left.found.min_downtime;
                 let at =
                     |work: Vec<(Micros, f64)>| work.into_iter().map(move |(ago, w)| (end - ago, w)).collect();
                 let spent = spent.runners.into_iter().map(|(id, work)| (id.into(), at(work))).collect();
@@ -333,12 +334,12 @@
                 StoreEvent::Opened(left) => {
                     persistence.boot = left.boot;
                     persistence.failing = None;
-                    if let Some(why) = &left.found.unwritten {
+                    if let Some(why) = &left.found.write_error {
                         persistence.without(&why.to_string());
                     }
                     let boot = left.boot;
                     if persistence.stage() == Stage::Finding {
-                        let event = recovery::Event::Opened { found: &left.found, boot };
+                        let event = recovery::Event::StoreOpened { summary: &left.found, boot };
                         let actions = persistence.recovery.handle(driver.now(), event);
                         persistence.left = Some(left);
                         self.keep_settings();
@@ -354,7 +355,7 @@
                 StoreEvent::Unopened(why) => {
                     log!("store", "state=refused reason={why:?}");
                     persistence.without(&why);
-                    let event = recovery::Event::Unopened { why: &why };
+                    let event = recovery::Event::StoreUnavailable { reason: &why };
                     let actions = persistence.recovery.handle(driver.now(), event);
                     self.enter(actions, driver);
                 }
@@ -377,11 +378,11 @@
     pub(super) fn heard_of_list(&mut self, listing: Listing, driver: &mut dyn ConnectionDriver) {
         let Some(persistence) = &mut self.persistence else { return };
         let event = match listing {
-            Listing::All | Listing::Changes => recovery::Event::Heard,
-            Listing::Refused => recovery::Event::Refused,
+            Listing::All | Listing::Changes => recovery::Event::RosterReceived,
+            Listing::Refused => recovery::Event::DiscoveryFailed,
             Listing::Remembered | Listing::Own => return,
         };
-        let fresh = matches!(event, recovery::Event::Heard);
+        let fresh = matches!(event, recovery::Event::RosterReceived);
         let actions = persistence.recovery.handle(driver.now(), event);
         if fresh && !std::mem::replace(&mut persistence.list_due, true) {
             let more = (persistence.list_length / LIST_BYTES) as Micros * LIST_AFTER;
--- a/peers/src/admin_overrides.rs
+++ b/peers/src/admin_overrides.rs
@@ -14,9 +14,9 @@
 /// Digests are kept for so many parts, by the hash of the runner's id.
 pub const BUCKETS: usize = 16;
 /// Runners that anything is known of; beyond them the oldest word on one that is back is let go.
-const MOST: usize = 8_192;
+const MAX_RUNNERS: usize = 8_192;
 /// No runner's id is longer.
-const ID_MOST: usize = 256;
+const MAX_ID_BYTES: usize = 256;
 
 /// How new a word is: more calls first, then the author, a hash of its name and life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -37,11 +37,11 @@
 
 /// Of one word, for the digest: all words of a part together, in any order. A checksum alone would not do: it is linear,
 /// so that words on `r-10` to `r-13` cancel out, and two sides that differ would never notice.
-fn mark(hand: &AdminOverride) -> u32 {
+fn entry_hash(entry: &AdminOverride) -> u32 {
     let mut sum = crc32fast::Hasher::new();
-    sum.update(hand.runner.as_bytes());
-    sum.update(&hand.version.count.to_le_bytes());
-    sum.update(&hand.version.author.to_le_bytes());
+    sum.update(entry.runner.as_bytes());
+    sum.update(&entry.version.count.to_le_bytes());
+    sum.update(&entry.version.author.to_le_bytes());
     mix(u64::from(sum.finalize())) as u32
 }
 
@@ -55,33 +55,33 @@
     }
 
     /// The version of a call that is made now by `author`: newer than all that is known of this runner.
-    pub fn next(&self, runner: &str, author: u32) -> Version {
-        let known = self.by_runner.get(runner).map_or(0, |hand| hand.version.count);
+    pub fn next_version(&self, runner: &str, author: u32) -> Version {
+        let known = self.by_runner.get(runner).map_or(0, |entry| entry.version.count);
         Version { count: known.saturating_add(1), author }
     }
 
     /// Takes a word in, if it is newer than what is known; whether it was.
-    pub fn merge(&mut self, hand: AdminOverride) -> bool {
-        let known = self.by_runner.get(&hand.runner);
-        if hand.runner.len() > ID_MOST || known.is_some_and(|known| known.version >= hand.version) {
+    pub fn merge(&mut self, entry: AdminOverride) -> bool {
+        let known = self.by_runner.get(&entry.runner);
+        if entry.runner.len() > MAX_ID_BYTES || known.is_some_and(|known| known.version >= entry.version) {
             return false;
         }
-        let nth = bucket(&hand.runner);
-        self.digest[nth] ^= known.map_or(0, mark) ^ mark(&hand);
-        self.by_runner.insert(hand.runner.clone(), hand);
-        if self.by_runner.len() > MOST {
-            self.let_go();
+        let index = bucket(&entry.runner);
+        self.digest[index] ^= known.map_or(0, entry_hash) ^ entry_hash(&entry);
+        self.by_runner.insert(entry.runner.clone(), entry);
+        if self.by_runner.len() > MAX_RUNNERS {
+            self.evict_oldest();
         }
         true
     }
 
-    fn let_go(&mut self) {
-        let back = self.by_runner.values().filter(|hand| hand.out_since.is_none());
-        let oldest = back.min_by_key(|hand| (hand.was_out, hand.version));
-        if let Some(runner) = oldest.map(|hand| hand.runner.clone())
-            && let Some(gone) = self.by_runner.remove(&runner)
+    fn evict_oldest(&mut self) {
+        let not_out = self.by_runner.values().filter(|entry| entry.out_since.is_none());
+        let oldest = not_out.min_by_key(|entry| (entry.was_out, entry.version));
+        if let Some(runner) = oldest.map(|entry| entry.runner.clone())
+            && let Some(evicted) = self.by_runner.remove(&runner)
         {
-            self.digest[bucket(&runner)] ^= mark(&gone);
+            self.digest[bucket(&runner)] ^= entry_hash(&evicted);
         }
     }
 
@@ -89,10 +89,10 @@
     pub fn differing(&self, theirs: &[u32; BUCKETS]) -> impl Iterator<Item = &AdminOverride> {
         let differs: Vec<bool> =
             self.digest.iter().zip(theirs).map(|(ours, theirs)| ours != theirs).collect();
-        self.by_runner.values().filter(move |hand| differs[bucket(&hand.runner)])
+        self.by_runner.values().filter(move |entry| differs[bucket(&entry.runner)])
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &AdminOverride> {
+    pub fn iter(&self) -> impl Iterator<Item = &AdminOverride> {
         self.by_runner.values()
     }
 }
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod slow_start;
 
 pub use admin_overrides::{AdminOverrides, Version};
-pub use packet::{AdminOverride, PACKET_MOST};
+pub use packet::{AdminOverride, MAX_PACKET_BYTES};
 pub use peers::{Action, Member, PeerCounters, PeerEvent, PeerState, Peers};
 pub use slow_start::SlowStartShare;
 
--- a/peers/src/packet.rs
+++ b/peers/src/packet.rs
@@ -12,10 +12,10 @@
 use crate::admin_overrides::{BUCKETS, Version};
 
 /// No datagram is larger: it passes every link whole.
-pub const PACKET_MOST: usize = 1_200;
-const MARK: [u8; 2] = *b"tp";
+pub const MAX_PACKET_BYTES: usize = 1_200;
+const MAGIC: [u8; 2] = *b"tp";
 pub const FORMAT: u8 = 2;
-const HEAD: usize = 7;
+const HEADER_BYTES: usize = 7;
 
 /// What the hand has done to one runner, and how new that is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,8 @@
     /// How far its recovery has come, a number of `recovery`'s own.
     pub stage: u8,
     /// Of runners out by hand, by the id's hash.
-    pub hands: [u32; BUCKETS],
+    #[serde(rename = "hands")]
+    pub overrides: [u32; BUCKETS],
 }
 
 /// Probes carry the number that their answer repeats. One on somebody's behalf names whom that is for, by its place
@@ -41,21 +42,25 @@
 pub enum Message {
     Probe {
         number: u64,
-        behalf: Option<(u16, u64)>,
+        #[serde(rename = "behalf")]
+        on_behalf_of: Option<(u16, u64)>,
     },
     Answer {
         number: u64,
-        behalf: Option<(u16, u64)>,
+        #[serde(rename = "behalf")]
+        on_behalf_of: Option<(u16, u64)>,
         /// From now on nothing is sent to other owners' cold runners, by this list of dispatchers (`slow_start`).
         promise: Option<u32>,
     },
     /// Please probe that one for me.
-    Ask {
+    #[serde(rename = "Ask")]
+    ProbeRequest {
         target: u16,
         number: u64,
     },
     /// That one has answered you through me, in this life.
-    Through {
+    #[serde(rename = "Through")]
+    IndirectAnswer {
         target: u16,
         number: u64,
         boot: u64,
@@ -71,9 +76,11 @@
     pub boot: u64,
     pub nonce: u32,
     /// The newest life of the receiver that the sender has heard of: its number, its nonce.
-    pub yours: (u64, u32),
+    #[serde(rename = "yours")]
+    pub known_receiver: (u64, u32),
     pub digest: Digest,
-    pub what: Message,
+    #[serde(rename = "what")]
+    pub message: Message,
 }
 
 /// Why a datagram was dropped.
@@ -81,39 +88,39 @@
 pub enum PacketError {
     TooLong,
     /// Not one of ours, cut short, or spoilt on its way.
-    Garbage,
+    Malformed,
     /// Sealed well, in a form that is not known here.
-    Form,
+    UnknownFormat,
 }
 
-fn sum(form_and_body: &[u8]) -> [u8; 4] {
-    crc32fast::hash(form_and_body).to_le_bytes()
+fn checksum(format_and_body: &[u8]) -> [u8; 4] {
+    crc32fast::hash(format_and_body).to_le_bytes()
 }
 
 pub fn seal(packet: &Packet) -> Vec<u8> {
     // Plain types only: there is nothing that could fail to be written.
     let body = postcard::to_stdvec(packet).unwrap_or_default();
-    let sealed = [&[FORMAT][..], &body].concat();
-    [&MARK[..], &[FORMAT], &sum(&sealed), &body].concat()
+    let checked = [&[FORMAT][..], &body].concat();
+    [&MAGIC[..], &[FORMAT], &checksum(&checked), &body].concat()
 }
 
 pub fn open(bytes: &[u8]) -> Result<Packet, PacketError> {
-    if bytes.len() > PACKET_MOST {
+    if bytes.len() > MAX_PACKET_BYTES {
         return Err(PacketError::TooLong);
     }
-    if bytes.len() < HEAD || bytes[..2] != MARK {
-        return Err(PacketError::Garbage);
+    if bytes.len() < HEADER_BYTES || bytes[..2] != MAGIC {
+        return Err(PacketError::Malformed);
     }
-    let (form, body) = (bytes[2], &bytes[HEAD..]);
-    if sum(&[&[form][..], body].concat()) != bytes[3..HEAD] {
-        return Err(PacketError::Garbage);
+    let (format, body) = (bytes[2], &bytes[HEADER_BYTES..]);
+    if checksum(&[&[format][..], body].concat()) != bytes[3..HEADER_BYTES] {
+        return Err(PacketError::Malformed);
     }
-    if form != FORMAT {
-        return Err(PacketError::Form);
+    if format != FORMAT {
+        return Err(PacketError::UnknownFormat);
     }
     match postcard::take_from_bytes(body) {
         Ok((packet, [])) => Ok(packet),
-        _ => Err(PacketError::Garbage),
+        _ => Err(PacketError::Malformed),
     }
 }
 
--- a/peers/src/peers/tests.rs
+++ b/peers/src/peers/tests.rs
@@ -7,20 +7,20 @@
 
 use super::*;
 
-type UnderWay = (Micros, u64, usize, usize, Vec<u8>);
+type InFlight = (Micros, u64, usize, usize, Vec<u8>);
 
 struct Net {
     now: Micros,
     cores: Vec<Option<Peers>>,
     /// When, in order, from, to, bytes.
-    under_way: BinaryHeap<Reverse<UnderWay>>,
-    serial: u64,
-    drawn: Pcg32,
+    in_flight: BinaryHeap<Reverse<InFlight>>,
+    sequence: u64,
+    random: Pcg32,
     /// Of a thousand datagrams.
     loss: u32,
-    doubled: u32,
-    cut: Vec<(usize, usize)>,
-    told: Vec<(usize, PeerEvent)>,
+    duplicated: u32,
+    cut_links: Vec<(usize, usize)>,
+    events: Vec<(usize, PeerEvent)>,
     spenders: Vec<Spender>,
 }
 
@@ -30,16 +30,16 @@
     /// Its own clock: so far ahead, and so many parts in a thousand faster.
     ahead: Micros,
     faster: Micros,
-    portion: Option<SlowStartShare>,
+    share: Option<SlowStartShare>,
     /// By the true clock, and by its own.
     sent: Vec<(Micros, Micros, f64)>,
-    rests_until: Micros,
+    paused_until: Micros,
     frozen: bool,
     /// A faulty twin: it takes the whole account for its own.
-    alone: bool,
+    takes_all: bool,
 }
 
-const LOOKS_AT: Micros = 2_000_000;
+const OVERLOAD_WINDOW: Micros = 2_000_000;
 
 impl Spender {
     fn clock(&self, now: Micros) -> Micros {
@@ -48,17 +48,17 @@
 
     fn spend(&mut self, now: Micros, job: f64, all: usize) {
         let own = self.clock(now);
-        if self.frozen || now < self.rests_until {
+        if self.frozen || now < self.paused_until {
             return;
         }
         let even = 1.0 / all as f64;
-        let share = match self.portion {
-            _ if self.alone => 1.0,
+        let share = match self.share {
+            _ if self.takes_all => 1.0,
             None => 0.0,
-            Some(portion) if own < portion.until => portion.share,
+            Some(known) if own < known.until => known.share,
             Some(_) => even,
         };
-        let sent = self.sent.iter().rev().take_while(|(_, at, _)| *at >= own - LOOKS_AT);
+        let sent = self.sent.iter().rev().take_while(|(_, at, _)| *at >= own - OVERLOAD_WINDOW);
         let mut sent: f64 = sent.map(|(.., work)| work).sum();
         while sent + job <= share + 1e-9 {
             sent += job;
@@ -80,13 +80,13 @@
         let mut net = Net {
             now: 0,
             cores: (0..all).map(|_| None).collect(),
-            under_way: BinaryHeap::new(),
-            serial: 0,
-            drawn: Pcg32::seed_from_u64(seed),
+            in_flight: BinaryHeap::new(),
+            sequence: 0,
+            random: Pcg32::seed_from_u64(seed),
             loss: 0,
-            doubled: 0,
-            cut: Vec::new(),
-            told: Vec::new(),
+            duplicated: 0,
+            cut_links: Vec::new(),
+            events: Vec::new(),
             spenders: vec![Spender::default(); all],
         };
         (0..all).for_each(|nth| net.begin(nth, 1));
@@ -98,18 +98,18 @@
             .filter(|other| *other != nth)
             .map(|other| Member { name: name(other), address: address(other) })
             .collect();
-        let (nonce, seed) = (self.drawn.random(), self.drawn.random());
+        let (nonce, seed) = (self.random.random(), self.random.random());
         let now = self.spenders[nth].clock(self.now);
         let mut core = Peers::new(&name(nth), members, (boot, nonce), seed, now);
-        core.settings(self.cores.len(), LOOKS_AT);
+        core.configure(self.cores.len(), OVERLOAD_WINDOW);
         self.cores[nth] = Some(core);
     }
 
     /// A life ends, its words are lost with it; the next one rests as `recovery` has it.
     fn restart(&mut self, nth: usize, boot: u64) {
         self.begin(nth, boot);
-        self.spenders[nth].portion = None;
-        self.spenders[nth].rests_until = self.now + LOOKS_AT;
+        self.spenders[nth].share = None;
+        self.spenders[nth].paused_until = self.now + OVERLOAD_WINDOW;
     }
 
     /// All spend what they may for a span; gives the share of the budget that was used in the mean.
@@ -123,18 +123,18 @@
         }
         let sent = self.spenders.iter().flat_map(|spender| &spender.sent);
         let sent: f64 = sent.filter(|(at, ..)| *at > from).map(|(.., work)| work).sum();
-        sent * LOOKS_AT as f64 / span as f64
+        sent * OVERLOAD_WINDOW as f64 / span as f64
     }
 
     /// The most that all together have sent in any span that the rule looks at.
-    fn most(&self) -> f64 {
+    fn max_sent_in_window(&self) -> f64 {
         let sent = self.spenders.iter().flat_map(|spender| &spender.sent);
         let mut sent: Vec<(Micros, f64)> = sent.map(|(at, _, work)| (*at, *work)).collect();
         sent.sort_by_key(|(at, _)| *at);
         let (mut from, mut sum, mut most) = (0, 0.0, 0.0);
         for nth in 0..sent.len() {
             sum += sent[nth].1;
-            while sent[from].0 <= sent[nth].0 - LOOKS_AT {
+            while sent[from].0 <= sent[nth].0 - OVERLOAD_WINDOW {
                 sum -= sent[from].1;
                 from += 1;
             }
@@ -146,18 +146,18 @@
     fn act(&mut self, nth: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::PeerEvent(told) => self.told.push((nth, told)),
+                Action::PeerEvent(event) => self.events.push((nth, event)),
                 Action::Send { to, bytes } => {
-                    assert!(bytes.len() <= PACKET_MOST, "{}", bytes.len());
+                    assert!(bytes.len() <= MAX_PACKET_BYTES, "{}", bytes.len());
                     let to = usize::from(to.port() - 7_000);
                     for copy in 0..2 {
-                        let lost = self.drawn.random_range(0..1_000) < self.loss;
-                        let sent = copy == 0 || self.drawn.random_range(0..1_000) < self.doubled;
-                        if sent && !lost && !self.cut.contains(&(nth, to)) {
+                        let lost = self.random.random_range(0..1_000) < self.loss;
+                        let sent = copy == 0 || self.random.random_range(0..1_000) < self.duplicated;
+                        if sent && !lost && !self.cut_links.contains(&(nth, to)) {
                             // Up to 20 ms, so that they overtake one another.
-                            let at = self.now + self.drawn.random_range(200..20_000);
-                            self.serial += 1;
-                            self.under_way.push(Reverse((at, self.serial, nth, to, bytes.clone())));
+                            let at = self.now + self.random.random_range(200..20_000);
+                            self.sequence += 1;
+                            self.in_flight.push(Reverse((at, self.sequence, nth, to, bytes.clone())));
                         }
                     }
                 }
@@ -171,7 +171,7 @@
             // By the true clock, whatever each core's own says.
             let due = |nth: usize, core: &Option<Peers>| {
                 let spender = &self.spenders[nth];
-                let left = core.as_ref()?.due() - spender.clock(self.now);
+                let left = core.as_ref()?.next_tick() - spender.clock(self.now);
                 Some((
                     self.now + left.max(0) * 1_000 / (1_000 + spender.faster) + Micros::from(left > 0),
                     nth,
@@ -181,25 +181,25 @@
             let dues = self.cores.iter().enumerate().filter(|(nth, _)| awake(nth));
             let dues = dues.filter_map(|(nth, core)| due(nth, core));
             let round = dues.min();
-            let packet = self.under_way.peek().map(|Reverse((at, ..))| *at);
+            let packet = self.in_flight.peek().map(|Reverse((at, ..))| *at);
             match (round, packet) {
                 (Some((due, nth)), packet) if due <= end && packet.is_none_or(|at| due <= at) => {
                     self.now = self.now.max(due);
                     let now = self.spenders[nth].clock(self.now);
                     let core = self.cores[nth].as_mut().unwrap();
                     let actions = core.tick(now);
-                    self.spenders[nth].portion = core.portions(["r1"].into_iter(), now).pop();
+                    self.spenders[nth].share = core.slow_start_shares(["r1"].into_iter(), now).pop();
                     self.act(nth, actions);
                 }
                 (_, Some(at)) if at <= end => {
                     self.now = at;
-                    let Some(Reverse((_, _, from, to, bytes))) = self.under_way.pop() else { return };
+                    let Some(Reverse((_, _, from, to, bytes))) = self.in_flight.pop() else { return };
                     if self.spenders[to].frozen {
                         // It waits in the socket until the process goes on.
-                        self.serial += 1;
-                        self.under_way.push(Reverse((at + 50_000, self.serial, from, to, bytes)));
+                        self.sequence += 1;
+                        self.in_flight.push(Reverse((at + 50_000, self.sequence, from, to, bytes)));
                     } else if let Some(core) = &mut self.cores[to] {
-                        let actions = core.heard(self.spenders[to].clock(at), address(from), &bytes);
+                        let actions = core.receive(self.spenders[to].clock(at), address(from), &bytes);
                         self.act(to, actions);
                     }
                 }
@@ -215,17 +215,17 @@
 
     fn call(&mut self, nth: usize, runner: &str, out: bool) {
         let now = self.now;
-        let (_, actions) = self.core(nth).call(runner, out.then_some(now), None, now);
+        let (_, actions) = self.core(nth).set_override(runner, out.then_some(now), None, now);
         self.act(nth, actions);
     }
 
     fn out(&self, nth: usize, runner: &str) -> Option<bool> {
-        Some(self.cores[nth].as_ref()?.hands.get(runner)?.out_since.is_some())
+        Some(self.cores[nth].as_ref()?.overrides.get(runner)?.out_since.is_some())
     }
 
-    fn life(&self, at: usize, of: usize) -> PeerState {
+    fn state(&self, at: usize, of: usize) -> PeerState {
         let core = self.cores[at].as_ref().unwrap();
-        core.lives().find(|(known, ..)| *known == name(of)).unwrap().1
+        core.peer_states().find(|(known, ..)| *known == name(of)).unwrap().1
     }
 }
 
@@ -234,7 +234,7 @@
     let mut net = Net::new(9, 1);
     net.run(300_000);
     for nth in 0..9 {
-        assert_eq!(net.core(nth).agree(), (8, 8));
+        assert_eq!(net.core(nth).agreement(), (8, 8));
     }
     net.call(3, "r1", true);
     net.run(50_000);
@@ -244,9 +244,9 @@
     net.run(50_000);
     assert!((0..9).all(|nth| net.out(nth, "r1") == Some(false)));
     assert_eq!(
-        net.told
+        net.events
             .iter()
-            .filter(|(_, told)| matches!(told, PeerEvent::Peer { life: PeerState::Suspected, .. }))
+            .filter(|(_, event)| matches!(event, PeerEvent::StateChanged { state: PeerState::Suspected, .. }))
             .count(),
         0
     );
@@ -258,15 +258,15 @@
     net.run(500_000);
     let sides: Vec<(usize, usize)> =
         (0..2).flat_map(|a| (2..5).flat_map(move |b| [(a, b), (b, a)])).collect();
-    net.cut = sides;
+    net.cut_links = sides;
     net.run(3_000_000);
-    assert!((0..2).all(|a| (2..5).all(|b| net.life(a, b) != PeerState::Alive)));
+    assert!((0..2).all(|a| (2..5).all(|b| net.state(a, b) != PeerState::Alive)));
     net.call(0, "r1", true);
     net.call(4, "r1", false);
     net.call(4, "r2", true);
     net.run(1_000_000);
     assert_eq!((net.out(1, "r1"), net.out(3, "r1"), net.out(1, "r2")), (Some(true), Some(false), None));
-    net.cut.clear();
+    net.cut_links.clear();
     net.run(5_000_000);
     let agreed: Vec<Option<bool>> = (0..5).map(|nth| net.out(nth, "r1")).collect();
     assert!(agreed.iter().all(|out| *out == agreed[0]), "{agreed:?}");
@@ -278,42 +278,42 @@
     let mut net = Net::new(6, 3);
     net.run(500_000);
     // d0 and d1 do not hear each other, all others hear both.
-    net.cut = vec![(0, 1), (1, 0)];
+    net.cut_links = vec![(0, 1), (1, 0)];
     net.run(20_000_000);
-    assert_eq!((net.life(0, 1), net.life(1, 0)), (PeerState::Alive, PeerState::Alive));
+    assert_eq!((net.state(0, 1), net.state(1, 0)), (PeerState::Alive, PeerState::Alive));
     // One way: who is heard is there, whatever becomes of what is sent to it.
-    net.cut = (1..6).map(|to| (0, to)).collect();
+    net.cut_links = (1..6).map(|to| (0, to)).collect();
     net.run(4_000_000);
-    assert_eq!((net.life(0, 2), net.life(2, 0)), (PeerState::Alive, PeerState::Suspected));
-    net.cut.clear();
+    assert_eq!((net.state(0, 2), net.state(2, 0)), (PeerState::Alive, PeerState::Suspected));
+    net.cut_links.clear();
     net.run(3_000_000);
-    assert_eq!(net.life(2, 0), PeerState::Alive);
+    assert_eq!(net.state(2, 0), PeerState::Alive);
     net.cores[5] = None;
     net.run(4_000_000);
-    assert!((0..5).all(|nth| net.life(nth, 5) == PeerState::Suspected));
+    assert!((0..5).all(|nth| net.state(nth, 5) == PeerState::Suspected));
     net.run(8_000_000);
-    assert!((0..5).all(|nth| net.life(nth, 5) == PeerState::Gone));
+    assert!((0..5).all(|nth| net.state(nth, 5) == PeerState::Gone));
 }
 
 #[test]
 fn a_life_with_a_number_that_is_taken_is_told_so_and_not_believed() {
     let mut net = Net::new(4, 4);
-    (0..4).for_each(|nth| net.core(nth).numbered(7));
+    (0..4).for_each(|nth| net.core(nth).set_boot(7));
     net.run(1_000_000);
     for boot in [7, 3] {
         net.begin(2, boot);
         net.call(2, "r9", true);
-        net.told.clear();
+        net.events.clear();
         net.run(600_000);
         let numbered: Vec<&PeerEvent> =
-            net.told.iter().filter(|(nth, _)| *nth == 2).map(|(_, told)| told).collect();
-        assert!(numbered.contains(&&PeerEvent::Numbered(7)), "{boot}: {numbered:?}");
+            net.events.iter().filter(|(nth, _)| *nth == 2).map(|(_, event)| event).collect();
+        assert!(numbered.contains(&&PeerEvent::BootTaken(7)), "{boot}: {numbered:?}");
         assert!([0, 1, 3].iter().all(|nth| net.out(*nth, "r9").is_none()));
     }
-    net.core(2).numbered(8);
+    net.core(2).set_boot(8);
     net.run(2_000_000);
     assert!((0..4).all(|nth| net.out(nth, "r9") == Some(true)));
-    assert_eq!(net.core(2).agree(), (3, 3));
+    assert_eq!(net.core(2).agreement(), (3, 3));
 }
 
 #[test]
@@ -333,14 +333,14 @@
     net.begin(1, 2);
     net.run(1_000_000);
     let now = net.now;
-    assert_eq!(net.core(0).heard(now, address(1), &late), []);
-    assert!(net.out(0, "r1").is_none() && net.core(0).counts.old == 1);
+    assert_eq!(net.core(0).receive(now, address(1), &late), []);
+    assert!(net.out(0, "r1").is_none() && net.core(0).counters.old == 1);
     // Strangers and garbage are counted and change nothing.
-    assert_eq!(net.core(0).heard(now, SocketAddr::from(([127, 0, 0, 9], 1)), &late), []);
-    assert_eq!(net.core(0).heard(now, address(2), &late), []);
-    assert_eq!(net.core(0).heard(now, address(2), b"tp"), []);
-    let counts = net.core(0).counts;
-    assert_eq!((counts.strangers, counts.bad), (2, 1));
+    assert_eq!(net.core(0).receive(now, SocketAddr::from(([127, 0, 0, 9], 1)), &late), []);
+    assert_eq!(net.core(0).receive(now, address(2), &late), []);
+    assert_eq!(net.core(0).receive(now, address(2), b"tp"), []);
+    let counts = net.core(0).counters;
+    assert_eq!((counts.unlisted, counts.bad), (2, 1));
 }
 
 /// How long until all have a call, and false suspicions, at several losses.
@@ -348,9 +348,9 @@
 fn under_loss_words_still_reach_all_and_few_are_suspected() {
     for (loss, within, suspected_most) in [(0, 100_000, 0), (200, 3_000_000, 10), (400, 6_000_000, 120)] {
         let mut net = Net::new(9, 6);
-        (net.loss, net.doubled) = (loss, 200);
+        (net.loss, net.duplicated) = (loss, 200);
         net.run(3_000_000);
-        net.told.clear();
+        net.events.clear();
         for nth in 0..20 {
             net.call(nth % 9, &format!("r{nth}"), true);
             net.run(200_000);
@@ -360,8 +360,9 @@
             let known = (0..20).filter(|r| net.out(nth, &format!("r{r}")) == Some(true)).count();
             assert_eq!(known, 20, "loss {loss}, d{nth}");
         }
-        let suspected = |told: &PeerEvent| matches!(told, PeerEvent::Peer { life: PeerState::Suspected, .. });
-        let count = net.told.iter().filter(|(_, told)| suspected(told)).count();
+        let suspected =
+            |event: &PeerEvent| matches!(event, PeerEvent::StateChanged { state: PeerState::Suspected, .. });
+        let count = net.events.iter().filter(|(_, event)| suspected(event)).count();
         assert!(count <= suspected_most, "loss {loss}: {count} suspicions");
     }
 }
@@ -372,20 +373,20 @@
     net.run(500_000);
     for nth in 0..2_000 {
         let now = net.now;
-        net.core(0).call(&format!("runner-{nth}"), Some(now), None, now);
+        net.core(0).set_override(&format!("runner-{nth}"), Some(now), None, now);
     }
     net.run(20_000_000);
-    assert_eq!(net.core(2).hands.all().count(), 2_000);
-    assert_eq!(net.core(0).agree(), (2, 2));
+    assert_eq!(net.core(2).overrides.iter().count(), 2_000);
+    assert_eq!(net.core(0).agreement(), (2, 2));
 }
 
 #[test]
 fn at_rest_little_is_said_in_a_large_fleet() {
     let mut net = Net::new(100, 8);
     net.run(2_000_000);
-    let before = net.core(0).counts;
+    let before = net.core(0).counters;
     net.run(10_000_000);
-    let after = net.core(0).counts;
+    let after = net.core(0).counters;
     let bytes = (after.sent_bytes - before.sent_bytes) / 10;
     assert!(bytes < 8_000, "{bytes} bytes a second");
 }
@@ -401,41 +402,41 @@
         for spender in &mut net.spenders {
             // Two of the clocks were set wrong; all run at rates of their own.
             spender.ahead = [0, 5_000_000, -40_000_000_000][seed as usize % 3];
-            spender.faster = net.drawn.random_range(-5..=5);
+            spender.faster = net.random.random_range(-5..=5);
         }
         (0..all).for_each(|nth| net.begin(nth, 1));
         net.loss = loss;
-        net.doubled = 100;
+        net.duplicated = 100;
         net.run(3_000_000);
         used.push((loss, net.spend(10_000_000, 0.005)));
         let mut boots = vec![1; all];
         for _ in 0..20 {
-            match net.drawn.random_range(0..5) {
+            match net.random.random_range(0..5) {
                 0 => {
                     // A machine's links, or some of them one way.
-                    let (from, to) = (net.drawn.random_range(0..all), net.drawn.random_range(0..all));
-                    net.cut.extend([(from, to)]);
+                    let (from, to) = (net.random.random_range(0..all), net.random.random_range(0..all));
+                    net.cut_links.extend([(from, to)]);
                 }
                 1 => {
-                    let side = net.drawn.random_range(1..all);
+                    let side = net.random.random_range(1..all);
                     let both = (0..all).flat_map(|a| (0..all).map(move |b| (a, b)));
-                    net.cut = both.filter(|(a, b)| (*a < side) != (*b < side)).collect();
+                    net.cut_links = both.filter(|(a, b)| (*a < side) != (*b < side)).collect();
                 }
-                2 => net.cut.clear(),
+                2 => net.cut_links.clear(),
                 3 => {
-                    let nth = net.drawn.random_range(0..all);
+                    let nth = net.random.random_range(0..all);
                     boots[nth] += 1;
                     net.restart(nth, boots[nth]);
                 }
                 _ => {
-                    let nth = net.drawn.random_range(0..all);
+                    let nth = net.random.random_range(0..all);
                     net.spenders[nth].frozen ^= true;
                 }
             }
-            let span = net.drawn.random_range(0..15_000_000);
+            let span = net.random.random_range(0..15_000_000);
             net.spend(span, 0.005);
         }
-        let most = net.most();
+        let most = net.max_sent_in_window();
         assert!(most <= 1.0 + 1e-9, "{most} at {loss} of a thousand lost, seed {seed}");
         assert!(most > 0.5, "{most}: nobody has used it");
     }
@@ -450,10 +451,10 @@
 #[test]
 fn one_that_spends_alone_is_seen() {
     let mut net = Net::new(9, 1);
-    net.spenders[4].alone = true;
+    net.spenders[4].takes_all = true;
     net.run(3_000_000);
     net.spend(10_000_000, 0.02);
-    assert!(net.most() > 1.5, "{}", net.most());
+    assert!(net.max_sent_in_window() > 1.5, "{}", net.max_sent_in_window());
 }
 
 /// A disk that opens after the others were met: what it holds is told to them, and undoes no call that was made since.
@@ -464,11 +465,11 @@
     net.call(0, "r1", false);
     net.run(50_000);
     let version = Version { count: 3, author: 9 };
-    let left =
+    let stored =
         |runner: &str| AdminOverride { runner: runner.into(), version, out_since: Some(5), was_out: None };
-    assert_eq!(net.core(0).remember(left("r1")), None);
-    assert_eq!(net.core(0).remember(left("r2")), Some(left("r2")));
-    assert_eq!(net.core(0).remember(left("r2")), None);
+    assert_eq!(net.core(0).restore(stored("r1")), None);
+    assert_eq!(net.core(0).restore(stored("r2")), Some(stored("r2")));
+    assert_eq!(net.core(0).restore(stored("r2")), None);
     net.run(2_000_000);
     for nth in 0..3 {
         assert_eq!((net.out(nth, "r1"), net.out(nth, "r2")), (Some(false), Some(true)));
--- a/peers/src/slow_start.rs
+++ b/peers/src/slow_start.rs
@@ -17,17 +17,17 @@
 
 /// Owners of each runner. Measured from one to eight (docs/peers.md): with more a portion is less than a job, with fewer
 /// the loss of one machine of three takes the account of many runners with it.
-pub const OWNERS: usize = 3;
+pub const OWNERS_PER_RUNNER: usize = 3;
 /// Promises last so long, for each other dispatcher and at least and at most: each must be asked again within it.
-const SPAN_EACH: Micros = 40_000;
-const SPAN_LEAST: Micros = 4_000_000;
-const SPAN_MOST: Micros = 16_000_000;
+const PROMISE_SPAN_PER_DISPATCHER: Micros = 40_000;
+const MIN_PROMISE_SPAN: Micros = 4_000_000;
+const MAX_PROMISE_SPAN: Micros = 16_000_000;
 /// What left before a promise began is on its way no longer.
-const UNDER_WAY: Micros = 500_000;
+const IN_FLIGHT_MARGIN: Micros = 500_000;
 /// A portion is good for this after it was told, and must be told again before.
-pub const TOLD_FOR: Micros = 500_000;
+pub const SHARE_VALIDITY: Micros = 500_000;
 /// Runners whose owners are remembered.
-const KNOWN_MOST: usize = 16_384;
+const MAX_CACHED_RUNNERS: usize = 16_384;
 
 /// What one dispatcher may send a cold runner: this share of its budget until then, an even share afterwards.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -38,21 +38,21 @@
 
 pub struct SlowStartAllocator {
     /// All dispatchers by their names' hashes, in the order of names; which of them is this one.
-    hashes: Vec<u64>,
+    name_hashes: Vec<u64>,
     own: usize,
     /// What tells this list of dispatchers from another one: who goes by another one has other owners.
-    pub list: u32,
+    pub dispatchers_hash: u32,
     /// The dispatchers that the settings count, where these are more.
-    counted: usize,
+    dispatcher_count: usize,
     /// The span that the rule on cold runners looks at.
-    looks_at: Micros,
-    began: Micros,
+    overload_window: Micros,
+    started_at: Micros,
     /// Nothing is sent to other owners' runners until then; who asks from `gives_from` on is promised so.
-    holds_until: Micros,
-    gives_from: Micros,
+    withholds_until: Micros,
+    promises_from: Micros,
     /// By place: until when its promise to us counts.
-    promised: Vec<Micros>,
-    owners: BTreeMap<String, Vec<u16>>,
+    promised_until: Vec<Micros>,
+    owners_by_runner: BTreeMap<String, Vec<u16>>,
 }
 
 fn hash(text: &str) -> u64 {
@@ -65,110 +65,118 @@
     /// `names` in order. A life that begins holds to whatever an earlier one may have promised.
     pub fn new(names: &[String], own: &str, now: Micros) -> SlowStartAllocator {
         let own = names.binary_search_by(|name| name.as_str().cmp(own)).unwrap_or(0);
-        let mut account = SlowStartAllocator {
-            hashes: names.iter().map(|name| hash(name)).collect(),
+        let mut allocator = SlowStartAllocator {
+            name_hashes: names.iter().map(|name| hash(name)).collect(),
             own,
-            list: crc32fast::hash(names.join("\n").as_bytes()),
-            counted: names.len(),
-            looks_at: 0,
-            began: now,
-            holds_until: 0,
-            gives_from: now,
-            promised: vec![Micros::MIN; names.len()],
-            owners: BTreeMap::new(),
+            dispatchers_hash: crc32fast::hash(names.join("\n").as_bytes()),
+            dispatcher_count: names.len(),
+            overload_window: 0,
+            started_at: now,
+            withholds_until: 0,
+            promises_from: now,
+            promised_until: vec![Micros::MIN; names.len()],
+            owners_by_runner: BTreeMap::new(),
         };
-        account.holds_until = now + account.span();
-        account
+        allocator.withholds_until = now + allocator.promise_span();
+        allocator
     }
 
     /// What the settings say: how many dispatchers there are, and which span the rule on cold runners looks at.
-    pub fn settings(&mut self, dispatchers: usize, looks_at: Micros) {
-        (self.counted, self.looks_at) = (dispatchers.max(self.hashes.len()), looks_at);
+    pub fn configure(&mut self, dispatchers: usize, overload_window: Micros) {
+        (self.dispatcher_count, self.overload_window) =
+            (dispatchers.max(self.name_hashes.len()), overload_window);
         // What an earlier life may have promised lasts as long as this one's promises do.
-        self.holds_until = self.holds_until.max(self.began + self.span());
+        self.withholds_until = self.withholds_until.max(self.started_at + self.promise_span());
     }
 
     /// How long a promise lasts, from the answer that makes it.
-    pub fn span(&self) -> Micros {
-        (SPAN_EACH * self.hashes.len() as Micros).clamp(SPAN_LEAST, SPAN_MOST) + self.looks_at
+    pub fn promise_span(&self) -> Micros {
+        (PROMISE_SPAN_PER_DISPATCHER * self.name_hashes.len() as Micros)
+            .clamp(MIN_PROMISE_SPAN, MAX_PROMISE_SPAN)
+            + self.overload_window
     }
 
     /// How long one counts, from the probe that was answered: what was sent at its very end is out of the rule's sight
     /// before the giver sends anything again.
-    fn counts(&self) -> Micros {
-        self.span() / 20 * 19 - self.looks_at - UNDER_WAY
+    fn counted_span(&self) -> Micros {
+        self.promise_span() / 20 * 19 - self.overload_window - IN_FLIGHT_MARGIN
     }
 
     /// Each other one is to be asked again within this.
-    pub fn renew_within(&self) -> Micros {
-        self.counts() / 2
+    pub fn renewal_interval(&self) -> Micros {
+        self.counted_span() / 2
     }
 
     /// Once in each round, before portions are told: `alone` where fewer than half of the others are heard. Whoever is
     /// cut off goes back to its even share, once what it has promised is over.
-    pub fn round(&mut self, alone: bool, now: Micros) {
-        if !alone && now > self.holds_until {
+    pub fn start_round(&mut self, isolated: bool, now: Micros) {
+        if !isolated && now > self.withholds_until {
             // It may have sent its share until now: it holds from here on, and says so once that is out of sight.
-            self.holds_until = now + self.span();
-            self.gives_from = now + self.looks_at + UNDER_WAY;
+            self.withholds_until = now + self.promise_span();
+            self.promises_from = now + self.overload_window + IN_FLIGHT_MARGIN;
         }
     }
 
-    /// Whether an answer that leaves now may promise to send nothing to others' runners, for [`SlowStartAllocator::span`].
-    pub fn promise(&mut self, alone: bool, now: Micros) -> bool {
-        let gives = !alone && now <= self.holds_until && now >= self.gives_from;
-        if gives {
-            self.holds_until = now + self.span();
+    /// Whether an answer that leaves now may promise to send nothing to others' runners, for [`SlowStartAllocator::promise_span`].
+    pub fn try_promise(&mut self, isolated: bool, now: Micros) -> bool {
+        let promises = !isolated && now <= self.withholds_until && now >= self.promises_from;
+        if promises {
+            self.withholds_until = now + self.promise_span();
         }
-        gives
+        promises
     }
 
     /// Another one has promised, in answer to a probe that left then.
-    pub fn promised(&mut self, place: usize, probed_at: Micros) {
-        let until = probed_at + self.counts();
-        if let Some(known) = self.promised.get_mut(place) {
+    pub fn record_promise(&mut self, dispatcher: usize, probed_at: Micros) {
+        let until = probed_at + self.counted_span();
+        if let Some(known) = self.promised_until.get_mut(dispatcher) {
             *known = (*known).max(until);
         }
     }
 
     /// Whether another one's promise counts until a portion told now is over.
-    fn gives(&self, place: usize, now: Micros) -> bool {
-        place != self.own && self.promised[place] >= now + TOLD_FOR
+    fn promise_covers(&self, dispatcher: usize, now: Micros) -> bool {
+        dispatcher != self.own && self.promised_until[dispatcher] >= now + SHARE_VALIDITY
     }
 
     /// What this dispatcher may send each of these runners, in the same order.
-    pub fn portions<'a>(
-        &mut self,
-        runners: impl Iterator<Item = &'a str>,
-        now: Micros,
-    ) -> Vec<SlowStartShare> {
-        let all = (0..self.promised.len()).filter(|place| self.gives(*place, now)).count();
-        let portion = |runner: &str| {
+    pub fn shares<'a>(&mut self, runners: impl Iterator<Item = &'a str>, now: Micros) -> Vec<SlowStartShare> {
+        let promising =
+            (0..self.promised_until.len()).filter(|dispatcher| self.promise_covers(*dispatcher, now)).count();
+        let share_of = |runner: &str| {
             let owners = self.owners_of(runner);
             if !owners.contains(&(self.own as u16)) {
                 // A promise may have been made since, and the next round not come.
-                return SlowStartShare { share: 0.0, until: self.holds_until + TOLD_FOR };
+                return SlowStartShare { share: 0.0, until: self.withholds_until + SHARE_VALIDITY };
             }
-            let givers = all - owners.iter().filter(|place| self.gives(usize::from(**place), now)).count();
-            let shares = 1.0 + givers as f64 / owners.len() as f64;
-            SlowStartShare { share: shares / self.counted as f64, until: now + TOLD_FOR }
+            let non_owners = promising
+                - owners
+                    .iter()
+                    .filter(|dispatcher| self.promise_covers(usize::from(**dispatcher), now))
+                    .count();
+            let shares = 1.0 + non_owners as f64 / owners.len() as f64;
+            SlowStartShare { share: shares / self.dispatcher_count as f64, until: now + SHARE_VALIDITY }
         };
-        runners.map(portion).collect()
+        runners.map(share_of).collect()
     }
 
     fn owners_of(&mut self, runner: &str) -> Vec<u16> {
-        if let Some(owners) = self.owners.get(runner) {
+        if let Some(owners) = self.owners_by_runner.get(runner) {
             return owners.clone();
         }
-        let of_runner = hash(runner);
-        let mut ranked: Vec<(u64, u16)> =
-            self.hashes.iter().enumerate().map(|(nth, of)| (mix(of ^ of_runner), nth as u16)).collect();
+        let runner_hash = hash(runner);
+        let mut ranked: Vec<(u64, u16)> = self
+            .name_hashes
+            .iter()
+            .enumerate()
+            .map(|(index, name_hash)| (mix(name_hash ^ runner_hash), index as u16))
+            .collect();
         ranked.sort_unstable();
-        let owners: Vec<u16> = ranked.into_iter().take(OWNERS).map(|(_, nth)| nth).collect();
-        if self.owners.len() >= KNOWN_MOST {
-            self.owners.clear();
+        let owners: Vec<u16> = ranked.into_iter().take(OWNERS_PER_RUNNER).map(|(_, index)| index).collect();
+        if self.owners_by_runner.len() >= MAX_CACHED_RUNNERS {
+            self.owners_by_runner.clear();
         }
-        self.owners.insert(runner.to_owned(), owners.clone());
+        self.owners_by_runner.insert(runner.to_owned(), owners.clone());
         owners
     }
 }
--- a/peers/src/slow_start/tests.rs
+++ b/peers/src/slow_start/tests.rs
@@ -6,21 +6,21 @@
     (0..all).map(|nth| format!("d{nth:03}")).collect()
 }
 
-fn account(nth: usize, all: usize, now: Micros) -> SlowStartAllocator {
+fn allocator(nth: usize, all: usize, now: Micros) -> SlowStartAllocator {
     let names = names(all);
-    let mut account = SlowStartAllocator::new(&names, &names[nth], now);
-    account.settings(all, 2_000_000);
-    account
+    let mut allocator = SlowStartAllocator::new(&names, &names[nth], now);
+    allocator.configure(all, 2_000_000);
+    allocator
 }
 
 #[test]
 fn all_find_the_same_owners_and_few_own_much() {
-    let mut all: Vec<SlowStartAllocator> = (0..9).map(|nth| account(nth, 9, 0)).collect();
+    let mut all: Vec<SlowStartAllocator> = (0..9).map(|nth| allocator(nth, 9, 0)).collect();
     let mut owned = [0; 9];
     for r in 0..200 {
         let owners = all[0].owners_of(&format!("r{r}"));
-        assert_eq!(owners.len(), OWNERS);
-        assert!(all.iter_mut().all(|account| account.owners_of(&format!("r{r}")) == owners));
+        assert_eq!(owners.len(), OWNERS_PER_RUNNER);
+        assert!(all.iter_mut().all(|allocator| allocator.owners_of(&format!("r{r}")) == owners));
         owners.iter().for_each(|nth| owned[usize::from(*nth)] += 1);
     }
     assert!(owned.iter().all(|count| (50..130).contains(count)), "{owned:?}");
@@ -29,39 +29,42 @@
 #[test]
 fn whoever_begins_holds_and_owners_have_what_others_promise() {
     let now = 100_000_000;
-    let mut all: Vec<SlowStartAllocator> = (0..9).map(|nth| account(nth, 9, now)).collect();
+    let mut all: Vec<SlowStartAllocator> = (0..9).map(|nth| allocator(nth, 9, now)).collect();
     let owners = all[0].owners_of("r1");
     let owner = usize::from(owners[0]);
-    let share = |account: &mut SlowStartAllocator, now| account.portions(["r1"].into_iter(), now)[0];
+    let share = |allocator: &mut SlowStartAllocator, now| allocator.shares(["r1"].into_iter(), now)[0];
     assert_eq!(share(&mut all[owner], now).share, 1.0 / 9.0);
     let other = (0..9).find(|nth| !owners.contains(&(*nth as u16))).unwrap();
     let held = share(&mut all[other], now);
-    assert!(held.share == 0.0 && held.until > now + all[other].span(), "an earlier life may have promised");
+    assert!(
+        held.share == 0.0 && held.until > now + all[other].promise_span(),
+        "an earlier life may have promised"
+    );
     for nth in 0..9 {
-        let gave = all[nth].promise(false, now + 10);
+        let gave = all[nth].try_promise(false, now + 10);
         assert!(gave);
-        all[owner].promised(nth, now);
+        all[owner].record_promise(nth, now);
     }
     // Its own share, and a third of the six that are no owners.
     assert_eq!(share(&mut all[owner], now).share, (1.0 + 6.0 / 3.0) / 9.0);
     // What is counted ends, with the rule's span, before what is held.
-    let end = now + all[owner].counts();
-    assert_eq!(share(&mut all[owner], end - TOLD_FOR + 1).share, 1.0 / 9.0);
-    assert!(end + 2_000_000 < now + 10 + all[other].span());
+    let end = now + all[owner].counted_span();
+    assert_eq!(share(&mut all[owner], end - SHARE_VALIDITY + 1).share, 1.0 / 9.0);
+    assert!(end + 2_000_000 < now + 10 + all[other].promise_span());
 }
 
 #[test]
 fn who_is_cut_off_has_its_even_share_again_and_comes_back_only_after_a_rest() {
-    let mut one = account(0, 9, 0);
-    assert!(one.promise(false, 10));
-    let span = one.span();
-    assert!(!one.promise(true, 20));
-    one.round(true, 10 + span + 1);
-    assert!(one.holds_until < 10 + span + 1, "its portion is over");
-    assert!(!one.promise(false, 10 + span + 2), "it may have spent");
+    let mut one = allocator(0, 9, 0);
+    assert!(one.try_promise(false, 10));
+    let span = one.promise_span();
+    assert!(!one.try_promise(true, 20));
+    one.start_round(true, 10 + span + 1);
+    assert!(one.withholds_until < 10 + span + 1, "its portion is over");
+    assert!(!one.try_promise(false, 10 + span + 2), "it may have spent");
     let back = 10 + span + 3;
-    one.round(false, back);
-    assert!(one.holds_until >= back + span);
-    assert!(!one.promise(false, back + 2_000_000));
-    assert!(one.promise(false, back + 2_000_000 + UNDER_WAY));
+    one.start_round(false, back);
+    assert!(one.withholds_until >= back + span);
+    assert!(!one.try_promise(false, back + 2_000_000));
+    assert!(one.try_promise(false, back + 2_000_000 + IN_FLIGHT_MARGIN));
 }
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -10,14 +10,14 @@
 use topazsail_store::{IntegrityWarning, LoadSummary, Micros};
 
 /// From the process's start until the store must have been read: a disk that hangs keeps nobody from serving.
-pub const FOUND_WITHIN: Micros = 5_000_000;
+pub const STORE_READ_TIMEOUT: Micros = 5_000_000;
 /// From there until enough others must have answered: a lone survivor serves.
-pub const ASKED_WITHIN: Micros = 700_000;
+pub const PEERS_TIMEOUT: Micros = 700_000;
 /// From there until discovery must have been heard: then the list is the remembered one.
-pub const LISTED_WITHIN: Micros = 500_000;
+pub const DISCOVERY_TIMEOUT: Micros = 500_000;
 
 /// From there until the fleet counts as warm, whatever the list says of starts.
-pub const LIMITED_WITHIN: Micros = 60_000_000;
+pub const MAX_LIMITED_SPAN: Micros = 60_000_000;
 
 /// How far a starting dispatcher has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -91,10 +91,10 @@
 }
 
 /// What the last life sent to cold runners: exact only where that life ended as it should.
-pub fn trust_slow_start_usage(found: &LoadSummary) -> (Trust, &'static str) {
-    if found.fresh {
+pub fn trust_slow_start_usage(summary: &LoadSummary) -> (Trust, &'static str) {
+    if summary.is_new {
         (Trust::Dropped, "there was no last life")
-    } else if found.clean {
+    } else if summary.ended_cleanly {
         (Trust::Trusted, "the last life ended as it should")
     } else {
         (Trust::Dropped, "the last life was cut short")
@@ -102,8 +102,8 @@
 }
 
 /// Who is out by hand: a ban that was said yes to holds whatever else is in doubt.
-pub fn trust_admin_overrides(found: &LoadSummary) -> (Trust, &'static str) {
-    if found.doubts.iter().any(|doubt| !matches!(doubt, IntegrityWarning::Clock { .. })) {
+pub fn trust_admin_overrides(summary: &LoadSummary) -> (Trust, &'static str) {
+    if summary.warnings.iter().any(|warning| !matches!(warning, IntegrityWarning::ClockBehind { .. })) {
         (Trust::Doubted, "the store is spoilt: one may be missing")
     } else {
         (Trust::Trusted, "as said yes to")
@@ -112,23 +112,23 @@
 
 /// For how long cold runners must rest that were there in the last life: what it sent them at its very end may still
 /// count, and how long that has been over is known only as far as the machine tells.
-pub fn cold_runner_pause(found: &LoadSummary, tip_after: Micros) -> Micros {
-    if found.fresh || found.clean { 0 } else { (tip_after - found.away).max(0) }
+pub fn cold_runner_pause(summary: &LoadSummary, overload_window: Micros) -> Micros {
+    if summary.is_new || summary.ended_cleanly { 0 } else { (overload_window - summary.min_downtime).max(0) }
 }
 
 /// What has happened.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// The store has been read; this life's number, if it is on the disk.
-    Opened { found: &'a LoadSummary, boot: Option<u64> },
+    StoreOpened { summary: &'a LoadSummary, boot: Option<u64> },
     /// There is no store to be had.
-    Unopened { why: &'a str },
+    StoreUnavailable { reason: &'a str },
     /// Of so many others, so many have answered this life and agree on who is out by hand.
-    Agree { all: usize, agree: usize },
+    PeerAgreement { all: usize, agree: usize },
     /// Discovery has told the whole list, or what changed since the remembered one.
-    Heard,
+    RosterReceived,
     /// Discovery has refused or was not reached.
-    Refused,
+    DiscoveryFailed,
     /// The share of its full capacity that the fleet has, as far as the list tells.
     Warmth(f64),
 }
@@ -139,29 +139,41 @@
     /// A stage has been reached; why, and on what grounds.
     Enter(Stage, String),
     /// The list to begin with is wanted now, the remembered one or what discovery has said.
-    Begin,
+    ChooseRoster,
     /// Newcomers are let in and told that this dispatcher is ready.
     Serve,
 }
 
 pub struct Recovery {
     stage: Stage,
-    due: Option<Micros>,
-    heard: bool,
-    refused: bool,
+    deadline: Option<Micros>,
+    roster_received: bool,
+    discovery_failed: bool,
     /// Whether there are others to ask.
-    peers: bool,
+    has_peers: bool,
 }
 
 impl Recovery {
     pub fn new(peers: bool, now: Micros) -> Recovery {
-        let due = Some(now + FOUND_WITHIN);
-        Recovery { stage: Stage::Finding, due, heard: false, refused: false, peers }
+        let deadline = Some(now + STORE_READ_TIMEOUT);
+        Recovery {
+            stage: Stage::Finding,
+            deadline,
+            roster_received: false,
+            discovery_failed: false,
+            has_peers: peers,
+        }
     }
 
     /// One that has nothing to recover, as another process goes on in it.
     pub fn in_service() -> Recovery {
-        Recovery { stage: Stage::Serving, due: None, heard: true, refused: false, peers: false }
+        Recovery {
+            stage: Stage::Serving,
+            deadline: None,
+            roster_received: true,
+            discovery_failed: false,
+            has_peers: false,
+        }
     }
 
     pub fn stage(&self) -> Stage {
@@ -174,18 +186,18 @@
     }
 
     /// When to look again at the latest.
-    pub fn due(&self) -> Option<Micros> {
-        self.due
+    pub fn next_tick(&self) -> Option<Micros> {
+        self.deadline
     }
 
     /// How long until it serves at the latest, for who is told when to come back.
-    pub fn left(&self, now: Micros) -> Micros {
-        let this = self.due.map_or(0, |due| (due - now).max(0));
-        let asked = if self.peers { ASKED_WITHIN } else { 0 };
+    pub fn time_to_service(&self, now: Micros) -> Micros {
+        let remaining = self.deadline.map_or(0, |deadline| (deadline - now).max(0));
+        let peers_timeout = if self.has_peers { PEERS_TIMEOUT } else { 0 };
         match self.stage {
-            Stage::Finding => this + asked + LISTED_WITHIN,
-            Stage::Numbered => this + LISTED_WITHIN,
-            Stage::Asked => this,
+            Stage::Finding => remaining + peers_timeout + DISCOVERY_TIMEOUT,
+            Stage::Numbered => remaining + DISCOVERY_TIMEOUT,
+            Stage::Asked => remaining,
             Stage::Listed | Stage::Limited | Stage::Serving => 0,
         }
     }
@@ -193,38 +205,39 @@
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Opened { found, boot } if self.stage == Stage::Finding => {
-                let doubts: Vec<String> = found.doubts.iter().map(IntegrityWarning::to_string).collect();
-                let store = match (found.fresh, found.clean, doubts.is_empty()) {
+            Event::StoreOpened { summary, boot } if self.stage == Stage::Finding => {
+                let warnings: Vec<String> =
+                    summary.warnings.iter().map(IntegrityWarning::to_string).collect();
+                let store = match (summary.is_new, summary.ended_cleanly, warnings.is_empty()) {
                     (true, ..) => "new".to_owned(),
                     (_, true, _) => "clean".to_owned(),
-                    (_, _, true) => format!("cut short, {} bytes torn", found.torn),
-                    _ => doubts.join(", "),
+                    (_, _, true) => format!("cut short, {} bytes torn", summary.torn_bytes),
+                    _ => warnings.join(", "),
                 };
                 let boot = boot.map_or_else(|| "none".to_owned(), |boot| boot.to_string());
-                self.numbered(now, format!("boot={boot} store={store:?}"), &mut actions);
+                self.enter_numbered(now, format!("boot={boot} store={store:?}"), &mut actions);
             }
-            Event::Unopened { why } if self.stage == Stage::Finding => {
-                self.numbered(now, format!("boot=none store={why:?}"), &mut actions);
+            Event::StoreUnavailable { reason } if self.stage == Stage::Finding => {
+                self.enter_numbered(now, format!("boot=none store={reason:?}"), &mut actions);
             }
-            Event::Agree { all, agree } if self.stage == Stage::Numbered && agree * 2 >= all => {
-                self.asked(now, &format!("peers={agree}/{all}"), &mut actions);
+            Event::PeerAgreement { all, agree } if self.stage == Stage::Numbered && agree * 2 >= all => {
+                self.enter_asked(now, &format!("peers={agree}/{all}"), &mut actions);
             }
-            Event::Agree { .. } => {}
-            Event::Heard => {
-                self.heard = true;
-                self.listed(now, &mut actions);
+            Event::PeerAgreement { .. } => {}
+            Event::RosterReceived => {
+                self.roster_received = true;
+                self.enter_listed_if_known(now, &mut actions);
             }
-            Event::Refused => {
-                self.refused = true;
-                self.listed(now, &mut actions);
+            Event::DiscoveryFailed => {
+                self.discovery_failed = true;
+                self.enter_listed_if_known(now, &mut actions);
             }
             Event::Warmth(warmth) => {
-                if self.stage == Stage::Limited && warmth >= limits::WARM {
-                    self.serving("reason=warm", &mut actions);
+                if self.stage == Stage::Limited && warmth >= limits::WARM_THRESHOLD {
+                    self.enter_serving("reason=warm", &mut actions);
                 }
             }
-            Event::Opened { .. } | Event::Unopened { .. } => {}
+            Event::StoreOpened { .. } | Event::StoreUnavailable { .. } => {}
         }
         actions
     }
@@ -232,54 +245,54 @@
     /// The due time of a stage may have come.
     pub fn tick(&mut self, now: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
-        if self.due.is_some_and(|due| now >= due) {
+        if self.deadline.is_some_and(|deadline| now >= deadline) {
             match self.stage {
                 Stage::Finding => {
-                    self.numbered(now, "boot=none store=\"not read in time\"".to_owned(), &mut actions);
+                    self.enter_numbered(now, "boot=none store=\"not read in time\"".to_owned(), &mut actions);
                 }
-                Stage::Numbered => self.asked(now, "peers=silent", &mut actions),
+                Stage::Numbered => self.enter_asked(now, "peers=silent", &mut actions),
                 Stage::Asked => {
                     // Nothing more is waited for; the watch goes on being tried in any case.
-                    self.refused = true;
-                    self.listed(now, &mut actions);
+                    self.discovery_failed = true;
+                    self.enter_listed_if_known(now, &mut actions);
                 }
-                Stage::Limited => self.serving("reason=time", &mut actions),
-                Stage::Listed | Stage::Serving => self.due = None,
+                Stage::Limited => self.enter_serving("reason=time", &mut actions),
+                Stage::Listed | Stage::Serving => self.deadline = None,
             }
         }
         actions
     }
 
-    fn numbered(&mut self, now: Micros, why: String, actions: &mut Vec<Action>) {
-        (self.stage, self.due) = (Stage::Numbered, Some(now + ASKED_WITHIN));
+    fn enter_numbered(&mut self, now: Micros, reason: String, actions: &mut Vec<Action>) {
+        (self.stage, self.deadline) = (Stage::Numbered, Some(now + PEERS_TIMEOUT));
         // Discovery is asked while the others are.
-        actions.extend([Action::Enter(Stage::Numbered, why), Action::Begin]);
-        if !self.peers {
-            self.asked(now, "peers=none", actions);
+        actions.extend([Action::Enter(Stage::Numbered, reason), Action::ChooseRoster]);
+        if !self.has_peers {
+            self.enter_asked(now, "peers=none", actions);
         }
     }
 
-    fn asked(&mut self, now: Micros, why: &str, actions: &mut Vec<Action>) {
-        (self.stage, self.due) = (Stage::Asked, Some(now + LISTED_WITHIN));
-        actions.push(Action::Enter(Stage::Asked, why.to_owned()));
-        self.listed(now, actions);
+    fn enter_asked(&mut self, now: Micros, reason: &str, actions: &mut Vec<Action>) {
+        (self.stage, self.deadline) = (Stage::Asked, Some(now + DISCOVERY_TIMEOUT));
+        actions.push(Action::Enter(Stage::Asked, reason.to_owned()));
+        self.enter_listed_if_known(now, actions);
     }
 
-    fn listed(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if self.stage == Stage::Asked && (self.heard || self.refused) {
-            let why = if self.heard { "list=fresh" } else { "list=remembered" };
-            (self.stage, self.due) = (Stage::Limited, Some(now + LIMITED_WITHIN));
+    fn enter_listed_if_known(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if self.stage == Stage::Asked && (self.roster_received || self.discovery_failed) {
+            let reason = if self.roster_received { "list=fresh" } else { "list=remembered" };
+            (self.stage, self.deadline) = (Stage::Limited, Some(now + MAX_LIMITED_SPAN));
             actions.extend([
-                Action::Enter(Stage::Listed, why.to_owned()),
+                Action::Enter(Stage::Listed, reason.to_owned()),
                 Action::Serve,
                 Action::Enter(Stage::Limited, "reason=\"until the fleet is warm\"".to_owned()),
             ]);
         }
     }
 
-    fn serving(&mut self, why: &str, actions: &mut Vec<Action>) {
-        (self.stage, self.due) = (Stage::Serving, None);
-        actions.push(Action::Enter(Stage::Serving, why.to_owned()));
+    fn enter_serving(&mut self, reason: &str, actions: &mut Vec<Action>) {
+        (self.stage, self.deadline) = (Stage::Serving, None);
+        actions.push(Action::Enter(Stage::Serving, reason.to_owned()));
     }
 }
 
--- a/recovery/src/limits/tests.rs
+++ b/recovery/src/limits/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 fn limits() -> AdmissionLimits {
-    let worth = [(8.0, 400_000), (2.0, 600_000), (2.0, 1_500_000)];
+    let operations = [(8.0, 400_000), (2.0, 600_000), (2.0, 1_500_000)];
     AdmissionLimits::new(
-        worth.map(|(value, latency_objective)| OperationValue { value, latency_objective }).into_iter(),
+        operations.map(|(value, latency_objective)| OperationValue { value, latency_objective }).into_iter(),
         0,
     )
 }
@@ -20,42 +20,42 @@
 fn nothing_is_turned_away_where_nothing_is_short() {
     let mut limits = limits();
     for nth in 0..1_000 {
-        assert!(limits.takes(nth % 3, 0.999, nth as Micros * 10_000));
+        assert!(limits.admit(nth % 3, 0.999, nth as Micros * 10_000));
     }
 }
 
 #[test]
 fn in_a_shortage_what_is_worth_most_for_its_work_comes_first() {
     let mut limits = limits();
-    limits.short(0.2, 0);
+    limits.record_shortage(0.2, 0);
     // A fifth of 2.5 s: all of the first, a sixth of the second, none of the last.
-    assert!(limits.takes(0, 0.999, 0) && limits.takes(1, 0.16, 0));
-    assert!(!limits.takes(1, 0.17, 0) && !limits.takes(2, 0.0, 0));
+    assert!(limits.admit(0, 0.999, 0) && limits.admit(1, 0.16, 0));
+    assert!(!limits.admit(1, 0.17, 0) && !limits.admit(2, 0.0, 0));
     // Once it is seen how often each comes, by that: of the second there is little.
-    (0..100).for_each(|_| _ = limits.takes(0, 0.5, 0));
+    (0..100).for_each(|_| _ = limits.admit(0, 0.5, 0));
     assert!(limits.share(0, 0.2) < 0.3 && limits.share(1, 0.2) == 0.0);
 }
 
 #[test]
 fn the_level_rises_again_and_no_shortage_takes_it_below_warmth() {
     let mut limits = limits();
-    limits.short(0.2, 0);
-    limits.short(0.3, 100_000);
+    limits.record_shortage(0.2, 0);
+    limits.record_shortage(0.3, 100_000);
     assert!((limits.level(100_000) - 0.225).abs() < 1e-9);
-    limits.short(0.2, 200_000);
+    limits.record_shortage(0.2, 200_000);
     assert_eq!((limits.level(200_000), limits.level(3_400_000)), (0.2, 1.0));
     // Where there are no runners it says nothing, nor does a number that is none.
-    limits.short(0.0, 4_000_000);
-    limits.short(f64::NAN, 4_000_000);
-    assert!(limits.takes(2, 0.99, 4_000_000));
+    limits.record_shortage(0.0, 4_000_000);
+    limits.record_shortage(f64::NAN, 4_000_000);
+    assert!(limits.admit(2, 0.99, 4_000_000));
 }
 
 #[test]
 fn what_an_operation_takes_is_learnt() {
     let mut limits = limits();
-    (0..200).for_each(|_| limits.succeeded(2, 20_000));
-    limits.short(0.2, 0);
-    assert!(limits.takes(2, 0.99, 0), "it has proven short, and so is worth most for its work");
-    limits.succeeded(99, 1);
-    assert!(limits.takes(99, 0.99, 0));
+    (0..200).for_each(|_| limits.record_success(2, 20_000));
+    limits.record_shortage(0.2, 0);
+    assert!(limits.admit(2, 0.99, 0), "it has proven short, and so is worth most for its work");
+    limits.record_success(99, 1);
+    assert!(limits.admit(99, 0.99, 0));
 }
--- a/recovery/src/tests.rs
+++ b/recovery/src/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn found() -> LoadSummary {
+fn summary() -> LoadSummary {
     LoadSummary { boot: 4, ..LoadSummary::default() }
 }
 
@@ -15,38 +15,38 @@
 #[test]
 fn nothing_is_forwarded_before_there_is_a_list_and_nothing_is_waited_for_without_end() {
     let mut recovery = Recovery::new(true, 100);
-    assert!(!recovery.may_forward() && recovery.due() == Some(100 + FOUND_WITHIN));
-    assert_eq!(recovery.left(100), FOUND_WITHIN + ASKED_WITHIN + LISTED_WITHIN);
-    assert_eq!(recovery.tick(99 + FOUND_WITHIN), []);
-    assert_eq!(stages(&recovery.tick(100 + FOUND_WITHIN)), ["numbered"]);
+    assert!(!recovery.may_forward() && recovery.next_tick() == Some(100 + STORE_READ_TIMEOUT));
+    assert_eq!(recovery.time_to_service(100), STORE_READ_TIMEOUT + PEERS_TIMEOUT + DISCOVERY_TIMEOUT);
+    assert_eq!(recovery.tick(99 + STORE_READ_TIMEOUT), []);
+    assert_eq!(stages(&recovery.tick(100 + STORE_READ_TIMEOUT)), ["numbered"]);
     assert!(!recovery.may_forward());
-    let asked = 100 + FOUND_WITHIN + ASKED_WITHIN;
+    let asked = 100 + STORE_READ_TIMEOUT + PEERS_TIMEOUT;
     assert_eq!(stages(&recovery.tick(asked)), ["asked"]);
-    assert!(!recovery.may_forward() && recovery.left(asked) == LISTED_WITHIN);
-    assert_eq!(stages(&recovery.tick(asked + LISTED_WITHIN)), ["listed", "limited"]);
+    assert!(!recovery.may_forward() && recovery.time_to_service(asked) == DISCOVERY_TIMEOUT);
+    assert_eq!(stages(&recovery.tick(asked + DISCOVERY_TIMEOUT)), ["listed", "limited"]);
     assert!(recovery.may_forward());
     assert_eq!(recovery.handle(asked + 600_000, Event::Warmth(0.5)), []);
     assert_eq!(stages(&recovery.handle(asked + 700_000, Event::Warmth(0.96))), ["serving"]);
-    assert!(recovery.due().is_none());
+    assert!(recovery.next_tick().is_none());
     // The store comes at last: it has no say any more in what is under way.
-    assert_eq!(recovery.handle(9_000_000, Event::Opened { found: &found(), boot: Some(5) }), []);
+    assert_eq!(recovery.handle(9_000_000, Event::StoreOpened { summary: &summary(), boot: Some(5) }), []);
 }
 
 #[test]
 fn the_list_may_come_before_the_store_but_holds_only_after_it() {
     let mut recovery = Recovery::new(false, 0);
-    assert_eq!(recovery.handle(10, Event::Heard), []);
-    let actions = recovery.handle(20, Event::Opened { found: &found(), boot: Some(5) });
+    assert_eq!(recovery.handle(10, Event::RosterReceived), []);
+    let actions = recovery.handle(20, Event::StoreOpened { summary: &summary(), boot: Some(5) });
     assert_eq!(stages(&actions), ["numbered", "asked", "listed", "limited"]);
     assert!(actions.contains(&Action::Serve));
-    assert_eq!(recovery.handle(30, Event::Refused), []);
+    assert_eq!(recovery.handle(30, Event::DiscoveryFailed), []);
 }
 
 #[test]
 fn a_discovery_that_refuses_is_not_waited_for() {
     let mut recovery = Recovery::new(false, 0);
-    recovery.handle(10, Event::Unopened { why: "no space" });
-    let actions = recovery.handle(20, Event::Refused);
+    recovery.handle(10, Event::StoreUnavailable { reason: "no space" });
+    let actions = recovery.handle(20, Event::DiscoveryFailed);
     assert_eq!(stages(&actions), ["listed", "limited"]);
 }
 
@@ -54,18 +54,18 @@
 fn half_of_the_others_are_waited_for_and_not_for_long() {
     let begin = || {
         let mut recovery = Recovery::new(true, 0);
-        recovery.handle(20, Event::Opened { found: &found(), boot: Some(5) });
-        recovery.handle(30, Event::Heard);
+        recovery.handle(20, Event::StoreOpened { summary: &summary(), boot: Some(5) });
+        recovery.handle(30, Event::RosterReceived);
         recovery
     };
     let mut recovery = begin();
-    assert_eq!(recovery.handle(40, Event::Agree { all: 5, agree: 2 }), []);
+    assert_eq!(recovery.handle(40, Event::PeerAgreement { all: 5, agree: 2 }), []);
     assert_eq!(
-        stages(&recovery.handle(50, Event::Agree { all: 5, agree: 3 })),
+        stages(&recovery.handle(50, Event::PeerAgreement { all: 5, agree: 3 })),
         ["asked", "listed", "limited"]
     );
     let mut alone = begin();
-    assert_eq!(stages(&alone.tick(20 + ASKED_WITHIN)), ["asked", "listed", "limited"]);
+    assert_eq!(stages(&alone.tick(20 + PEERS_TIMEOUT)), ["asked", "listed", "limited"]);
 }
 
 #[test]
@@ -82,20 +82,24 @@
 
 #[test]
 fn a_life_that_was_cut_short_may_have_spent_until_its_end() {
-    let cut = LoadSummary { away: 500_000, ..found() };
+    let cut = LoadSummary { min_downtime: 500_000, ..summary() };
     assert_eq!(cold_runner_pause(&cut, 2_000_000), 1_500_000);
-    assert_eq!(cold_runner_pause(&LoadSummary { away: 3_000_000, ..found() }, 2_000_000), 0);
-    assert_eq!(cold_runner_pause(&LoadSummary { clean: true, ..found() }, 2_000_000), 0);
-    assert_eq!(cold_runner_pause(&LoadSummary { fresh: true, ..found() }, 2_000_000), 0);
+    assert_eq!(cold_runner_pause(&LoadSummary { min_downtime: 3_000_000, ..summary() }, 2_000_000), 0);
+    assert_eq!(cold_runner_pause(&LoadSummary { ended_cleanly: true, ..summary() }, 2_000_000), 0);
+    assert_eq!(cold_runner_pause(&LoadSummary { is_new: true, ..summary() }, 2_000_000), 0);
     assert_eq!(trust_slow_start_usage(&cut).0, Trust::Dropped);
     assert_eq!(
-        trust_admin_overrides(&LoadSummary { doubts: vec![IntegrityWarning::Holes(1)], ..found() }).0,
+        trust_admin_overrides(&LoadSummary {
+            warnings: vec![IntegrityWarning::MissingEntries(1)],
+            ..summary()
+        })
+        .0,
         Trust::Doubted
     );
     assert_eq!(
         trust_admin_overrides(&LoadSummary {
-            doubts: vec![IntegrityWarning::Clock { behind: 1 }],
-            ..found()
+            warnings: vec![IntegrityWarning::ClockBehind { behind: 1 }],
+            ..summary()
         })
         .0,
         Trust::Trusted
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -1,6 +1,6 @@
 //! The layer at the bottom: the few things that a store does to one folder.
 //!
-//! It owns what "on the disk" means: bytes of a file after [`Disk::sync`], names after [`Disk::sync_folder`]. All that
+//! It owns what "on the disk" means: bytes of a file after [`Disk::sync`], names after [`Disk::sync_directory`]. All that
 //! is not synced may be there after a crash, in part, or not. It must never hide a fault.
 
 use std::collections::BTreeMap;
@@ -16,20 +16,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Machine {
     /// Another one after each start of the machine.
-    pub life: String,
+    pub boot_id: String,
     /// How long it has been up: its monotonic clock, which all its processes share.
-    pub up: Micros,
+    pub uptime: Micros,
 }
 
 impl Machine {
     /// The machine that this process runs on; without a name where the system does not tell.
-    pub fn here() -> Machine {
-        static LIFE: OnceLock<String> = OnceLock::new();
+    pub fn current() -> Machine {
+        static BOOT_ID: OnceLock<String> = OnceLock::new();
         let read = || fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
-        let life = LIFE.get_or_init(read);
-        let up = fs::read_to_string("/proc/uptime").unwrap_or_default();
-        let up = up.split(' ').next().and_then(|up| up.parse::<f64>().ok()).unwrap_or(0.0);
-        Machine { life: life.trim().to_owned(), up: (up * 1e6) as Micros }
+        let boot_id = BOOT_ID.get_or_init(read);
+        let uptime = fs::read_to_string("/proc/uptime").unwrap_or_default();
+        let uptime = uptime.split(' ').next().and_then(|seconds| seconds.parse::<f64>().ok()).unwrap_or(0.0);
+        Machine { boot_id: boot_id.trim().to_owned(), uptime: (uptime * 1e6) as Micros }
     }
 }
 
@@ -45,13 +45,13 @@
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&mut self, name: &str) -> io::Result<()>;
     /// All names outlive the machine's power.
-    fn sync_folder(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
     /// Writes a small file in place: it outlives this process, and nothing more is said of it.
-    fn note(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
+    fn write_in_place(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Nobody else uses the folder from now on; an error where somebody does.
     fn lock(&mut self) -> io::Result<()>;
     fn machine(&mut self) -> Machine {
-        Machine::here()
+        Machine::current()
     }
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 impl Disk for DirectoryDisk {
     fn list(&mut self) -> io::Result<Vec<String>> {
@@ -115,11 +115,11 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
-    fn note(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+    fn write_in_place(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let path = self.path.join(name);
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
         file.write_all_at(bytes, 0)
@@ -129,7 +129,7 @@
         if self.lock.is_some() {
             return Ok(());
         }
-        let path = self.path.join(LOCK);
+        let path = self.path.join(LOCK_FILE);
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
         file.try_lock().map_err(|error| match error {
             fs::TryLockError::WouldBlock => io::Error::other("another process uses this folder"),
@@ -160,7 +160,7 @@
     }
 }
 
-fn missing() -> io::Error {
+fn not_found() -> io::Error {
     io::ErrorKind::NotFound.into()
 }
 
@@ -170,7 +170,7 @@
     }
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
-        self.files().get(name).cloned().ok_or_else(missing)
+        self.files().get(name).cloned().ok_or_else(not_found)
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -179,30 +179,30 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.files().get_mut(name).ok_or_else(missing)?.extend_from_slice(bytes);
+        self.files().get_mut(name).ok_or_else(not_found)?.extend_from_slice(bytes);
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.files().get(name).map(|_| ()).ok_or_else(missing)
+        self.files().get(name).map(|_| ()).ok_or_else(not_found)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut files = self.files();
-        let bytes = files.remove(from).ok_or_else(missing)?;
+        let bytes = files.remove(from).ok_or_else(not_found)?;
         files.insert(to.to_owned(), bytes);
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.files().remove(name).map(|_| ()).ok_or_else(missing)
+        self.files().remove(name).map(|_| ()).ok_or_else(not_found)
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         Ok(())
     }
 
-    fn note(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+    fn write_in_place(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.files().insert(name.to_owned(), bytes.to_vec());
         Ok(())
     }
--- a/store/src/faulty.rs
+++ b/store/src/faulty.rs
@@ -21,9 +21,9 @@
     /// A sync fails, and the next one says yes without having written what the first one lost.
     pub sync_fails: bool,
     /// A sync says yes and has done nothing: as a program would be that does not wait for it.
-    pub lies: bool,
+    pub sync_skipped: bool,
     /// Each sync takes so long.
-    pub slow: Duration,
+    pub sync_delay: Duration,
     /// Nothing is done from this operation on, counted from 0: a crash there.
     pub crash_at: Option<u64>,
     /// The machine's life as told, where it is not the disk's own.
@@ -32,43 +32,43 @@
 
 /// One file: what has been written, and what is on the disk of it.
 #[derive(Default)]
-struct Node {
+struct FileState {
     written: Vec<u8>,
-    on_disk: usize,
+    persisted: usize,
     /// Bytes that a failed sync has lost: zeros on the disk.
     lost: Vec<(usize, usize)>,
 }
 
-enum Step {
+enum NameChange {
     Create(String, usize),
     Rename(String, String),
     Remove(String),
 }
 
 pub struct FaultyDisk<D> {
-    under: D,
+    inner: D,
     faults: Arc<Mutex<DiskFaults>>,
-    nodes: Vec<Node>,
+    files: Vec<FileState>,
     names: BTreeMap<String, usize>,
     /// Names as they are on the disk, and what has been done to them since.
-    names_on_disk: BTreeMap<String, usize>,
-    steps: Vec<Step>,
+    persisted_names: BTreeMap<String, usize>,
+    name_changes: Vec<NameChange>,
     seed: u64,
     operations: u64,
 }
 
 impl<D: Disk> FaultyDisk<D> {
     /// Takes over what the disk holds. By `seed`, some of what was not synced reaches it early.
-    pub fn new(mut under: D, faults: Arc<Mutex<DiskFaults>>, seed: u64) -> io::Result<FaultyDisk<D>> {
-        let (mut nodes, mut names) = (Vec::new(), BTreeMap::new());
-        for name in under.list()? {
-            let written = under.read(&name)?;
-            names.insert(name, nodes.len());
-            nodes.push(Node { on_disk: written.len(), written, lost: Vec::new() });
+    pub fn new(mut inner: D, faults: Arc<Mutex<DiskFaults>>, seed: u64) -> io::Result<FaultyDisk<D>> {
+        let (mut files, mut names) = (Vec::new(), BTreeMap::new());
+        for name in inner.list()? {
+            let written = inner.read(&name)?;
+            names.insert(name, files.len());
+            files.push(FileState { persisted: written.len(), written, lost: Vec::new() });
         }
-        let names_on_disk = names.clone();
-        let steps = Vec::new();
-        Ok(FaultyDisk { under, faults, nodes, names, names_on_disk, steps, seed, operations: 0 })
+        let persisted_names = names.clone();
+        let name_changes = Vec::new();
+        Ok(FaultyDisk { inner, faults, files, names, persisted_names, name_changes, seed, operations: 0 })
     }
 
     /// Operations so far: the places where a crash can come.
@@ -77,7 +77,7 @@
     }
 
     /// SplitMix64.
-    fn draw(&mut self, below: usize) -> usize {
+    fn random_below(&mut self, below: usize) -> usize {
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.seed;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -85,12 +85,12 @@
         (mixed ^ (mixed >> 31)) as usize % below.max(1)
     }
 
-    fn now(&self) -> DiskFaults {
+    fn current_faults(&self) -> DiskFaults {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn begin(&mut self) -> io::Result<DiskFaults> {
-        let faults = self.now();
+    fn begin_operation(&mut self) -> io::Result<DiskFaults> {
+        let faults = self.current_faults();
         if faults.crash_at.is_some_and(|at| self.operations >= at) {
             return Err(io::Error::other("crashed"));
         }
@@ -98,62 +98,62 @@
         Ok(faults)
     }
 
-    fn changes(&mut self) -> io::Result<DiskFaults> {
-        let faults = self.begin()?;
+    fn begin_write(&mut self) -> io::Result<DiskFaults> {
+        let faults = self.begin_operation()?;
         if faults.read_only {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
         }
         Ok(faults)
     }
 
-    fn node(&self, name: &str) -> io::Result<usize> {
+    fn file_index(&self, name: &str) -> io::Result<usize> {
         self.names.get(name).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     /// Puts bytes of a file on the disk, as far as `upto`.
-    fn put(&mut self, node: usize, upto: usize) -> io::Result<()> {
-        let known = &mut self.nodes[node];
-        let from = std::mem::replace(&mut known.on_disk, upto);
-        let mut bytes = known.written[from..upto].to_vec();
+    fn persist_bytes(&mut self, file: usize, up_to: usize) -> io::Result<()> {
+        let known = &mut self.files[file];
+        let from = std::mem::replace(&mut known.persisted, up_to);
+        let mut bytes = known.written[from..up_to].to_vec();
         for (begin, end) in &known.lost {
-            let (begin, end) = ((*begin).max(from), (*end).min(upto));
+            let (begin, end) = ((*begin).max(from), (*end).min(up_to));
             if begin < end {
                 bytes[begin - from..end - from].fill(0);
             }
         }
-        for (name, _) in self.names_on_disk.iter().filter(|(_, known)| **known == node) {
-            self.under.append(name, &bytes)?;
+        for (name, _) in self.persisted_names.iter().filter(|(_, known)| **known == file) {
+            self.inner.append(name, &bytes)?;
         }
         Ok(())
     }
 
     /// Puts the next so many steps on names on the disk, in their order, as a journal of names does.
-    fn put_names(&mut self, most: usize) -> io::Result<()> {
-        let most = most.min(self.steps.len());
-        for step in self.steps.drain(..most).collect::<Vec<_>>() {
-            match step {
-                Step::Create(name, node) => {
-                    self.under.create(&name)?;
-                    let known = &self.nodes[node];
-                    let mut bytes = known.written[..known.on_disk].to_vec();
+    fn persist_names(&mut self, count: usize) -> io::Result<()> {
+        let count = count.min(self.name_changes.len());
+        for change in self.name_changes.drain(..count).collect::<Vec<_>>() {
+            match change {
+                NameChange::Create(name, file) => {
+                    self.inner.create(&name)?;
+                    let known = &self.files[file];
+                    let mut bytes = known.written[..known.persisted].to_vec();
                     for (begin, end) in &known.lost {
                         let end = (*end).min(bytes.len());
                         if *begin < end {
                             bytes[*begin..end].fill(0);
                         }
                     }
-                    self.under.append(&name, &bytes)?;
-                    self.names_on_disk.insert(name, node);
+                    self.inner.append(&name, &bytes)?;
+                    self.persisted_names.insert(name, file);
                 }
-                Step::Rename(from, to) => {
-                    self.under.rename(&from, &to)?;
-                    if let Some(node) = self.names_on_disk.remove(&from) {
-                        self.names_on_disk.insert(to, node);
+                NameChange::Rename(from, to) => {
+                    self.inner.rename(&from, &to)?;
+                    if let Some(file) = self.persisted_names.remove(&from) {
+                        self.persisted_names.insert(to, file);
                     }
                 }
-                Step::Remove(name) => {
-                    self.under.remove(&name)?;
-                    self.names_on_disk.remove(&name);
+                NameChange::Remove(name) => {
+                    self.inner.remove(&name)?;
+                    self.persisted_names.remove(&name);
                 }
             }
         }
@@ -161,10 +161,10 @@
     }
 
     /// The system has written some of it by itself.
-    fn early(&mut self) -> io::Result<()> {
-        if self.draw(3) == 0 {
-            let some = self.draw(self.steps.len() + 1);
-            self.put_names(some)?;
+    fn persist_some_names(&mut self) -> io::Result<()> {
+        if self.random_below(3) == 0 {
+            let count = self.random_below(self.name_changes.len() + 1);
+            self.persist_names(count)?;
         }
         Ok(())
     }
@@ -172,101 +172,101 @@
 
 impl<D: Disk> Disk for FaultyDisk<D> {
     fn list(&mut self) -> io::Result<Vec<String>> {
-        self.begin()?;
+        self.begin_operation()?;
         Ok(self.names.keys().cloned().collect())
     }
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
-        self.begin()?;
-        Ok(self.nodes[self.node(name)?].written.clone())
+        self.begin_operation()?;
+        Ok(self.files[self.file_index(name)?].written.clone())
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        if self.changes()?.full {
+        if self.begin_write()?.full {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        self.nodes.push(Node::default());
-        self.names.insert(name.to_owned(), self.nodes.len() - 1);
-        self.steps.push(Step::Create(name.to_owned(), self.nodes.len() - 1));
-        self.early()
+        self.files.push(FileState::default());
+        self.names.insert(name.to_owned(), self.files.len() - 1);
+        self.name_changes.push(NameChange::Create(name.to_owned(), self.files.len() - 1));
+        self.persist_some_names()
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let full = self.changes()?.full;
-        let node = self.node(name)?;
+        let full = self.begin_write()?.full;
+        let file = self.file_index(name)?;
         // Where there is room for some it is written in part.
-        let fits = if full { self.draw(bytes.len()) } else { bytes.len() };
-        self.nodes[node].written.extend_from_slice(&bytes[..fits]);
-        if self.draw(3) == 0 {
-            let (on_disk, all) = (self.nodes[node].on_disk, self.nodes[node].written.len());
-            let upto = on_disk + self.draw(all - on_disk + 1);
-            self.put(node, upto)?;
+        let fits = if full { self.random_below(bytes.len()) } else { bytes.len() };
+        self.files[file].written.extend_from_slice(&bytes[..fits]);
+        if self.random_below(3) == 0 {
+            let (persisted, all) = (self.files[file].persisted, self.files[file].written.len());
+            let up_to = persisted + self.random_below(all - persisted + 1);
+            self.persist_bytes(file, up_to)?;
         }
         if full { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let faults = self.changes()?;
-        std::thread::sleep(faults.slow);
-        let node = self.node(name)?;
-        let (on_disk, all) = (self.nodes[node].on_disk, self.nodes[node].written.len());
-        if faults.lies {
+        let faults = self.begin_write()?;
+        std::thread::sleep(faults.sync_delay);
+        let file = self.file_index(name)?;
+        let (persisted, all) = (self.files[file].persisted, self.files[file].written.len());
+        if faults.sync_skipped {
             return Ok(());
         }
         if faults.sync_fails {
-            self.nodes[node].lost.push((on_disk, all));
+            self.files[file].lost.push((persisted, all));
             return Err(io::Error::other("the disk has failed"));
         }
-        self.put(node, all)
+        self.persist_bytes(file, all)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.changes()?;
-        let node = self.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        self.names.insert(to.to_owned(), node);
-        self.steps.push(Step::Rename(from.to_owned(), to.to_owned()));
-        self.early()
+        self.begin_write()?;
+        let file = self.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        self.names.insert(to.to_owned(), file);
+        self.name_changes.push(NameChange::Rename(from.to_owned(), to.to_owned()));
+        self.persist_some_names()
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.changes()?;
+        self.begin_write()?;
         self.names.remove(name).ok_or(io::ErrorKind::NotFound)?;
-        self.steps.push(Step::Remove(name.to_owned()));
-        self.early()
+        self.name_changes.push(NameChange::Remove(name.to_owned()));
+        self.persist_some_names()
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
-        let faults = self.changes()?;
-        std::thread::sleep(faults.slow);
-        if faults.lies {
+    fn sync_directory(&mut self) -> io::Result<()> {
+        let faults = self.begin_write()?;
+        std::thread::sleep(faults.sync_delay);
+        if faults.sync_skipped {
             return Ok(());
         }
         if faults.sync_fails {
             return Err(io::Error::other("the disk has failed"));
         }
-        self.put_names(usize::MAX)
+        self.persist_names(usize::MAX)
     }
 
-    fn note(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.changes()?;
-        self.under.note(name, bytes)
+    fn write_in_place(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        self.begin_write()?;
+        self.inner.write_in_place(name, bytes)
     }
 
     fn lock(&mut self) -> io::Result<()> {
-        self.under.lock()
+        self.inner.lock()
     }
 
     fn machine(&mut self) -> Machine {
-        let told = self.now().machine;
-        told.unwrap_or_else(|| self.under.machine())
+        let machine = self.current_faults().machine;
+        machine.unwrap_or_else(|| self.inner.machine())
     }
 }
 
 /// How long ago something was noted, where that can be told: by the machine's own clock in the same life of it, else
 /// at least as long as it has been up.
-pub fn at_least_ago(noted: &Machine, now: &Machine) -> Micros {
-    if now.life.is_empty() || noted.life.is_empty() {
+pub fn min_elapsed(noted: &Machine, now: &Machine) -> Micros {
+    if now.boot_id.is_empty() || noted.boot_id.is_empty() {
         return 0;
     }
-    if noted.life == now.life { (now.up - noted.up).max(0) } else { now.up }
+    if noted.boot_id == now.boot_id { (now.uptime - noted.uptime).max(0) } else { now.uptime }
 }
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -15,10 +15,10 @@
 
 /// The newest form that is read, and the one that is written.
 pub const FORMAT: u16 = 1;
-const MARK: [u8; 2] = [0xd5, 0x7a];
-const HEAD: usize = 18;
+const MAGIC: [u8; 2] = [0xd5, 0x7a];
+const HEADER_BYTES: usize = 18;
 /// No record is larger: a list of 10,000 runners takes about 3 MB.
-pub const RECORD_MOST: usize = 64 << 20;
+pub const MAX_RECORD_BYTES: usize = 64 << 20;
 const PREFIX: &str = "log-";
 
 /// What a record is about. Numbers are for ever; those from 32 on are left to a journal of work that must not run
@@ -51,11 +51,13 @@
     },
     Record(Record),
     /// The snapshot before it holds so many records.
-    Whole {
+    #[serde(rename = "Whole")]
+    SnapshotEnd {
         records: u64,
     },
     /// The process has ended as it should: nothing is missing.
-    Clean {
+    #[serde(rename = "Clean")]
+    CleanShutdown {
         written: Micros,
     },
 }
@@ -69,93 +71,93 @@
     name.strip_prefix(PREFIX).filter(|digits| digits.len() == 16)?.parse().ok()
 }
 
-fn checksum(file: u64, nth: u64, payload: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&file.to_le_bytes());
-    sum.update(&nth.to_le_bytes());
-    sum.update(&(payload.len() as u32).to_le_bytes());
-    sum.update(payload);
-    sum.finalize()
+fn checksum(file: u64, index: u64, payload: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&file.to_le_bytes());
+    hasher.update(&index.to_le_bytes());
+    hasher.update(&(payload.len() as u32).to_le_bytes());
+    hasher.update(payload);
+    hasher.finalize()
 }
 
 /// Writes lines of one file, in order.
 pub struct Writer {
     pub file: u64,
-    nth: u64,
+    index: u64,
     /// Bytes so far.
     pub length: u64,
 }
 
 impl Writer {
     pub fn new(file: u64) -> Writer {
-        Writer { file, nth: 0, length: 0 }
+        Writer { file, index: 0, length: 0 }
     }
 
-    pub fn seal(&mut self, line: &LogEntry, into: &mut Vec<u8>) {
+    pub fn append(&mut self, entry: &LogEntry, out: &mut Vec<u8>) {
         // Plain types only: there is nothing that could fail to be written.
-        let payload = postcard::to_stdvec(line).unwrap_or_default();
-        into.extend_from_slice(&MARK);
-        into.extend_from_slice(&(payload.len() as u32).to_le_bytes());
-        into.extend_from_slice(&self.nth.to_le_bytes());
-        into.extend_from_slice(&checksum(self.file, self.nth, &payload).to_le_bytes());
-        into.extend_from_slice(&payload);
-        self.nth += 1;
-        self.length += (HEAD + payload.len()) as u64;
+        let payload = postcard::to_stdvec(entry).unwrap_or_default();
+        out.extend_from_slice(&MAGIC);
+        out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
+        out.extend_from_slice(&self.index.to_le_bytes());
+        out.extend_from_slice(&checksum(self.file, self.index, &payload).to_le_bytes());
+        out.extend_from_slice(&payload);
+        self.index += 1;
+        self.length += (HEADER_BYTES + payload.len()) as u64;
     }
 }
 
 /// What is left of a file.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct LogContents {
-    pub lines: Vec<LogEntry>,
+    pub entries: Vec<LogEntry>,
     /// Places within the file at which lines are missing or spoilt, with readable ones behind them.
-    pub holes: u64,
+    pub gaps: u64,
     /// Bytes at the end that are no line: the last write was torn, or the end is spoilt.
-    pub torn: u64,
+    pub torn_bytes: u64,
     /// The form of a file that is newer than what is known here.
-    pub newer: Option<u16>,
+    pub newer_format: Option<u16>,
 }
 
 /// The line at the beginning of `bytes`, if its number in the file is at least `from`: its number, itself, its length.
 fn open(bytes: &[u8], file: u64, from: u64) -> Option<(u64, LogEntry, usize)> {
-    if bytes.get(..2)? != MARK {
+    if bytes.get(..2)? != MAGIC {
         return None;
     }
     let length = u32::from_le_bytes(bytes.get(2..6)?.try_into().ok()?) as usize;
-    let nth = u64::from_le_bytes(bytes.get(6..14)?.try_into().ok()?);
-    let sum = u32::from_le_bytes(bytes.get(14..HEAD)?.try_into().ok()?);
-    if length > RECORD_MOST || nth < from {
+    let index = u64::from_le_bytes(bytes.get(6..14)?.try_into().ok()?);
+    let expected = u32::from_le_bytes(bytes.get(14..HEADER_BYTES)?.try_into().ok()?);
+    if length > MAX_RECORD_BYTES || index < from {
         return None;
     }
-    let payload = bytes.get(HEAD..HEAD + length)?;
-    if checksum(file, nth, payload) != sum {
+    let payload = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
+    if checksum(file, index, payload) != expected {
         return None;
     }
-    Some((nth, postcard::from_bytes(payload).ok()?, HEAD + length))
+    Some((index, postcard::from_bytes(payload).ok()?, HEADER_BYTES + length))
 }
 
 pub fn read(file: u64, bytes: &[u8]) -> LogContents {
-    let mut read = LogContents::default();
-    let (mut at, mut next, mut good) = (0, 0, 0);
+    let mut contents = LogContents::default();
+    let (mut at, mut next, mut good_end) = (0, 0, 0);
     while at < bytes.len() {
         // One that stands where it is due, or one that is found again behind a spoilt stretch.
         match open(&bytes[at..], file, next) {
-            Some((nth, line, length)) => {
-                if let LogEntry::Head { form, .. } = line
+            Some((index, entry, length)) => {
+                if let LogEntry::Head { form, .. } = entry
                     && form > FORMAT
                 {
-                    read.newer = Some(form);
+                    contents.newer_format = Some(form);
                 }
-                read.holes += u64::from(at != good || nth != next);
-                read.lines.push(line);
-                (at, next) = (at + length, nth + 1);
-                good = at;
+                contents.gaps += u64::from(at != good_end || index != next);
+                contents.entries.push(entry);
+                (at, next) = (at + length, index + 1);
+                good_end = at;
             }
             None => at += 1,
         }
     }
-    read.torn = (bytes.len() - good) as u64;
-    read
+    contents.torn_bytes = (bytes.len() - good_end) as u64;
+    contents
 }
 
 #[cfg(test)]
--- a/store/src/log/tests.rs
+++ b/store/src/log/tests.rs
@@ -12,49 +12,49 @@
 }
 
 fn file() -> (Vec<u8>, Vec<LogEntry>) {
-    let lines: Vec<LogEntry> = (0..6).map(record).collect();
+    let entries: Vec<LogEntry> = (0..6).map(record).collect();
     let mut writer = Writer::new(3);
     let mut bytes = Vec::new();
-    lines.iter().for_each(|line| writer.seal(line, &mut bytes));
+    entries.iter().for_each(|entry| writer.append(entry, &mut bytes));
     assert_eq!(writer.length, bytes.len() as u64);
-    (bytes, lines)
+    (bytes, entries)
 }
 
 #[test]
 fn what_is_written_is_read_and_a_torn_end_is_left_out() {
-    let (bytes, lines) = file();
-    assert_eq!(read(3, &bytes), LogContents { lines: lines.clone(), ..LogContents::default() });
+    let (bytes, entries) = file();
+    assert_eq!(read(3, &bytes), LogContents { entries: entries.clone(), ..LogContents::default() });
     for end in 0..bytes.len() {
         let cut = read(3, &bytes[..end]);
-        assert_eq!(cut.lines, lines[..cut.lines.len()]);
-        assert_eq!(cut.holes, 0);
-        assert!(cut.lines.len() == 6 || cut.lines.len() == end * 6 / bytes.len());
+        assert_eq!(cut.entries, entries[..cut.entries.len()]);
+        assert_eq!(cut.gaps, 0);
+        assert!(cut.entries.len() == 6 || cut.entries.len() == end * 6 / bytes.len());
     }
 }
 
 #[test]
 fn a_flipped_bit_costs_one_line_and_gives_none() {
-    let (bytes, lines) = file();
+    let (bytes, entries) = file();
     for at in 0..bytes.len() * 8 {
-        let mut spoilt = bytes.clone();
-        spoilt[at / 8] ^= 1 << (at % 8);
-        let read = read(3, &spoilt);
+        let mut damaged = bytes.clone();
+        damaged[at / 8] ^= 1 << (at % 8);
+        let read = read(3, &damaged);
         let hit = at / 8 * 6 / bytes.len();
         let left: Vec<&LogEntry> =
-            lines.iter().enumerate().filter(|(nth, _)| *nth != hit).map(|(_, l)| l).collect();
-        assert_eq!(read.lines.iter().collect::<Vec<_>>(), left);
-        assert!(if hit == 5 { read.torn > 0 } else { read.holes == 1 });
+            entries.iter().enumerate().filter(|(nth, _)| *nth != hit).map(|(_, entry)| entry).collect();
+        assert_eq!(read.entries.iter().collect::<Vec<_>>(), left);
+        assert!(if hit == 5 { read.torn_bytes > 0 } else { read.gaps == 1 });
     }
 }
 
 #[test]
 fn lines_of_another_file_or_in_another_order_are_none() {
-    let (bytes, lines) = file();
-    assert_eq!(read(4, &bytes).lines, []);
+    let (bytes, entries) = file();
+    assert_eq!(read(4, &bytes).entries, []);
     let half = bytes.len() / 2;
     let turned = [&bytes[half..], &bytes[..half]].concat();
     // Behind what is found first nothing earlier is believed.
-    assert_eq!(read(3, &turned).lines, lines[3..]);
+    assert_eq!(read(3, &turned).entries, entries[3..]);
     let twice = [&bytes[..], &bytes[..]].concat();
-    assert_eq!(read(3, &twice).lines, lines);
+    assert_eq!(read(3, &twice).entries, entries);
 }
--- a/store/src/stored_types.rs
+++ b/store/src/stored_types.rs
@@ -17,7 +17,7 @@
     const NAME: &'static str;
     const FORMAT: u16;
     /// Older than this it is believed only where nothing newer is to be had; none where age says nothing.
-    const FRESH_FOR: Option<Micros>;
+    const FRESHNESS_WINDOW: Option<Micros>;
 }
 
 /// The list of runners as last had, in discovery's own form.
@@ -32,7 +32,7 @@
     const TABLE: Table = Table(1);
     const NAME: &'static str = "list";
     const FORMAT: u16 = 1;
-    const FRESH_FOR: Option<Micros> = Some(10_000_000);
+    const FRESHNESS_WINDOW: Option<Micros> = Some(10_000_000);
 }
 
 /// What an operator's hand has done to one runner, by its id.
@@ -50,7 +50,7 @@
     const TABLE: Table = Table(2);
     const NAME: &'static str = "hand";
     const FORMAT: u16 = 1;
-    const FRESH_FOR: Option<Micros> = None;
+    const FRESHNESS_WINDOW: Option<Micros> = None;
 }
 
 /// What was sent to cold runners of late: when, and work as time on a standard core. One record for all.
@@ -63,7 +63,7 @@
     const TABLE: Table = Table(3);
     const NAME: &'static str = "spent";
     const FORMAT: u16 = 1;
-    const FRESH_FOR: Option<Micros> = Some(10_000_000);
+    const FRESHNESS_WINDOW: Option<Micros> = Some(10_000_000);
 }
 
 /// The configuration in force, and the hash of its settings as its version.
@@ -77,11 +77,11 @@
     const TABLE: Table = Table(4);
     const NAME: &'static str = "settings";
     const FORMAT: u16 = 1;
-    const FRESH_FOR: Option<Micros> = None;
+    const FRESHNESS_WINDOW: Option<Micros> = None;
 }
 
 /// A table's name, for people.
-pub fn name(table: Table) -> String {
+pub fn table_name(table: Table) -> String {
     let known = [
         (StoredRoster::TABLE, StoredRoster::NAME),
         (StoredOverride::TABLE, StoredOverride::NAME),
@@ -93,26 +93,27 @@
 }
 
 /// A record's value, where it is of a known form and can be read.
-pub fn value<T: Storable>(record: &Record) -> Option<T> {
+pub fn decode<T: Storable>(record: &Record) -> Option<T> {
     let bytes = record.value.as_deref().filter(|_| record.table == T::TABLE && record.form == T::FORMAT)?;
     postcard::from_bytes(bytes).ok()
 }
 
 /// The bytes of a value, as they stand in a record.
-pub fn bytes<T: Storable>(value: &T) -> Vec<u8> {
+pub fn encode<T: Storable>(value: &T) -> Vec<u8> {
     // Plain types only: there is nothing that could fail to be written.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
 /// All of one kind, by key.
 pub fn all<T: Storable>(records: &BTreeMap<(Table, String), Record>) -> Vec<(&str, T, &Record)> {
-    let of = records.range((T::TABLE, String::new())..).take_while(|((table, _), _)| *table == T::TABLE);
-    of.filter_map(|((_, key), record)| Some((key.as_str(), value(record)?, record))).collect()
+    let in_table =
+        records.range((T::TABLE, String::new())..).take_while(|((table, _), _)| *table == T::TABLE);
+    in_table.filter_map(|((_, key), record)| Some((key.as_str(), decode(record)?, record))).collect()
 }
 
 impl Store {
     /// As [`Store::put`], with a value of a known kind.
-    pub fn put_typed<T: Storable>(&mut self, key: &str, kept: Option<&T>, now: Micros) {
-        self.put(T::TABLE, key, T::FORMAT, kept.map(bytes), now);
+    pub fn put_typed<T: Storable>(&mut self, key: &str, value: Option<&T>, now: Micros) {
+        self.put(T::TABLE, key, T::FORMAT, value.map(encode), now);
     }
 }
