--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,41 +1,52 @@
-//! From power to service: the stages that a starting dispatcher goes through, and what it trusts of what it has.
+//! Startup recovery: the stages from process start to full service, and which stored data is trusted after a
+//! crash.
 //!
-//! A core without I/O, clock or chance: events and the time are handed in, what is to be done comes out. Each stage has
-//! a due time, after which it goes on with less trust and says so; none waits for something that may never come. It
-//! must never let anything be forwarded before there is a list, nor take what its last life may have spent for free.
-//! See `docs/recovery.md` for the table of trust.
+//! This is a state machine without I/O, clock or randomness: the caller passes in events and the time, and
+//! carries out the returned actions. Every stage has a deadline, after which the dispatcher goes on with less
+//! information and logs that it did, so that a start never waits indefinitely. Two rules always hold: nothing
+//! is forwarded before a roster is known, and slow-start budget that the previous process run may have used
+//! is not granted again. `docs/recovery.md` has the table of what is trusted.
 
 pub mod limits;
 
 use topazsail_store::{IntegrityWarning, LoadSummary, Micros};
 
-/// From the process's start until the store must have been read: a disk that hangs keeps nobody from serving.
+/// Time from process start within which the store must have been read. After it the dispatcher goes on
+/// without a store, so that a hanging disk does not prevent service.
 pub const STORE_READ_TIMEOUT: Micros = 5_000_000;
-/// From there until enough others must have answered: a lone survivor serves.
+/// Time from [`Stage::Numbered`] within which half of the peers must have agreed. After it the dispatcher
+/// goes on alone, so that a single survivor can serve.
 pub const PEERS_TIMEOUT: Micros = 700_000;
-/// From there until discovery must have been heard: then the list is the remembered one.
+/// Time from [`Stage::Asked`] within which discovery must have delivered the roster. After it the remembered
+/// roster is used.
 pub const DISCOVERY_TIMEOUT: Micros = 500_000;
 
-/// From there until the fleet counts as warm, whatever the list says of starts.
+/// Longest time in [`Stage::Limited`]. After it the fleet counts as warm, whatever start times the roster
+/// reports.
 pub const MAX_LIMITED_SPAN: Micros = 60_000_000;
 
-/// How far a starting dispatcher has come.
+/// How far startup has come. The numeric value is sent to peers and exported as a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Its store is being read.
+    /// The store is being read.
     Finding,
-    /// What the store holds is known, and this life's number is on the disk, or neither is to be had.
+    /// The store's contents are known and this process run's boot number is on the disk, or neither is
+    /// available.
     Numbered,
-    /// Half of the others have answered and agree on who is out by hand, or there are none, or they are not heard.
+    /// Half of the peers have answered and agree on the admin overrides, or there are no peers, or they did
+    /// not answer in time.
     Asked,
-    /// There is a list to forward by.
+    /// A roster is known; forwarding is allowed.
     Listed,
-    /// The fleet is cold: once it is seen to be short, what is worth most comes first (`limits`).
+    /// The fleet is cold. Once a shortage is seen, operations with the highest value for their work are
+    /// admitted first (see [`limits`]).
     Limited,
+    /// Recovery is complete: everything is admitted.
     Serving,
 }
 
 impl Stage {
+    /// Name of the stage in log lines and in `status`.
     pub fn code(self) -> &'static str {
         match self {
             Stage::Finding => "finding",
@@ -48,112 +59,128 @@
     }
 }
 
-/// How far an item is believed.
+/// How far a stored item is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// As if it had just been said.
+    /// As if it had just been received.
     Trusted,
-    /// For want of better: whoever says otherwise goes first.
+    /// Used only until a better source contradicts it.
     Doubted,
+    /// Not used.
     Dropped,
 }
 
-/// Where an item is from.
+/// Where an item comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
+    /// The store on the local disk.
     Store,
-    /// The configuration, as written by whoever starts the process.
+    /// The configuration file that the process was started with.
     File,
 }
 
-/// A list that is at hand before discovery has been heard.
+/// A roster that is available before discovery has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownRoster<'a> {
+    /// Address of the discovery service that the roster came from.
     pub discovery: &'a str,
+    /// Discovery's generation number of the roster.
     pub generation: u64,
+    /// Number of runners in the roster.
     pub runners: usize,
 }
 
-/// Which list to begin with. Generations are one discovery's own: a list of another one says nothing here, however
-/// high its number. Of two of the same the newer one is taken, and none that is empty where the other is not.
+/// Chooses the roster to start with, and the reason for the log. Generation numbers are only comparable
+/// within one discovery service, so a stored roster of another service is never used, however high its
+/// number. Of two rosters of the same service the newer one is chosen, but never an empty one if the other is
+/// not empty.
 pub fn choose_roster(stored: Option<KnownRoster>, file: KnownRoster) -> (Source, &'static str) {
     match stored {
-        None => (Source::File, "the store has none"),
+        None => (Source::File, "the store has no roster"),
         Some(stored) if stored.discovery != file.discovery => {
-            (Source::File, "the store's is from another discovery")
+            (Source::File, "the stored roster is from another discovery")
+        }
+        Some(stored) if stored.runners == 0 && file.runners > 0 => {
+            (Source::File, "the stored roster is empty")
         }
-        Some(stored) if stored.runners == 0 && file.runners > 0 => (Source::File, "the store's is empty"),
         Some(stored) if stored.generation > file.generation || file.runners == 0 => {
-            (Source::Store, "the store's is newer")
+            (Source::Store, "the stored roster is newer")
         }
-        Some(_) => (Source::File, "the file's is as new"),
+        Some(_) => (Source::File, "the configuration's roster is as new"),
     }
 }
 
-/// What the last life sent to cold runners: exact only where that life ended as it should.
+/// Whether the stored slow-start usage of the previous process run can be trusted, and the reason for the
+/// log. It is written at a clean shutdown only, so after a crash it is incomplete and dropped.
 pub fn trust_slow_start_usage(summary: &LoadSummary) -> (Trust, &'static str) {
     if summary.is_new {
-        (Trust::Dropped, "there was no last life")
+        (Trust::Dropped, "there was no previous run")
     } else if summary.ended_cleanly {
-        (Trust::Trusted, "the last life ended as it should")
+        (Trust::Trusted, "the previous run shut down cleanly")
     } else {
-        (Trust::Dropped, "the last life was cut short")
+        (Trust::Dropped, "the previous run was interrupted")
     }
 }
 
-/// Who is out by hand: a ban that was said yes to holds whatever else is in doubt.
+/// Whether the stored admin overrides can be trusted, and the reason for the log. An override that was
+/// acknowledged to an operator remains in force; if the store is damaged one may be missing. A wrong clock
+/// does not matter here.
 pub fn trust_admin_overrides(summary: &LoadSummary) -> (Trust, &'static str) {
     if summary.warnings.iter().any(|warning| !matches!(warning, IntegrityWarning::ClockBehind { .. })) {
-        (Trust::Doubted, "the store is spoilt: one may be missing")
+        (Trust::Doubted, "the store is damaged: an override may be missing")
     } else {
-        (Trust::Trusted, "as said yes to")
+        (Trust::Trusted, "as acknowledged")
     }
 }
 
-/// For how long cold runners must rest that were there in the last life: what it sent them at its very end may still
-/// count, and how long that has been over is known only as far as the machine tells.
+/// How long runners that the previous process run used must get nothing while cold. What that run sent just
+/// before it crashed may still count towards their slow-start budget for `overload_window`, and the only
+/// known part of the time since then is the minimum downtime that the store could prove. Zero after a clean
+/// shutdown or without a previous run.
 pub fn cold_runner_pause(summary: &LoadSummary, overload_window: Micros) -> Micros {
     if summary.is_new || summary.ended_cleanly { 0 } else { (overload_window - summary.min_downtime).max(0) }
 }
 
-/// What has happened.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The store has been read; this life's number, if it is on the disk.
+    /// The store has been read. `boot` is this process run's boot number, if it is on the disk.
     StoreOpened { summary: &'a LoadSummary, boot: Option<u64> },
-    /// There is no store to be had.
+    /// No store is available.
     StoreUnavailable { reason: &'a str },
-    /// Of so many others, so many have answered this life and agree on who is out by hand.
+    /// Of `all` peers, `agree` have seen this process run and agree with it on the admin overrides.
     PeerAgreement { all: usize, agree: usize },
-    /// Discovery has told the whole list, or what changed since the remembered one.
+    /// Discovery has delivered the whole roster, or the changes since the remembered one.
     RosterReceived,
-    /// Discovery has refused or was not reached.
+    /// Discovery has refused the request or could not be reached.
     DiscoveryFailed,
-    /// The share of its full capacity that the fleet has, as far as the list tells.
+    /// The fleet's current share of its full capacity, from the start times in the roster.
     Warmth(f64),
 }
 
-/// What is to be done, in this order.
+/// What the caller has to do, in the order of the returned list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A stage has been reached; why, and on what grounds.
+    /// Log that a stage has been entered, with the reason and its details.
     Enter(Stage, String),
-    /// The list to begin with is wanted now, the remembered one or what discovery has said.
+    /// Choose the roster to start with: the one from discovery if it has arrived, else a remembered one.
     ChooseRoster,
-    /// Newcomers are let in and told that this dispatcher is ready.
+    /// Accept new clients and report this dispatcher as ready.
     Serve,
 }
 
+/// The startup state machine of one dispatcher.
 pub struct Recovery {
     stage: Stage,
     deadline: Option<Micros>,
     roster_received: bool,
     discovery_failed: bool,
-    /// Whether there are others to ask.
+    /// Whether any other dispatchers are configured.
     has_peers: bool,
 }
 
 impl Recovery {
+    /// Starts in [`Stage::Finding`]; `peers` says whether other dispatchers are configured.
     pub fn new(peers: bool, now: Micros) -> Recovery {
         let deadline = Some(now + STORE_READ_TIMEOUT);
         Recovery {
@@ -165,7 +192,7 @@
         }
     }
 
-    /// One that has nothing to recover, as another process goes on in it.
+    /// A dispatcher that takes over from a running process (upgrade) and has nothing to recover.
     pub fn in_service() -> Recovery {
         Recovery {
             stage: Stage::Serving,
@@ -176,21 +203,22 @@
         }
     }
 
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether anything may be forwarded.
+    /// Whether invocations may be forwarded.
     pub fn may_forward(&self) -> bool {
         self.stage >= Stage::Listed
     }
 
-    /// When to look again at the latest.
+    /// When to call [`Recovery::tick`] at the latest, if any stage has a deadline.
     pub fn next_tick(&self) -> Option<Micros> {
         self.deadline
     }
 
-    /// How long until it serves at the latest, for who is told when to come back.
+    /// Upper bound of the time until forwarding begins, for the retry advice given to clients.
     pub fn time_to_service(&self, now: Micros) -> Micros {
         let remaining = self.deadline.map_or(0, |deadline| (deadline - now).max(0));
         let peers_timeout = if self.has_peers { PEERS_TIMEOUT } else { 0 };
@@ -202,6 +230,8 @@
         }
     }
 
+    /// Processes an event and returns the resulting actions. Events that come too late for the current stage
+    /// have no effect.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -242,7 +272,7 @@
         actions
     }
 
-    /// The due time of a stage may have come.
+    /// Enters the next stage if the deadline of the current one has passed.
     pub fn tick(&mut self, now: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.deadline.is_some_and(|deadline| now >= deadline) {
@@ -252,7 +282,7 @@
                 }
                 Stage::Numbered => self.enter_asked(now, "peers=silent", &mut actions),
                 Stage::Asked => {
-                    // Nothing more is waited for; the watch goes on being tried in any case.
+                    // Do not wait any longer; the discovery connection keeps retrying in any case.
                     self.discovery_failed = true;
                     self.enter_listed_if_known(now, &mut actions);
                 }
@@ -265,7 +295,7 @@
 
     fn enter_numbered(&mut self, now: Micros, reason: String, actions: &mut Vec<Action>) {
         (self.stage, self.deadline) = (Stage::Numbered, Some(now + PEERS_TIMEOUT));
-        // Discovery is asked while the others are.
+        // Discovery is queried in parallel with the peers.
         actions.extend([Action::Enter(Stage::Numbered, reason), Action::ChooseRoster]);
         if !self.has_peers {
             self.enter_asked(now, "peers=none", actions);
--- a/recovery/src/limits.rs
+++ b/recovery/src/limits.rs
@@ -1,23 +1,26 @@
-//! What is taken while the fleet is cold: by billed value, and no more than warmth allows once it is seen to be short.
+//! Admission control while the fleet is cold: by billed value, limited to the available capacity share once a
+//! shortage is seen.
 //!
-//! After a loss of power all runners are cold together and all clients are back at once. What is worth most for its work
-//! goes first; the rest is told at once when to come back. It must never turn work away where nothing is short: a
-//! site with room to spare is served whole, however cold it is.
+//! After a power loss all runners are cold and all clients come back at the same time. The operations with
+//! the highest value for their work are admitted first, the others are rejected immediately with retry
+//! advice. Nothing is rejected before a shortage is seen: a site with spare capacity is served in full,
+//! however cold it is.
 
 use topazsail_store::Micros;
 
-/// Without a sign of shortage the level rises by this share of all work in a second.
+/// Rise of the admission level per second without a further shortage, as a share of all work.
 const LEVEL_RISE_PER_SECOND: f64 = 0.25;
-/// From here on the fleet counts as warm.
+/// The fleet counts as warm from this share of its full capacity on.
 pub const WARM_THRESHOLD: f64 = 0.95;
-/// Arrivals count half after this.
+/// Half-life of the arrival counts, in microseconds.
 const ARRIVALS_HALF_LIFE: f64 = 2e6;
-/// Before so many have been seen all operations are taken to come equally often.
+/// Until this many (decayed) arrivals have been seen, all operations are assumed to be equally frequent.
 const MIN_ARRIVALS: f64 = 8.0;
-/// How far one success moves the mean time of its operation.
+/// Weight of one success in the moving average of its operation's duration.
 const DURATION_SMOOTHING: f64 = 0.05;
 
-/// The share of its full capacity that a runner has, by when it started, where that is known and not long ago.
+/// A runner's current share of its full capacity: it rises linearly from `cold_capacity_share` to 1 during
+/// `warm_up_span` after the start. It is 1 if the start time is unknown.
 pub fn warmth(
     launched: Option<Micros>,
     (cold_capacity_share, warm_up_span): (f64, Micros),
@@ -32,29 +35,35 @@
     }
 }
 
-/// What settings say of one operation.
+/// What the settings say about one operation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OperationValue {
+    /// Billed value of one invocation.
     pub value: f64,
+    /// Target latency in microseconds, the first estimate of the duration.
     pub latency_objective: Micros,
 }
 
 struct Operation {
     value: f64,
-    /// Mean time from arrival to success; the objective until one is seen.
+    /// Moving average of the time from arrival to success, in microseconds; the latency objective until one
+    /// is seen.
     mean_duration: f64,
+    /// Arrivals, with a half-life of [`ARRIVALS_HALF_LIFE`].
     arrivals: f64,
 }
 
-/// One dispatcher's view; draws are handed in.
+/// The admission control of one dispatcher. Random numbers are passed in by the caller.
 pub struct AdmissionLimits {
     operations: Vec<Operation>,
-    /// Which share of the work is taken, as of when.
+    /// The admitted share of all work, and the time at which it was set.
     level: (f64, Micros),
+    /// When the arrival counts were last decayed.
     decayed_at: Micros,
 }
 
 impl AdmissionLimits {
+    /// Admits everything until the first shortage.
     pub fn new(operations: impl Iterator<Item = OperationValue>, now: Micros) -> AdmissionLimits {
         let operation = |initial: OperationValue| Operation {
             value: initial.value,
@@ -68,22 +77,23 @@
         }
     }
 
-    /// The share of all work that is taken now.
+    /// The share of all work that is admitted at `now`.
     pub fn level(&self, now: Micros) -> f64 {
         let (level, at) = self.level;
         (level + LEVEL_RISE_PER_SECOND * (now - at).max(0) as f64 / 1e6).min(1.0)
     }
 
-    /// Something that was taken was throttled or turned away for want of room: from here on no more is taken than
-    /// `warmth`, the share of its full capacity that the fleet has. Where there is no runner at all that says nothing of
-    /// how much there will be room for.
+    /// An admitted invocation was throttled, or rejected because no runner had room: from now on at most
+    /// `warmth` of the work is admitted, the fleet's share of its full capacity. Ignored if `warmth` is 0:
+    /// without any runner nothing is known about the capacity to come.
     pub fn record_shortage(&mut self, warmth: f64, now: Micros) {
         if warmth > 0.0 {
             self.level = (self.level(now).min(warmth), now);
         }
     }
 
-    /// One of an operation has succeeded, so long after it came.
+    /// An invocation of the operation with this index has succeeded, `duration` microseconds after its
+    /// arrival.
     pub fn record_success(&mut self, index: usize, duration: Micros) {
         if let Some(operation) = self.operations.get_mut(index) {
             operation.mean_duration +=
@@ -91,7 +101,7 @@
         }
     }
 
-    /// Whether one that comes now is taken; `drawn` is from 0 to 1.
+    /// Whether an invocation that arrives now is admitted; `random` is uniform in 0..1.
     pub fn admit(&mut self, index: usize, random: f64, now: Micros) -> bool {
         let decay = 0.5_f64.powf((now - self.decayed_at).max(0) as f64 / ARRIVALS_HALF_LIFE);
         self.decayed_at = self.decayed_at.max(now);
@@ -102,7 +112,8 @@
         level >= 1.0 || random < self.share(index, level)
     }
 
-    /// The share of one operation that is taken at a level: all of what is worth more for its work comes first.
+    /// The share of one operation that is admitted at a level: all work with a higher value per unit of work
+    /// comes first.
     fn share(&self, index: usize, level: f64) -> f64 {
         let arrivals: f64 = self.operations.iter().map(|operation| operation.arrivals).sum();
         let work = |operation: &Operation| {
--- a/recovery/src/tests.rs
+++ b/recovery/src/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn nothing_is_forwarded_before_there_is_a_list_and_nothing_is_waited_for_without_end() {
+fn nothing_is_forwarded_before_a_roster_is_known_and_every_stage_has_a_deadline() {
     let mut recovery = Recovery::new(true, 100);
     assert!(!recovery.may_forward() && recovery.next_tick() == Some(100 + STORE_READ_TIMEOUT));
     assert_eq!(recovery.time_to_service(100), STORE_READ_TIMEOUT + PEERS_TIMEOUT + DISCOVERY_TIMEOUT);
@@ -28,12 +28,12 @@
     assert_eq!(recovery.handle(asked + 600_000, Event::Warmth(0.5)), []);
     assert_eq!(stages(&recovery.handle(asked + 700_000, Event::Warmth(0.96))), ["serving"]);
     assert!(recovery.next_tick().is_none());
-    // The store comes at last: it has no say any more in what is under way.
+    // A store that is read this late no longer has any effect.
     assert_eq!(recovery.handle(9_000_000, Event::StoreOpened { summary: &summary(), boot: Some(5) }), []);
 }
 
 #[test]
-fn the_list_may_come_before_the_store_but_holds_only_after_it() {
+fn a_roster_that_arrives_before_the_store_is_used_only_after_it() {
     let mut recovery = Recovery::new(false, 0);
     assert_eq!(recovery.handle(10, Event::RosterReceived), []);
     let actions = recovery.handle(20, Event::StoreOpened { summary: &summary(), boot: Some(5) });
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn half_of_the_others_are_waited_for_and_not_for_long() {
+fn half_of_the_peers_are_awaited_until_the_timeout() {
     let begin = || {
         let mut recovery = Recovery::new(true, 0);
         recovery.handle(20, Event::StoreOpened { summary: &summary(), boot: Some(5) });
@@ -64,12 +64,12 @@
         stages(&recovery.handle(50, Event::PeerAgreement { all: 5, agree: 3 })),
         ["asked", "listed", "limited"]
     );
-    let mut alone = begin();
-    assert_eq!(stages(&alone.tick(20 + PEERS_TIMEOUT)), ["asked", "listed", "limited"]);
+    let mut unanswered = begin();
+    assert_eq!(stages(&unanswered.tick(20 + PEERS_TIMEOUT)), ["asked", "listed", "limited"]);
 }
 
 #[test]
-fn which_list_comes_first() {
+fn the_newer_roster_of_the_same_discovery_is_chosen() {
     let known = |discovery, generation, runners| KnownRoster { discovery, generation, runners };
     let file = known("a", 5, 3);
     assert_eq!(choose_roster(None, file).0, Source::File);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_life_that_was_cut_short_may_have_spent_until_its_end() {
+fn an_interrupted_run_may_have_used_slow_start_budget_until_its_end() {
     let cut = LoadSummary { min_downtime: 500_000, ..summary() };
     assert_eq!(cold_runner_pause(&cut, 2_000_000), 1_500_000);
     assert_eq!(cold_runner_pause(&LoadSummary { min_downtime: 3_000_000, ..summary() }, 2_000_000), 0);
