--- a/peers/src/admin_overrides.rs
+++ b/peers/src/admin_overrides.rs
@@ -1,8 +1,9 @@
-//! Runners out by hand, as all dispatchers come to have them: the newest word on each runner, whoever said it.
+//! Admin overrides of runners, on which all dispatchers converge: the newest entry for each runner, whichever
+//! dispatcher it comes from.
 //!
-//! It owns versions and their order. No clock is in them: a call counts one above whatever its dispatcher has heard of
-//! that runner, so that a clock that is off decides nothing, and of two calls made at once on both sides of a cut the
-//! same one holds everywhere. It must never go back to an older word.
+//! Versions do not use a clock. A new override counts one above the highest count that its dispatcher knows
+//! for that runner, so a wrong clock has no influence. Of two overrides made at the same time on both sides
+//! of a network partition the same one wins everywhere. An entry is never replaced by an older one.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +12,27 @@
 use crate::mix;
 use crate::packet::AdminOverride;
 
-/// Digests are kept for so many parts, by the hash of the runner's id.
+/// Number of buckets of the digest; a runner belongs to one by the hash of its id.
 pub const BUCKETS: usize = 16;
-/// Runners that anything is known of; beyond them the oldest word on one that is back is let go.
+/// Most runners with a stored entry. Beyond it the oldest entry of a runner that is back in use is evicted.
 const MAX_RUNNERS: usize = 8_192;
-/// No runner's id is longer.
+/// Longest accepted runner id, in bytes.
 const MAX_ID_BYTES: usize = 256;
 
-/// How new a word is: more calls first, then the author, a hash of its name and life.
+/// How new an entry is: compared by the count of overrides first, then by the author.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
+    /// Number of overrides of this runner so far.
     pub count: u64,
+    /// Hash of the author's name and nonce, which breaks ties.
     pub author: u32,
 }
 
+/// The newest known override of each runner.
 #[derive(Clone, Debug, Default)]
 pub struct AdminOverrides {
     by_runner: BTreeMap<String, AdminOverride>,
+    /// For each bucket, all entry hashes combined by XOR.
     digest: [u32; BUCKETS],
 }
 
@@ -35,8 +40,9 @@
     crc32fast::hash(runner.as_bytes()) as usize % BUCKETS
 }
 
-/// Of one word, for the digest: all words of a part together, in any order. A checksum alone would not do: it is linear,
-/// so that words on `r-10` to `r-13` cancel out, and two sides that differ would never notice.
+/// Hash of one entry for the digest, where the hashes of a bucket are combined in any order. A checksum alone
+/// would not do: it is linear, so entries for `r-10` to `r-13` would cancel out and a difference would never
+/// be noticed.
 fn entry_hash(entry: &AdminOverride) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(entry.runner.as_bytes());
@@ -46,21 +52,23 @@
 }
 
 impl AdminOverrides {
+    /// The digest that peers compare to find out whether they hold the same entries.
     pub fn digest(&self) -> [u32; BUCKETS] {
         self.digest
     }
 
+    /// The newest known entry for a runner.
     pub fn get(&self, runner: &str) -> Option<&AdminOverride> {
         self.by_runner.get(runner)
     }
 
-    /// The version of a call that is made now by `author`: newer than all that is known of this runner.
+    /// The version of an override that `author` makes now: newer than everything known for this runner.
     pub fn next_version(&self, runner: &str, author: u32) -> Version {
         let known = self.by_runner.get(runner).map_or(0, |entry| entry.version.count);
         Version { count: known.saturating_add(1), author }
     }
 
-    /// Takes a word in, if it is newer than what is known; whether it was.
+    /// Stores an entry if it is newer than the known one. Returns whether it was.
     pub fn merge(&mut self, entry: AdminOverride) -> bool {
         let known = self.by_runner.get(&entry.runner);
         if entry.runner.len() > MAX_ID_BYTES || known.is_some_and(|known| known.version >= entry.version) {
@@ -85,13 +93,14 @@
         }
     }
 
-    /// What is known in those parts whose digest is not `theirs`.
+    /// The entries of those buckets whose digest differs from `theirs`.
     pub fn differing(&self, theirs: &[u32; BUCKETS]) -> impl Iterator<Item = &AdminOverride> {
         let differs: Vec<bool> =
             self.digest.iter().zip(theirs).map(|(ours, theirs)| ours != theirs).collect();
         self.by_runner.values().filter(move |entry| differs[bucket(&entry.runner)])
     }
 
+    /// All entries.
     pub fn iter(&self) -> impl Iterator<Item = &AdminOverride> {
         self.by_runner.values()
     }
--- a/peers/src/admin_overrides/tests.rs
+++ b/peers/src/admin_overrides/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn the_newest_word_holds_in_whatever_order_words_come() {
+fn the_newest_entry_wins_in_any_order_of_arrival() {
     let entries =
         [entry("a", 1, 5, true), entry("a", 2, 1, false), entry("a", 2, 3, true), entry("b", 1, 1, true)];
     let mut orders = vec![vec![0, 1, 2, 3], vec![3, 2, 1, 0], vec![2, 0, 3, 1, 2, 0]];
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn who_is_out_is_never_let_go() {
+fn entries_of_runners_that_are_out_are_never_evicted() {
     let mut overrides = AdminOverrides::default();
     for nth in 0..MAX_RUNNERS + 50 {
         overrides.merge(entry(&format!("r{nth}"), 1, 1, nth < 100));
     }
     assert_eq!(overrides.iter().count(), MAX_RUNNERS);
     assert_eq!(overrides.iter().filter(|entry| entry.out_since.is_some()).count(), 100);
-    // The digest is of what is left.
+    // The digest covers the remaining entries only.
     let mut again = AdminOverrides::default();
     overrides.iter().cloned().for_each(|entry| _ = again.merge(entry));
     assert_eq!(again.digest(), overrides.digest());
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -1,8 +1,10 @@
-//! Who of the other dispatchers is there, and what they say.
+//! Membership of the other dispatchers, and the state that dispatchers exchange with each other.
 //!
-//! `packet` is the one place where a datagram is sealed and opened; `admin_overrides` is what they agree on about runners out by
-//! hand, `slow_start` on who may spend what of cold runners' budgets; `peers` probes, suspects, numbers lives and exchanges. All of it is a core: no I/O, no clock, no chance but
-//! the seed that it is given. See `docs/peers.md`.
+//! `packet` encodes and decodes datagrams. `admin_overrides` holds the operators' overrides of runners, which
+//! all dispatchers converge on. `slow_start` divides the slow-start budgets of cold runners among
+//! dispatchers. `peers` probes the other dispatchers, suspects failed ones, tracks boot numbers and sends
+//! what differs. Everything here is free of I/O and clocks; the only randomness comes from the seed that the
+//! caller passes in. See `docs/peers.md`.
 
 pub mod admin_overrides;
 pub mod packet;
@@ -14,10 +16,10 @@
 pub use peers::{Action, Member, PeerCounters, PeerEvent, PeerState, Peers};
 pub use slow_start::SlowStartShare;
 
-/// Whole microseconds: a moment of the caller's clock, or a span.
+/// Whole microseconds: a time of the caller's clock, or a duration.
 pub type Micros = i64;
 
-/// The finalizer of SplitMix64: all bits of the result depend on all that are given.
+/// The finalizer of SplitMix64: every bit of the result depends on every bit of the input.
 pub(crate) fn mix(value: u64) -> u64 {
     let mut mixed = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/peers/src/packet.rs
+++ b/peers/src/packet.rs
@@ -1,9 +1,10 @@
-//! A datagram's form: sealed and opened here and nowhere else, so that keys have one place to come to.
+//! Encoding of datagrams. All of it is in this module, so that authentication can later be added in one
+//! place.
 //!
-//! It owns the bytes. It must never panic on any, nor give a packet that was not sealed as it is given.
+//! Decoding never panics, whatever the bytes, and never returns a packet that differs from the encoded one.
 //!
 //! ```text
-//! datagram = "tp" | form (1) | CRC-32 (IEEE) over form and body (4, little-endian) | body (postcard)
+//! datagram = "tp" | format (1) | CRC-32 (IEEE) over format and body (4, little-endian) | body (postcard)
 //! ```
 
 use serde::{Deserialize, Serialize};
@@ -11,74 +12,84 @@
 use crate::Micros;
 use crate::admin_overrides::{BUCKETS, Version};
 
-/// No datagram is larger: it passes every link whole.
+/// Largest datagram in bytes: it passes every link without fragmentation.
 pub const MAX_PACKET_BYTES: usize = 1_200;
+/// First bytes of each datagram.
 const MAGIC: [u8; 2] = *b"tp";
+/// Version of the format that is written, and the only one that is read.
 pub const FORMAT: u8 = 2;
+/// Length of everything before the body.
 const HEADER_BYTES: usize = 7;
 
-/// What the hand has done to one runner, and how new that is.
+/// An operator's override of one runner, and its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdminOverride {
+    /// Id of the runner.
     pub runner: String,
+    /// How new this entry is.
     pub version: Version,
+    /// Since when the runner is out of use by an operator; none if it is not.
     pub out_since: Option<Micros>,
+    /// From when and until when it was last out of use.
     pub was_out: Option<(Micros, Micros)>,
 }
 
-/// What a dispatcher has, in short: whoever has otherwise asks or tells.
+/// Summary of a dispatcher's state. A receiver whose state differs sends its entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// How far its recovery has come, a number of `recovery`'s own.
+    /// Recovery stage of the sender, as the number that `recovery` assigns.
     pub stage: u8,
-    /// Of runners out by hand, by the id's hash.
+    /// Digest of the admin overrides, by bucket of the runner's id.
     #[serde(rename = "hands")]
     pub overrides: [u32; BUCKETS],
 }
 
-/// Probes carry the number that their answer repeats. One on somebody's behalf names whom that is for, by its place
-/// in the sorted names, and the number that it waits for.
+/// What a packet asks or reports. Dispatchers are named by their index in the sorted list of all names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
+    /// Asks the receiver for an [`Message::Answer`].
     Probe {
+        /// Number that the answer repeats.
         number: u64,
+        /// Set if the sender probes for another dispatcher: that dispatcher, and the number that it waits
+        /// for.
         #[serde(rename = "behalf")]
         on_behalf_of: Option<(u16, u64)>,
     },
+    /// Answers a probe, with its number and the dispatcher that it was sent for.
     Answer {
         number: u64,
         #[serde(rename = "behalf")]
         on_behalf_of: Option<(u16, u64)>,
-        /// From now on nothing is sent to other owners' cold runners, by this list of dispatchers (`slow_start`).
+        /// Hash of the dispatcher list if the sender promises to send nothing to other owners' cold runners
+        /// from now on (see `slow_start`).
         promise: Option<u32>,
     },
-    /// Please probe that one for me.
+    /// Asks the receiver to probe `target` for the sender.
     #[serde(rename = "Ask")]
-    ProbeRequest {
-        target: u16,
-        number: u64,
-    },
-    /// That one has answered you through me, in this life.
+    ProbeRequest { target: u16, number: u64 },
+    /// `target` has answered a probe that the sender made for the receiver, in its process run `boot`.
     #[serde(rename = "Through")]
-    IndirectAnswer {
-        target: u16,
-        number: u64,
-        boot: u64,
-    },
+    IndirectAnswer { target: u16, number: u64, boot: u64 },
+    /// Entries that differ from the receiver's.
     AdminOverrides(Vec<AdminOverride>),
 }
 
+/// One datagram's content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// By name, so that a list that differs between two dispatchers is noticed.
+    /// Name of the sender, so that dispatcher lists that differ between two dispatchers are noticed.
     pub from: String,
-    /// The number of the sender's life, and what tells it from another one that took the same number.
+    /// Boot number of the sender, and a nonce that distinguishes it from another process run with the same
+    /// number.
     pub boot: u64,
     pub nonce: u32,
-    /// The newest life of the receiver that the sender has heard of: its number, its nonce.
+    /// The newest process run of the receiver that the sender knows: boot number and nonce.
     #[serde(rename = "yours")]
     pub known_receiver: (u64, u32),
+    /// Summary of the sender's state.
     pub digest: Digest,
+    /// What the packet asks or reports.
     #[serde(rename = "what")]
     pub message: Message,
 }
@@ -86,10 +97,12 @@
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PacketError {
+    /// Longer than [`MAX_PACKET_BYTES`].
     TooLong,
-    /// Not one of ours, cut short, or spoilt on its way.
+    /// Not a datagram of this protocol, truncated, or damaged on the way.
     Malformed,
     /// Sealed well, in a form that is not known here.
+    /// The checksum is right, but the format version is not supported.
     UnknownFormat,
 }
 
@@ -97,13 +110,15 @@
     crc32fast::hash(format_and_body).to_le_bytes()
 }
 
+/// Encodes a packet.
 pub fn seal(packet: &Packet) -> Vec<u8> {
-    // Plain types only: there is nothing that could fail to be written.
+    // Plain types only: encoding cannot fail.
     let body = postcard::to_stdvec(packet).unwrap_or_default();
     let checked = [&[FORMAT][..], &body].concat();
     [&MAGIC[..], &[FORMAT], &checksum(&checked), &body].concat()
 }
 
+/// Decodes a datagram and checks its length, checksum and format.
 pub fn open(bytes: &[u8]) -> Result<Packet, PacketError> {
     if bytes.len() > MAX_PACKET_BYTES {
         return Err(PacketError::TooLong);
--- a/peers/src/packet/tests.rs
+++ b/peers/src/packet/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_is_sealed_is_opened_and_nothing_else_is() {
+fn only_intact_packets_are_decoded() {
     let sealed = seal(&packet());
     assert_eq!(open(&sealed), Ok(packet()));
     for end in 0..sealed.len() {
@@ -42,9 +42,9 @@
     assert_eq!(open(&newer), Err(PacketError::UnknownFormat));
 }
 
-/// Random bytes under a right seal: the body itself must bear anything.
+/// Random bodies under a valid checksum: decoding must accept or reject any bytes without panicking.
 #[test]
-fn no_body_does_harm() {
+fn no_body_makes_decoding_panic() {
     let mut random = Pcg32::seed_from_u64(1);
     for _ in 0..20_000 {
         let mut body: Vec<u8> = (0..random.random_range(0..200)).map(|_| random.random()).collect();
--- a/peers/src/peers.rs
+++ b/peers/src/peers.rs
@@ -1,13 +1,15 @@
-//! Probes, suspicion, numbers of lives, and the exchange of what differs.
+//! Probing and suspicion of peers, boot numbers, and the exchange of state that differs.
 //!
-//! Each round some of the others are probed, in turn. Who does not answer is asked for through three others, as the
-//! link may be cut and not the peer; then it is suspected, and later taken for gone, until it is heard again. Whatever
-//! a peer says carries a short digest of what it has: where that differs, what is behind it is sent. It must never
-//! believe an earlier life's words, and never take a suspected peer for one that does nothing.
+//! In each round some of the peers are probed, in random order. A peer that does not answer is probed through
+//! three others, as the link may be cut and not the peer dead. Without an answer it becomes suspected, and
+//! later gone, until a packet from it arrives. Every packet carries a short digest of the sender's state;
+//! where digests differ, the entries behind them are sent. Packets of an earlier process run are never
+//! believed, and a suspected peer is never assumed to be idle.
 //!
-//! Source: SWIM (Das, Gupta, Motivala 2002) for probes on others' behalf and suspicion; digests first as in anti-entropy
-//! by Demers et al. (1987). Not taken from SWIM: word of failures spread by gossip. Each judges by what it hears itself,
-//! as here a false word of a failure would cost more than a late one.
+//! Sources: SWIM (Das, Gupta, Motivala 2002) for indirect probes and suspicion; digests first as in
+//! anti-entropy by Demers et al. (1987). Unlike in SWIM, failures are not spread by gossip: each dispatcher
+//! judges by the packets that it receives itself, as here a false report of a failure would cost more than a
+//! late one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,41 +23,53 @@
 use crate::packet::{AdminOverride, Digest, MAX_PACKET_BYTES, Message, Packet, PacketError, open, seal};
 use crate::slow_start::{SlowStartAllocator, SlowStartShare};
 
-/// From one round of probes to the next, and how many are probed at once in a large fleet.
+/// Time from one round of probes to the next.
 const ROUND_INTERVAL: Micros = 200_000;
+/// One peer in this many is probed per round.
 const PEERS_PER_PROBE: usize = 8;
+/// Most peers probed per round, unless promises have to be renewed more often.
 const MAX_PROBES_PER_ROUND: usize = 4;
-/// An answer takes no longer; then others are asked, and then it is suspected.
+/// Time within which a probe must be answered; after it other peers are asked to probe.
 const ANSWER_TIMEOUT: Micros = 300_000;
+/// Time from then on within which an indirect answer must arrive; after it the peer is suspected.
 const INDIRECT_ANSWER_TIMEOUT: Micros = 600_000;
+/// Number of peers that are asked to probe.
 const INDIRECT_PROBES: usize = 3;
-/// Suspected for so long without a word, a peer is taken for gone.
+/// A suspected peer counts as gone this long after its last packet.
 const GONE_TIMEOUT: Micros = 5_000_000;
-/// What differs is sent to one peer at most so often, in so many datagrams.
+/// Shortest time between two batches of entries to the same peer.
 const OVERRIDES_RESEND_INTERVAL: Micros = 200_000;
+/// Most datagrams of one batch.
 const MAX_OVERRIDE_PACKETS: usize = 4;
-/// At the start nobody has been heard yet; who is not by then is not there.
+/// During this time after the start, a peer that has not been heard yet does not count as unreachable.
 const START_GRACE: Micros = 2_000_000;
-/// Probes on others' behalf that may be under way.
+/// Most outstanding probes on behalf of other dispatchers.
 const MAX_INDIRECT_PROBES: usize = 256;
 
 /// Another dispatcher, as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
+    /// Its unique name.
     pub name: String,
+    /// The address that it sends datagrams from and receives them at.
     pub address: SocketAddr,
 }
 
+/// What this process run knows about a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// Never heard in this life of ours.
+    /// No packet has been received in this process run.
     Unknown,
+    /// It answers probes, or packets from it arrive.
     Alive,
+    /// It has not answered a probe, neither directly nor through others.
     Suspected,
+    /// It has been suspected, and silent for `GONE_TIMEOUT`.
     Gone,
 }
 
 impl PeerState {
+    /// Name of the state in log lines.
     pub fn code(self) -> &'static str {
         match self {
             PeerState::Unknown => "unknown",
@@ -66,89 +80,109 @@
     }
 }
 
-/// What is new.
+/// A change that the caller has to act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerEvent {
-    /// A peer's state has changed; with the number of its life.
+    /// A peer's state has changed; `boot` is the boot number of its newest process run.
     StateChanged { name: String, state: PeerState, boot: u64 },
-    /// Somebody has heard of a life of ours with this number, which is not this one.
+    /// A peer knows another process run of this dispatcher with this boot number, which is at least as high
+    /// as ours.
     BootTaken(u64),
-    /// A newer word on a runner.
+    /// A newer entry for a runner has been received.
     AdminOverride(AdminOverride),
 }
 
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
+    /// Send a datagram.
     Send { to: SocketAddr, bytes: Vec<u8> },
+    /// Handle an event.
     PeerEvent(PeerEvent),
 }
 
-/// Datagrams, by what became of them.
+/// Counts of datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerCounters {
+    /// Datagrams sent.
     pub sent: u64,
+    /// Bytes sent.
     pub sent_bytes: u64,
+    /// Valid datagrams received from peers.
     pub heard: u64,
-    /// Garbage, too long, or of an unknown form.
+    /// Malformed, too long, or of an unknown format.
     pub bad: u64,
-    /// From an address that is not listed, or by a name that is not that address's.
+    /// From an unlisted address, or with a name that does not belong to the address.
     pub unlisted: u64,
-    /// Of an earlier life.
+    /// From an earlier process run of the peer.
     pub old: u64,
 }
 
+/// An outstanding probe.
 #[derive(Clone, Copy)]
 struct Probe {
+    /// The number that the answer must repeat.
     number: u64,
     sent_at: Micros,
-    /// Others have been asked.
+    /// Whether other peers have been asked to probe.
     indirect_sent: bool,
 }
 
 struct Peer {
     member: Member,
     state: PeerState,
-    /// The highest number of its lives, and which life that was.
+    /// The highest boot number seen, and the nonce of that process run.
     boot: u64,
     nonce: u32,
+    /// When the last packet arrived from it, or an indirect answer.
     last_heard: Micros,
-    /// It has heard this life of ours.
+    /// Whether it has seen this process run.
     has_heard_us: bool,
+    /// Its latest digest.
     digest: Digest,
     probe: Option<Probe>,
+    /// When entries were last sent to it.
     overrides_sent_at: Micros,
-    /// The runner whose word was told last of many.
+    /// The last runner whose entry was sent, where one batch could not hold all entries.
     last_sent_runner: String,
 }
 
+/// The membership state machine of one dispatcher. All times are the caller's monotonic clock.
 pub struct Peers {
     name: String,
     boot: u64,
     nonce: u32,
+    /// Own recovery stage, as sent to peers.
     stage: u8,
-    /// By name, so that all have the same places.
+    /// Sorted by name.
     peers: Vec<Peer>,
-    /// All names in order, ours among them: places in packets.
+    /// All names including our own, sorted: packets name dispatchers by their index here.
     names: Vec<String>,
     by_address: BTreeMap<SocketAddr, usize>,
+    /// The admin overrides known here.
     pub overrides: AdminOverrides,
     allocator: SlowStartAllocator,
-    /// Whether cold runners are listed: promises are then asked for in time.
+    /// Whether any listed runner is cold; if so, peers are probed often enough to renew promises in time.
     has_cold_runners: bool,
     started_at: Micros,
-    /// Who is to be probed next, in this order.
+    /// Peers still to be probed in this pass, last first.
     probe_order: Vec<usize>,
+    /// Number of the last probe that was sent.
     last_number: u64,
+    /// When the next round is due.
     next_round: Micros,
-    /// Probes that were made for others: their number here, who asked, their number there.
+    /// Probes sent for other dispatchers, by their number: the index of the asker, the number that it waits
+    /// for, and the index of the target.
     indirect_probes: BTreeMap<u64, (usize, u64, usize)>,
     random: Pcg32,
+    /// Counts of datagrams, for metrics.
     pub counters: PeerCounters,
     actions: Vec<Action>,
 }
 
 impl Peers {
-    /// `boot` is this life's number, 0 where it has none yet; `nonce` tells it from others of that number.
+    /// `boot` is the boot number of this process run, 0 if it has none yet; `nonce` distinguishes it from
+    /// other runs with the same number.
     pub fn new(name: &str, members: Vec<Member>, (boot, nonce): (u64, u32), seed: u64, now: Micros) -> Peers {
         let mut members = members;
         members.sort_by(|a, b| a.name.cmp(&b.name));
@@ -190,15 +224,17 @@
         }
     }
 
+    /// The boot number of this process run, 0 if it has none.
     pub fn boot(&self) -> u64 {
         self.boot
     }
 
-    /// This life has this number from now on.
+    /// Sets the boot number of this process run; a lower one than the current is ignored.
     pub fn set_boot(&mut self, boot: u64) {
         self.boot = self.boot.max(boot);
     }
 
+    /// Sets the recovery stage that is sent to peers.
     pub fn set_stage(&mut self, stage: u8) {
         self.stage = stage;
     }
@@ -208,7 +244,7 @@
         self.next_round
     }
 
-    /// All others, and how many of them have heard this life of ours and agree on who is out by hand.
+    /// The number of peers, and how many of them have seen this process run and agree on the admin overrides.
     pub fn agreement(&self) -> (usize, usize) {
         let ours = self.overrides.digest();
         let agrees = |peer: &&Peer| {
@@ -217,11 +253,13 @@
         (self.peers.len(), self.peers.iter().filter(agrees).count())
     }
 
+    /// Name, state and newest boot number of each peer.
     pub fn peer_states(&self) -> impl Iterator<Item = (&str, PeerState, u64)> {
         self.peers.iter().map(|peer| (peer.member.name.as_str(), peer.state, peer.boot))
     }
 
-    /// A call on a runner that was made here.
+    /// Records an operator's override of a runner that was made at this dispatcher. Returns its version, and
+    /// the packets to send.
     pub fn set_override(
         &mut self,
         runner: &str,
@@ -232,7 +270,7 @@
         let version = self.overrides.next_version(runner, self.author());
         let entry = AdminOverride { runner: runner.to_owned(), version, out_since, was_out };
         self.overrides.merge(entry.clone());
-        // At once to all who are there: rounds are for who was not.
+        // Sent to all reachable peers immediately; rounds are for those that miss it.
         for index in 0..self.peers.len() {
             if matches!(self.peers[index].state, PeerState::Alive | PeerState::Suspected) {
                 self.peers[index].overrides_sent_at = now;
@@ -242,13 +280,14 @@
         (version, std::mem::take(&mut self.actions))
     }
 
-    /// Marks calls that were made in this life.
+    /// Marks overrides that were made in this process run.
     fn author(&self) -> u32 {
         crc32fast::hash(format!("{} {}", self.name, self.nonce).as_bytes())
     }
 
-    /// A word that an earlier life has left, perhaps on a disk that opens late. Gives it back where it holds from now
-    /// on: not where a newer one is known, nor where a call was made here since, which then counts above it.
+    /// Adds an entry that an earlier process run has stored, possibly on a disk that opens late. Returns the
+    /// entry if it is in force now. It is not if a newer entry is known. If an override was made here since
+    /// the start, that one wins and gets a version above the stored entry.
     pub fn restore(&mut self, entry: AdminOverride) -> Option<AdminOverride> {
         let own = self.author();
         let known = self.overrides.get(&entry.runner).filter(|known| known.version.author == own).cloned();
@@ -261,13 +300,14 @@
         None
     }
 
-    /// What the settings say of the account on cold runners: how many dispatchers share it, over which span.
+    /// Applies the settings: the number of dispatchers that share slow-start budgets, and the overload
+    /// window.
     pub fn configure(&mut self, dispatchers: usize, overload_window: Micros) {
         self.allocator.configure(dispatchers, overload_window);
     }
 
-    /// Which portions of these cold runners' budgets are this dispatcher's own, in the same order: to be asked for
-    /// in each round, and to hold from when they are told.
+    /// This dispatcher's shares of the slow-start budgets of these cold runners, in the same order. To be
+    /// called in each round; a share is in force as soon as it is returned.
     pub fn slow_start_shares<'a>(
         &mut self,
         cold: impl Iterator<Item = &'a str>,
@@ -278,7 +318,7 @@
         shares
     }
 
-    /// Whether fewer than half of the others are heard.
+    /// Whether fewer than half of the peers are heard.
     fn is_isolated(&self, now: Micros) -> bool {
         let starting = now < self.started_at + START_GRACE;
         let heard =
@@ -317,12 +357,13 @@
         self.peers.binary_search_by(|peer| peer.member.name.cmp(name)).ok()
     }
 
-    /// A round, where it is due.
+    /// Runs a round if one is due.
     pub fn tick(&mut self, now: Micros) -> Vec<Action> {
         if now < self.next_round {
             return Vec::new();
         }
-        // Rounds that were missed are not made up for: who stood still has nothing to say of others' silence.
+        // Missed rounds are not made up for: after a pause of this process, the silence of others proves
+        // nothing.
         let missed = now > self.next_round + 2 * ROUND_INTERVAL;
         self.next_round = now + ROUND_INTERVAL;
         for index in 0..self.peers.len() {
@@ -347,7 +388,7 @@
                 self.probe(index, now);
             }
         }
-        // At the start all are asked, not one after the other.
+        // At the start all peers are probed at once, not one after the other.
         for index in 0..self.peers.len() {
             if self.peers[index].state == PeerState::Unknown && self.peers[index].probe.is_none() {
                 self.probe(index, now);
@@ -366,7 +407,7 @@
         self.send(index, Message::Probe { number, on_behalf_of: None });
     }
 
-    /// What a probe without an answer says by now.
+    /// Acts on a probe that has not been answered so far.
     fn check_probe(&mut self, index: usize, now: Micros) {
         let peer = &self.peers[index];
         if peer.state == PeerState::Suspected && now >= peer.last_heard + GONE_TIMEOUT {
@@ -388,7 +429,7 @@
         }
         if waited >= ANSWER_TIMEOUT + INDIRECT_ANSWER_TIMEOUT {
             self.peers[index].probe = None;
-            // Heard meanwhile: it is there, whatever becomes of what is sent to it.
+            // If a packet arrived meanwhile the peer is running, even if our packets do not reach it.
             if self.peers[index].last_heard < probe.sent_at && self.peers[index].state == PeerState::Alive {
                 self.set_state(index, PeerState::Suspected);
             }
@@ -403,7 +444,8 @@
         }
     }
 
-    /// A datagram has come.
+    /// Processes a received datagram. Anything that is not a valid packet of a listed peer is counted and
+    /// dropped.
     pub fn receive(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Vec<Action> {
         let Some(index) = self.by_address.get(&from).copied() else {
             self.counters.unlisted += 1;
@@ -431,7 +473,8 @@
         let known = (peer.boot, peer.nonce);
         let newer = packet.boot > peer.boot || known == (0, 0);
         if !newer && theirs != known {
-            // Of an earlier life, or of another one with a number that is taken: it is told so, and not believed.
+            // From an earlier process run, or from another one that uses the same boot number. It is not
+            // believed; the answer to a probe carries the newest known run, so that the sender learns of it.
             self.counters.old += 1;
             if let Message::Probe { number, on_behalf_of } = packet.message {
                 self.send(index, Message::Answer { number, on_behalf_of, promise: None });
@@ -440,7 +483,7 @@
         }
         if newer && theirs != known {
             (peer.boot, peer.nonce, peer.has_heard_us) = (packet.boot, packet.nonce, false);
-            // Told anew, also where it was alive before: it is another life.
+            // Forces an event even if the peer was alive before: it is another process run.
             peer.state = PeerState::Unknown;
         }
         peer.last_heard = now;
@@ -488,7 +531,7 @@
         self.send_differing_overrides(index, now);
     }
 
-    /// Probes somebody for `asker`, who cannot reach it.
+    /// Probes `target` on behalf of `asker`, which cannot reach it.
     fn probe_for(&mut self, asker: usize, target: u16, theirs: u64) {
         let Some(target) = self.peer_at(target).filter(|target| *target != asker) else { return };
         if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
@@ -501,7 +544,7 @@
         self.send(target, Message::Probe { number, on_behalf_of });
     }
 
-    /// A peer whose link to us is cut has answered somebody else.
+    /// A peer that we cannot reach has answered another dispatcher.
     fn handle_indirect_answer(&mut self, target: u16, number: u64, boot: u64, now: Micros) {
         let Some(index) = self.peer_at(target) else { return };
         let peer = &mut self.peers[index];
@@ -512,7 +555,7 @@
         }
     }
 
-    /// Sends a peer what it has otherwise, a few datagrams at a time.
+    /// Sends a peer the entries that differ, a few datagrams at a time.
     fn send_differing_overrides(&mut self, index: usize, now: Micros) {
         let theirs = self.peers[index].digest.overrides;
         if theirs == self.overrides.digest()
@@ -522,7 +565,7 @@
         }
         self.peers[index].overrides_sent_at = now;
         let mut entries: Vec<AdminOverride> = self.overrides.differing(&theirs).cloned().collect();
-        // Where there are too many, on from where the last time ended.
+        // If there are too many, continue where the previous batch ended.
         let start = entries.partition_point(|entry| entry.runner <= self.peers[index].last_sent_runner);
         entries.rotate_left(start);
         let empty_length = seal(&self.packet(index, Message::AdminOverrides(Vec::new()))).len();
@@ -530,7 +573,7 @@
         for _ in 0..MAX_OVERRIDE_PACKETS {
             let (mut batch, mut length) = (Vec::new(), empty_length + 8);
             while let Some(entry) = entries.next_if(|entry| {
-                // Its runner's id, and the most that its numbers take.
+                // The runner's id, and an upper bound for the encoded numbers.
                 length += entry.runner.len() + 64;
                 length <= MAX_PACKET_BYTES
             }) {
--- a/peers/src/peers/tests.rs
+++ b/peers/src/peers/tests.rs
@@ -1,4 +1,5 @@
-//! Several cores and the links between them, in virtual time: lost, doubled, reordered and one-way datagrams.
+//! Several dispatchers and the links between them, in virtual time: lost, duplicated, reordered and one-way
+//! datagrams.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,41 +13,44 @@
 struct Net {
     now: Micros,
     cores: Vec<Option<Peers>>,
-    /// When, in order, from, to, bytes.
+    /// Arrival time, sequence number, sender, receiver, bytes.
     in_flight: BinaryHeap<Reverse<InFlight>>,
     sequence: u64,
     random: Pcg32,
-    /// Of a thousand datagrams.
+    /// Lost datagrams, of a thousand.
     loss: u32,
+    /// Duplicated datagrams, of a thousand.
     duplicated: u32,
     cut_links: Vec<(usize, usize)>,
     events: Vec<(usize, PeerEvent)>,
-    spenders: Vec<Spender>,
+    senders: Vec<Sender>,
 }
 
-/// What spends a core's portion of one cold runner's budget, all of it as soon as it may, as the module counts it.
+/// Sends work to one cold runner, as much as its dispatcher's share allows and as early as possible, by the
+/// module's own rule.
 #[derive(Clone, Default)]
-struct Spender {
-    /// Its own clock: so far ahead, and so many parts in a thousand faster.
+struct Sender {
+    /// Its clock is this far ahead.
     ahead: Micros,
+    /// Its clock runs faster by this many parts in a thousand.
     faster: Micros,
     share: Option<SlowStartShare>,
-    /// By the true clock, and by its own.
+    /// Work sent: true time, time by its own clock, work.
     sent: Vec<(Micros, Micros, f64)>,
     paused_until: Micros,
     frozen: bool,
-    /// A faulty twin: it takes the whole account for its own.
+    /// A faulty variant that uses the whole budget.
     takes_all: bool,
 }
 
 const OVERLOAD_WINDOW: Micros = 2_000_000;
 
-impl Spender {
+impl Sender {
     fn clock(&self, now: Micros) -> Micros {
         self.ahead + now + now * self.faster / 1_000
     }
 
-    fn spend(&mut self, now: Micros, job: f64, all: usize) {
+    fn send_all(&mut self, now: Micros, job: f64, all: usize) {
         let own = self.clock(now);
         if self.frozen || now < self.paused_until {
             return;
@@ -87,7 +91,7 @@
             duplicated: 0,
             cut_links: Vec::new(),
             events: Vec::new(),
-            spenders: vec![Spender::default(); all],
+            senders: vec![Sender::default(); all],
         };
         (0..all).for_each(|nth| net.begin(nth, 1));
         net
@@ -99,48 +103,48 @@
             .map(|other| Member { name: name(other), address: address(other) })
             .collect();
         let (nonce, seed) = (self.random.random(), self.random.random());
-        let now = self.spenders[nth].clock(self.now);
+        let now = self.senders[nth].clock(self.now);
         let mut core = Peers::new(&name(nth), members, (boot, nonce), seed, now);
         core.configure(self.cores.len(), OVERLOAD_WINDOW);
         self.cores[nth] = Some(core);
     }
 
-    /// A life ends, its words are lost with it; the next one rests as `recovery` has it.
+    /// Restarts a process, which loses its state; the new run pauses cold runners as `recovery` does.
     fn restart(&mut self, nth: usize, boot: u64) {
         self.begin(nth, boot);
-        self.spenders[nth].share = None;
-        self.spenders[nth].paused_until = self.now + OVERLOAD_WINDOW;
+        self.senders[nth].share = None;
+        self.senders[nth].paused_until = self.now + OVERLOAD_WINDOW;
     }
 
-    /// All spend what they may for a span; gives the share of the budget that was used in the mean.
-    fn spend(&mut self, span: Micros, job: f64) -> f64 {
+    /// All send what they may for a span. Returns the mean share of the budget that was used.
+    fn send_all(&mut self, span: Micros, job: f64) -> f64 {
         const STEP: Micros = 10_000;
         let (from, all) = (self.now, self.cores.len());
         while self.now < from + span {
             self.run(STEP);
             let now = self.now;
-            self.spenders.iter_mut().for_each(|spender| spender.spend(now, job, all));
+            self.senders.iter_mut().for_each(|sender| sender.send_all(now, job, all));
         }
-        let sent = self.spenders.iter().flat_map(|spender| &spender.sent);
+        let sent = self.senders.iter().flat_map(|sender| &sender.sent);
         let sent: f64 = sent.filter(|(at, ..)| *at > from).map(|(.., work)| work).sum();
         sent * OVERLOAD_WINDOW as f64 / span as f64
     }
 
-    /// The most that all together have sent in any span that the rule looks at.
+    /// The most work that all together have sent in any overload window.
     fn max_sent_in_window(&self) -> f64 {
-        let sent = self.spenders.iter().flat_map(|spender| &spender.sent);
+        let sent = self.senders.iter().flat_map(|sender| &sender.sent);
         let mut sent: Vec<(Micros, f64)> = sent.map(|(at, _, work)| (*at, *work)).collect();
         sent.sort_by_key(|(at, _)| *at);
-        let (mut from, mut sum, mut most) = (0, 0.0, 0.0);
+        let (mut from, mut sum, mut max_sent) = (0, 0.0, 0.0);
         for nth in 0..sent.len() {
             sum += sent[nth].1;
             while sent[from].0 <= sent[nth].0 - OVERLOAD_WINDOW {
                 sum -= sent[from].1;
                 from += 1;
             }
-            most = f64::max(most, sum);
+            max_sent = f64::max(max_sent, sum);
         }
-        most
+        max_sent
     }
 
     fn act(&mut self, nth: usize, actions: Vec<Action>) {
@@ -154,7 +158,7 @@
                         let lost = self.random.random_range(0..1_000) < self.loss;
                         let sent = copy == 0 || self.random.random_range(0..1_000) < self.duplicated;
                         if sent && !lost && !self.cut_links.contains(&(nth, to)) {
-                            // Up to 20 ms, so that they overtake one another.
+                            // Up to 20 ms, so that datagrams overtake one another.
                             let at = self.now + self.random.random_range(200..20_000);
                             self.sequence += 1;
                             self.in_flight.push(Reverse((at, self.sequence, nth, to, bytes.clone())));
@@ -168,16 +172,13 @@
     fn run(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
-            // By the true clock, whatever each core's own says.
+            // In true time, whatever the clocks of the dispatchers say.
             let due = |nth: usize, core: &Option<Peers>| {
-                let spender = &self.spenders[nth];
-                let left = core.as_ref()?.next_tick() - spender.clock(self.now);
-                Some((
-                    self.now + left.max(0) * 1_000 / (1_000 + spender.faster) + Micros::from(left > 0),
-                    nth,
-                ))
+                let sender = &self.senders[nth];
+                let left = core.as_ref()?.next_tick() - sender.clock(self.now);
+                Some((self.now + left.max(0) * 1_000 / (1_000 + sender.faster) + Micros::from(left > 0), nth))
             };
-            let awake = |nth: &usize| !self.spenders[*nth].frozen;
+            let awake = |nth: &usize| !self.senders[*nth].frozen;
             let dues = self.cores.iter().enumerate().filter(|(nth, _)| awake(nth));
             let dues = dues.filter_map(|(nth, core)| due(nth, core));
             let round = dues.min();
@@ -185,21 +186,21 @@
             match (round, packet) {
                 (Some((due, nth)), packet) if due <= end && packet.is_none_or(|at| due <= at) => {
                     self.now = self.now.max(due);
-                    let now = self.spenders[nth].clock(self.now);
+                    let now = self.senders[nth].clock(self.now);
                     let core = self.cores[nth].as_mut().unwrap();
                     let actions = core.tick(now);
-                    self.spenders[nth].share = core.slow_start_shares(["r1"].into_iter(), now).pop();
+                    self.senders[nth].share = core.slow_start_shares(["r1"].into_iter(), now).pop();
                     self.act(nth, actions);
                 }
                 (_, Some(at)) if at <= end => {
                     self.now = at;
                     let Some(Reverse((_, _, from, to, bytes))) = self.in_flight.pop() else { return };
-                    if self.spenders[to].frozen {
-                        // It waits in the socket until the process goes on.
+                    if self.senders[to].frozen {
+                        // It waits in the socket until the process continues.
                         self.sequence += 1;
                         self.in_flight.push(Reverse((at + 50_000, self.sequence, from, to, bytes)));
                     } else if let Some(core) = &mut self.cores[to] {
-                        let actions = core.receive(self.spenders[to].clock(at), address(from), &bytes);
+                        let actions = core.receive(self.senders[to].clock(at), address(from), &bytes);
                         self.act(to, actions);
                     }
                 }
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn all_hear_of_all_and_of_a_call_at_once() {
+fn all_peers_meet_and_an_override_reaches_all_immediately() {
     let mut net = Net::new(9, 1);
     net.run(300_000);
     for nth in 0..9 {
@@ -239,7 +240,7 @@
     net.call(3, "r1", true);
     net.run(50_000);
     assert!((0..9).all(|nth| net.out(nth, "r1") == Some(true)));
-    // The later call holds, whoever makes it.
+    // The later override wins, whichever dispatcher makes it.
     net.call(5, "r1", false);
     net.run(50_000);
     assert!((0..9).all(|nth| net.out(nth, "r1") == Some(false)));
@@ -253,7 +254,7 @@
 }
 
 #[test]
-fn a_call_reaches_who_was_cut_off_and_both_sides_come_to_the_same() {
+fn an_override_reaches_cut_off_peers_and_both_sides_converge() {
     let mut net = Net::new(5, 2);
     net.run(500_000);
     let sides: Vec<(usize, usize)> =
@@ -274,14 +275,14 @@
 }
 
 #[test]
-fn a_cut_link_is_no_dead_peer_and_a_dead_peer_is_found() {
+fn a_cut_link_is_not_a_dead_peer_and_a_dead_peer_is_detected() {
     let mut net = Net::new(6, 3);
     net.run(500_000);
     // d0 and d1 do not hear each other, all others hear both.
     net.cut_links = vec![(0, 1), (1, 0)];
     net.run(20_000_000);
     assert_eq!((net.state(0, 1), net.state(1, 0)), (PeerState::Alive, PeerState::Alive));
-    // One way: who is heard is there, whatever becomes of what is sent to it.
+    // One-way loss: a peer whose packets arrive is alive, even if it receives nothing.
     net.cut_links = (1..6).map(|to| (0, to)).collect();
     net.run(4_000_000);
     assert_eq!((net.state(0, 2), net.state(2, 0)), (PeerState::Alive, PeerState::Suspected));
@@ -296,7 +297,7 @@
 }
 
 #[test]
-fn a_life_with_a_number_that_is_taken_is_told_so_and_not_believed() {
+fn a_run_with_a_taken_boot_number_learns_of_it_and_is_not_believed() {
     let mut net = Net::new(4, 4);
     (0..4).for_each(|nth| net.core(nth).set_boot(7));
     net.run(1_000_000);
@@ -317,10 +318,10 @@
 }
 
 #[test]
-fn an_earlier_lifes_words_are_dropped() {
+fn packets_of_an_earlier_run_are_dropped() {
     let mut net = Net::new(3, 5);
     net.run(1_000_000);
-    // What d1 had sent in its first life comes only now.
+    // A packet that d1 sent in its first process run arrives only now.
     let late = seal(&net.core(1).packet(
         0,
         Message::AdminOverrides(vec![AdminOverride {
@@ -335,7 +336,7 @@
     let now = net.now;
     assert_eq!(net.core(0).receive(now, address(1), &late), []);
     assert!(net.out(0, "r1").is_none() && net.core(0).counters.old == 1);
-    // Strangers and garbage are counted and change nothing.
+    // Packets from unlisted senders and malformed ones are counted and change nothing.
     assert_eq!(net.core(0).receive(now, SocketAddr::from(([127, 0, 0, 9], 1)), &late), []);
     assert_eq!(net.core(0).receive(now, address(2), &late), []);
     assert_eq!(net.core(0).receive(now, address(2), b"tp"), []);
@@ -343,9 +344,9 @@
     assert_eq!((counts.unlisted, counts.bad), (2, 1));
 }
 
-/// How long until all have a call, and false suspicions, at several losses.
+/// At several loss rates, an override must reach all dispatchers within a bound, with few false suspicions.
 #[test]
-fn under_loss_words_still_reach_all_and_few_are_suspected() {
+fn under_loss_overrides_reach_all_and_few_peers_are_suspected() {
     for (loss, within, suspected_most) in [(0, 100_000, 0), (200, 3_000_000, 10), (400, 6_000_000, 120)] {
         let mut net = Net::new(9, 6);
         (net.loss, net.duplicated) = (loss, 200);
@@ -368,7 +369,7 @@
 }
 
 #[test]
-fn thousands_of_hands_reach_one_that_begins_with_none() {
+fn thousands_of_overrides_reach_a_peer_that_starts_with_none() {
     let mut net = Net::new(3, 7);
     net.run(500_000);
     for nth in 0..2_000 {
@@ -381,7 +382,7 @@
 }
 
 #[test]
-fn at_rest_little_is_said_in_a_large_fleet() {
+fn an_idle_large_fleet_sends_little() {
     let mut net = Net::new(100, 8);
     net.run(2_000_000);
     let before = net.core(0).counters;
@@ -391,29 +392,29 @@
     assert!(bytes < 8_000, "{bytes} bytes a second");
 }
 
-/// What the account is for: of one cold runner's budget all together never have more than the whole, whatever happens
-/// to links, processes and clocks, and use most of it where links are whole.
+/// Guards the purpose of the allocator: whatever happens to links, processes and clocks, all dispatchers
+/// together never send a cold runner more than its budget, and they use most of it while links are up.
 #[test]
-fn all_together_never_have_more_than_the_account() {
+fn all_dispatchers_together_never_exceed_the_budget() {
     let mut used = Vec::new();
     for (loss, seed) in [(0, 1), (200, 5), (400, 3)] {
         let all = 9;
         let mut net = Net::new(all, seed);
-        for spender in &mut net.spenders {
-            // Two of the clocks were set wrong; all run at rates of their own.
-            spender.ahead = [0, 5_000_000, -40_000_000_000][seed as usize % 3];
-            spender.faster = net.random.random_range(-5..=5);
+        for sender in &mut net.senders {
+            // Two of three runs set the clocks wrong; all clocks run at rates of their own.
+            sender.ahead = [0, 5_000_000, -40_000_000_000][seed as usize % 3];
+            sender.faster = net.random.random_range(-5..=5);
         }
         (0..all).for_each(|nth| net.begin(nth, 1));
         net.loss = loss;
         net.duplicated = 100;
         net.run(3_000_000);
-        used.push((loss, net.spend(10_000_000, 0.005)));
+        used.push((loss, net.send_all(10_000_000, 0.005)));
         let mut boots = vec![1; all];
         for _ in 0..20 {
             match net.random.random_range(0..5) {
                 0 => {
-                    // A machine's links, or some of them one way.
+                    // Cuts one link in one direction.
                     let (from, to) = (net.random.random_range(0..all), net.random.random_range(0..all));
                     net.cut_links.extend([(from, to)]);
                 }
@@ -430,36 +431,37 @@
                 }
                 _ => {
                     let nth = net.random.random_range(0..all);
-                    net.spenders[nth].frozen ^= true;
+                    net.senders[nth].frozen ^= true;
                 }
             }
             let span = net.random.random_range(0..15_000_000);
-            net.spend(span, 0.005);
+            net.send_all(span, 0.005);
         }
-        let most = net.max_sent_in_window();
-        assert!(most <= 1.0 + 1e-9, "{most} at {loss} of a thousand lost, seed {seed}");
-        assert!(most > 0.5, "{most}: nobody has used it");
+        let max_sent = net.max_sent_in_window();
+        assert!(max_sent <= 1.0 + 1e-9, "{max_sent} at {loss} of a thousand lost, seed {seed}");
+        assert!(max_sent > 0.5, "{max_sent}: the budget was hardly used");
     }
-    // Whole links; what a fifth and two fifths of lost datagrams cost is stated in docs/peers.md.
+    // With all links up. docs/peers.md states what one and two fifths of lost datagrams cost.
     for (loss, used) in used {
         let least = [0.9, 0.85, 0.6][loss as usize / 200];
         assert!(used > least, "{used} used at {loss} of a thousand lost");
     }
 }
 
-/// Whoever takes the whole account for its own is seen by the sum.
+/// Checks the test itself: a dispatcher that uses the whole budget must show up in the sum.
 #[test]
-fn one_that_spends_alone_is_seen() {
+fn a_dispatcher_that_uses_the_whole_budget_is_detected() {
     let mut net = Net::new(9, 1);
-    net.spenders[4].takes_all = true;
+    net.senders[4].takes_all = true;
     net.run(3_000_000);
-    net.spend(10_000_000, 0.02);
+    net.send_all(10_000_000, 0.02);
     assert!(net.max_sent_in_window() > 1.5, "{}", net.max_sent_in_window());
 }
 
-/// A disk that opens after the others were met: what it holds is told to them, and undoes no call that was made since.
+/// A disk that opens after the peers have been met: its entries are sent to them, and do not undo an override
+/// made since the start.
 #[test]
-fn what_a_late_disk_holds_is_told_and_undoes_no_call() {
+fn entries_of_a_late_disk_are_sent_and_undo_no_override() {
     let mut net = Net::new(3, 1);
     net.run(300_000);
     net.call(0, "r1", false);
--- a/peers/src/slow_start.rs
+++ b/peers/src/slow_start.rs
@@ -1,68 +1,81 @@
-//! One account for what all dispatchers together may send a cold runner: who may spend which portion of it, now.
+//! Division of each cold runner's slow-start budget among all dispatchers: the share that one may send now.
 //!
-//! Each dispatcher has an even share of each cold runner's budget. Few are the owners of a runner, by its name and
-//! theirs; all others promise in their answers to probes to send it nothing for a span, and their shares are the owners'
-//! for a shorter one. Portions so never overlap: their sum is the budget at any moment, whatever is lost, late, doubled or
-//! cut, and no record of what was sent has to travel. It must never count a promise for longer than it is kept.
+//! Each dispatcher starts with an equal share of every cold runner's budget. A few dispatchers own a runner,
+//! chosen by a hash of its name and theirs. All others promise in their answers to probes to send that runner
+//! nothing for a promise span, and the owners use their shares for a shorter one. Shares therefore never
+//! overlap: at any time they add up to at most the budget, however many packets are lost, delayed or
+//! duplicated and whatever links are cut, and no record of what was sent has to be exchanged. A promise is
+//! never counted for longer than it is kept.
 //!
-//! Spans only: a promise runs at its giver from the answer, at its taker from the probe that this answers, which was
-//! earlier. Both clocks may be off by any time, and run apart by less than a twentieth.
+//! Only durations matter: the giver counts a promise from its answer, the receiver from the probe that was
+//! answered, which is earlier. The clocks may differ by any amount, and their rates by less than 1/20.
 //!
-//! Source: leases (Gray, Cheriton 1989); shares that are handed on, as in escrow (O'Neil 1986); owners by highest random
-//! weight (Thaler, Ravishankar 1998).
+//! Sources: leases (Gray, Cheriton 1989); shares that are passed on, as in escrow (O'Neil 1986); owners by
+//! highest random weight (Thaler, Ravishankar 1998).
 
 use std::collections::BTreeMap;
 
 use crate::{Micros, mix};
 
-/// Owners of each runner. Measured from one to eight (docs/peers.md): with more a portion is less than a job, with fewer
-/// the loss of one machine of three takes the account of many runners with it.
+/// Owners of each runner. Measured from one to eight (docs/peers.md): with more, a share is smaller than one
+/// job; with fewer, the loss of one machine out of three takes the budgets of many runners with it.
 pub const OWNERS_PER_RUNNER: usize = 3;
-/// Promises last so long, for each other dispatcher and at least and at most: each must be asked again within it.
+/// A promise lasts this long per dispatcher, within the bounds below: every other dispatcher must be probed
+/// again within it.
 const PROMISE_SPAN_PER_DISPATCHER: Micros = 40_000;
+/// Lower bound of the promise span.
 const MIN_PROMISE_SPAN: Micros = 4_000_000;
+/// Upper bound of the promise span.
 const MAX_PROMISE_SPAN: Micros = 16_000_000;
-/// What left before a promise began is on its way no longer.
+/// What was sent before a promise began has arrived after this time.
 const IN_FLIGHT_MARGIN: Micros = 500_000;
-/// A portion is good for this after it was told, and must be told again before.
+/// A share is valid for this time after it was granted and must be granted again before it ends.
 pub const SHARE_VALIDITY: Micros = 500_000;
-/// Runners whose owners are remembered.
+/// Most runners whose owners are cached.
 const MAX_CACHED_RUNNERS: usize = 16_384;
 
-/// What one dispatcher may send a cold runner: this share of its budget until then, an even share afterwards.
+/// What one dispatcher may send a cold runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartShare {
+    /// Share of the runner's slow-start budget, 0 to 1.
     pub share: f64,
+    /// End of its validity; afterwards the equal share holds.
     pub until: Micros,
 }
 
+/// Computes the shares of one dispatcher.
 pub struct SlowStartAllocator {
-    /// All dispatchers by their names' hashes, in the order of names; which of them is this one.
+    /// Name hashes of all dispatchers, in the order of their names.
     name_hashes: Vec<u64>,
+    /// Index of this dispatcher.
     own: usize,
-    /// What tells this list of dispatchers from another one: who goes by another one has other owners.
+    /// Hash of the dispatcher list. A dispatcher with another list computes other owners, so its promises do
+    /// not count.
     pub dispatchers_hash: u32,
-    /// The dispatchers that the settings count, where these are more.
+    /// Number of dispatchers: the number in the settings if that is larger than the list.
     dispatcher_count: usize,
-    /// The span that the rule on cold runners looks at.
+    /// The window in which work counts towards a cold runner's slow-start budget.
     overload_window: Micros,
+    /// When this process run began.
     started_at: Micros,
-    /// Nothing is sent to other owners' runners until then; who asks from `gives_from` on is promised so.
+    /// Until then nothing is sent to runners of other owners.
     withholds_until: Micros,
+    /// From then on answers may carry a promise.
     promises_from: Micros,
-    /// By place: until when its promise to us counts.
+    /// For each dispatcher, until when its promise to this one counts.
     promised_until: Vec<Micros>,
+    /// Cached owners, by runner.
     owners_by_runner: BTreeMap<String, Vec<u16>>,
 }
 
 fn hash(text: &str) -> u64 {
     let bytes = text.as_bytes();
-    // Two halves, as a checksum alone has 32 bits.
+    // The length adds variety, as a checksum alone has 32 bits.
     mix(u64::from(crc32fast::hash(bytes)) << 32 | bytes.len() as u64)
 }
 
 impl SlowStartAllocator {
-    /// `names` in order. A life that begins holds to whatever an earlier one may have promised.
+    /// `names` must be sorted. A new process run keeps whatever an earlier one may have promised.
     pub fn new(names: &[String], own: &str, now: Micros) -> SlowStartAllocator {
         let own = names.binary_search_by(|name| name.as_str().cmp(own)).unwrap_or(0);
         let mut allocator = SlowStartAllocator {
@@ -81,43 +94,45 @@
         allocator
     }
 
-    /// What the settings say: how many dispatchers there are, and which span the rule on cold runners looks at.
+    /// Applies the settings: the number of dispatchers, and the overload window.
     pub fn configure(&mut self, dispatchers: usize, overload_window: Micros) {
         (self.dispatcher_count, self.overload_window) =
             (dispatchers.max(self.name_hashes.len()), overload_window);
-        // What an earlier life may have promised lasts as long as this one's promises do.
+        // What an earlier process run may have promised lasts as long as the promises of this one.
         self.withholds_until = self.withholds_until.max(self.started_at + self.promise_span());
     }
 
-    /// How long a promise lasts, from the answer that makes it.
+    /// How long a promise lasts, counted from the answer that carries it.
     pub fn promise_span(&self) -> Micros {
         (PROMISE_SPAN_PER_DISPATCHER * self.name_hashes.len() as Micros)
             .clamp(MIN_PROMISE_SPAN, MAX_PROMISE_SPAN)
             + self.overload_window
     }
 
-    /// How long one counts, from the probe that was answered: what was sent at its very end is out of the rule's sight
-    /// before the giver sends anything again.
+    /// How long a received promise counts, from the probe that was answered. What is sent at the very end of
+    /// it has left the overload window before the giver sends anything again.
     fn counted_span(&self) -> Micros {
         self.promise_span() / 20 * 19 - self.overload_window - IN_FLIGHT_MARGIN
     }
 
-    /// Each other one is to be asked again within this.
+    /// Every other dispatcher should be probed again within this time.
     pub fn renewal_interval(&self) -> Micros {
         self.counted_span() / 2
     }
 
-    /// Once in each round, before portions are told: `alone` where fewer than half of the others are heard. Whoever is
-    /// cut off goes back to its even share, once what it has promised is over.
+    /// Called once per round, before shares are granted; `isolated` if fewer than half of the peers are
+    /// heard. An isolated dispatcher returns to its equal share once its own promise has ended.
     pub fn start_round(&mut self, isolated: bool, now: Micros) {
         if !isolated && now > self.withholds_until {
-            // It may have sent its share until now: it holds from here on, and says so once that is out of sight.
+            // It may have used its share until now: it withholds from now on, and promises that only once
+            // what it sent has left the overload window.
             self.withholds_until = now + self.promise_span();
             self.promises_from = now + self.overload_window + IN_FLIGHT_MARGIN;
         }
     }
 
-    /// Whether an answer that leaves now may promise to send nothing to others' runners, for [`SlowStartAllocator::promise_span`].
+    /// Whether an answer that is sent now may promise to send nothing to other owners' runners for
+    /// [`SlowStartAllocator::promise_span`]. If so, the promise is recorded here.
     pub fn try_promise(&mut self, isolated: bool, now: Micros) -> bool {
         let promises = !isolated && now <= self.withholds_until && now >= self.promises_from;
         if promises {
@@ -126,7 +141,7 @@
         promises
     }
 
-    /// Another one has promised, in answer to a probe that left then.
+    /// Another dispatcher has promised, in its answer to a probe sent at `probed_at`.
     pub fn record_promise(&mut self, dispatcher: usize, probed_at: Micros) {
         let until = probed_at + self.counted_span();
         if let Some(known) = self.promised_until.get_mut(dispatcher) {
@@ -134,19 +149,19 @@
         }
     }
 
-    /// Whether another one's promise counts until a portion told now is over.
+    /// Whether another dispatcher's promise still counts at the end of a share granted now.
     fn promise_covers(&self, dispatcher: usize, now: Micros) -> bool {
         dispatcher != self.own && self.promised_until[dispatcher] >= now + SHARE_VALIDITY
     }
 
-    /// What this dispatcher may send each of these runners, in the same order.
+    /// The shares of this dispatcher for these runners, in the same order.
     pub fn shares<'a>(&mut self, runners: impl Iterator<Item = &'a str>, now: Micros) -> Vec<SlowStartShare> {
         let promising =
             (0..self.promised_until.len()).filter(|dispatcher| self.promise_covers(*dispatcher, now)).count();
         let share_of = |runner: &str| {
             let owners = self.owners_of(runner);
             if !owners.contains(&(self.own as u16)) {
-                // A promise may have been made since, and the next round not come.
+                // A promise may be made after this, before the next round.
                 return SlowStartShare { share: 0.0, until: self.withholds_until + SHARE_VALIDITY };
             }
             let non_owners = promising
--- a/peers/src/slow_start/tests.rs
+++ b/peers/src/slow_start/tests.rs
@@ -1,4 +1,4 @@
-//! The sum of what all may send, with dispatchers that spend all that they may at once.
+//! The allocator's promises and shares, without any network.
 
 use super::*;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn all_find_the_same_owners_and_few_own_much() {
+fn all_dispatchers_compute_the_same_evenly_spread_owners() {
     let mut all: Vec<SlowStartAllocator> = (0..9).map(|nth| allocator(nth, 9, 0)).collect();
     let mut owned = [0; 9];
     for r in 0..200 {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn whoever_begins_holds_and_owners_have_what_others_promise() {
+fn a_new_run_withholds_and_owners_use_what_others_promise() {
     let now = 100_000_000;
     let mut all: Vec<SlowStartAllocator> = (0..9).map(|nth| allocator(nth, 9, now)).collect();
     let owners = all[0].owners_of("r1");
@@ -45,23 +45,23 @@
         assert!(gave);
         all[owner].record_promise(nth, now);
     }
-    // Its own share, and a third of the six that are no owners.
+    // Its own share, and a third of each of the six non-owners' shares.
     assert_eq!(share(&mut all[owner], now).share, (1.0 + 6.0 / 3.0) / 9.0);
-    // What is counted ends, with the rule's span, before what is held.
+    // The counted span plus the overload window ends before the giver stops withholding.
     let end = now + all[owner].counted_span();
     assert_eq!(share(&mut all[owner], end - SHARE_VALIDITY + 1).share, 1.0 / 9.0);
     assert!(end + 2_000_000 < now + 10 + all[other].promise_span());
 }
 
 #[test]
-fn who_is_cut_off_has_its_even_share_again_and_comes_back_only_after_a_rest() {
+fn an_isolated_dispatcher_returns_to_its_equal_share_and_promises_again_only_after_a_pause() {
     let mut one = allocator(0, 9, 0);
     assert!(one.try_promise(false, 10));
     let span = one.promise_span();
     assert!(!one.try_promise(true, 20));
     one.start_round(true, 10 + span + 1);
-    assert!(one.withholds_until < 10 + span + 1, "its portion is over");
-    assert!(!one.try_promise(false, 10 + span + 2), "it may have spent");
+    assert!(one.withholds_until < 10 + span + 1, "its promise has ended");
+    assert!(!one.try_promise(false, 10 + span + 2), "it may have used its share");
     let back = 10 + span + 3;
     one.start_round(false, back);
     assert!(one.withholds_until >= back + span);
