--- a/store/examples/stores.rs
+++ b/store/examples/stores.rs
@@ -1,9 +1,9 @@
-//! The two ways weighed for the store, measured: our log with snapshots, and redb over a backend of its own.
+//! Compares the two candidates for the store: our log with snapshots, and redb with its own file backend.
 //!
 //!     cargo run --release -p topazsail-store --example stores -- FOLDER
 //!
-//! For each: time of one small record with its sync, bytes on the disk, start with 10,000 runners; and what becomes of
-//! a file of which one byte has flipped.
+//! For each it measures the time of one small record with its sync, the bytes on the disk, and the start with
+//! 10,000 runners; for redb also what happens to a file with one flipped byte.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
@@ -17,12 +17,12 @@
 const SYNCS: usize = 200;
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
 
-/// About what discovery tells of one runner.
+/// About what discovery reports for one runner.
 fn entry(nth: usize) -> Vec<u8> {
     format!("{{\"instanceId\":\"r{nth}\",\"hostPort\":\"10.0.0.1:{nth}\",\"zone\":\"brisbane\",\"machineType\":\"fast\",\"cell\":{nth},\"lifecycle\":\"up\",\"weight\":1.0,\"startedAtMs\":1700000000000}}").into_bytes()
 }
 
-fn middle(mut times: Vec<Duration>) -> (Duration, Duration) {
+fn median_and_p99(mut times: Vec<Duration>) -> (Duration, Duration) {
     times.sort_unstable();
     (times[times.len() / 2], times[times.len() * 99 / 100])
 }
@@ -32,7 +32,7 @@
     files.map(|file| file.unwrap().metadata().unwrap().len()).sum()
 }
 
-fn ours(folder: &Path) -> Result<(), Box<dyn std::error::Error>> {
+fn measure_log(folder: &Path) -> Result<(), Box<dyn std::error::Error>> {
     std::fs::create_dir_all(folder)?;
     let open =
         || Store::open(Box::new(DirectoryDisk::new(folder)), "d0", 1, 1).map_err(|error| error.to_string());
@@ -57,12 +57,12 @@
     let (store, _) = open()?;
     let start = began.elapsed();
     assert_eq!(store.records().len(), RUNNERS + 1);
-    let (half, most) = middle(times);
-    println!("log: sync p50 {half:?} p99 {most:?}, start {start:?}, {} bytes in all", size(folder));
+    let (median, p99) = median_and_p99(times);
+    println!("log: sync p50 {median:?} p99 {p99:?}, start {start:?}, {} bytes in all", size(folder));
     Ok(())
 }
 
-fn theirs(folder: &Path) -> Result<(), Box<dyn std::error::Error>> {
+fn measure_redb(folder: &Path) -> Result<(), Box<dyn std::error::Error>> {
     std::fs::create_dir_all(folder)?;
     let path = folder.join("redb");
     let base = Database::create(&path)?;
@@ -86,13 +86,13 @@
     let found = read.open_table(TABLE)?.iter()?.count();
     let start = began.elapsed();
     assert_eq!(found, RUNNERS + 1);
-    let (half, most) = middle(times);
-    println!("redb: sync p50 {half:?} p99 {most:?}, start {start:?}, {} bytes in all", size(folder));
+    let (median, p99) = median_and_p99(times);
+    println!("redb: sync p50 {median:?} p99 {p99:?}, start {start:?}, {} bytes in all", size(folder));
     Ok(())
 }
 
-/// One byte of a small redb file flipped, in many places: opened, all read, and compared.
-fn flips(folder: &Path) -> Result<(), Box<dyn std::error::Error>> {
+/// Flips one byte of a small redb file, in many places, and compares what can be read.
+fn flip_bytes(folder: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let path = folder.join("small");
     let base = Database::create(&path)?;
     let write = base.begin_write()?;
@@ -106,9 +106,9 @@
     let (mut right, mut wrong, mut refused, mut panicked) = (0, 0, 0, 0);
     std::panic::set_hook(Box::new(|_| ()));
     for at in used.iter().step_by(3) {
-        let mut spoilt = good.clone();
-        spoilt[*at] ^= 0x11;
-        std::fs::write(&path, &spoilt)?;
+        let mut damaged = good.clone();
+        damaged[*at] ^= 0x11;
+        std::fs::write(&path, &damaged)?;
         let read = catch_unwind(AssertUnwindSafe(|| -> Result<bool, Box<dyn std::error::Error>> {
             let base = Database::open(&path)?;
             let read = base.begin_read()?;
@@ -135,9 +135,9 @@
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let folder = std::env::args().nth(1).ok_or("wants a folder")?;
+    let folder = std::env::args().nth(1).ok_or("expected one argument: a folder")?;
     let folder = Path::new(&folder);
-    ours(&folder.join("log"))?;
-    theirs(&folder.join("base"))?;
-    flips(&folder.join("base"))
+    measure_log(&folder.join("log"))?;
+    measure_redb(&folder.join("base"))?;
+    flip_bytes(&folder.join("base"))
 }
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -1,7 +1,8 @@
-//! The layer at the bottom: the few things that a store does to one folder.
+//! The lowest layer: the few operations that a store performs on one directory.
 //!
-//! It owns what "on the disk" means: bytes of a file after [`Disk::sync`], names after [`Disk::sync_directory`]. All that
-//! is not synced may be there after a crash, in part, or not. It must never hide a fault.
+//! It defines what "on the disk" means: the bytes of a file after [`Disk::sync`], file names after
+//! [`Disk::sync_directory`]. Anything that is not synced may be there after a crash, wholly, in part, or not
+//! at all. Errors are always passed on.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -12,17 +13,17 @@
 
 use crate::Micros;
 
-/// Which life of which machine this is: after a loss of power it is another one, and has been up since then only.
+/// The machine and its boot: after a power loss the boot id is another one, and the uptime starts at zero.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Machine {
-    /// Another one after each start of the machine.
+    /// Changes with each boot of the machine; empty if unknown.
     pub boot_id: String,
-    /// How long it has been up: its monotonic clock, which all its processes share.
+    /// Time since the boot, from the monotonic clock that all processes of the machine share.
     pub uptime: Micros,
 }
 
 impl Machine {
-    /// The machine that this process runs on; without a name where the system does not tell.
+    /// The machine that this process runs on, with an empty boot id if the system does not report one.
     pub fn current() -> Machine {
         static BOOT_ID: OnceLock<String> = OnceLock::new();
         let read = || fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
@@ -33,37 +34,44 @@
     }
 }
 
-/// One folder. Names are plain file names. Errors are those of the file system.
+/// One directory. Names are plain file names; errors are those of the file system.
 pub trait Disk: Send {
+    /// All file names.
     fn list(&mut self) -> io::Result<Vec<String>>;
+    /// The whole content of a file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// An empty file; an older one of that name is gone.
+    /// Creates an empty file; an existing file of that name is replaced.
     fn create(&mut self, name: &str) -> io::Result<()>;
+    /// Appends to an existing file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// All bytes of a file outlive the machine's power.
+    /// Makes all bytes of a file survive a power loss.
     fn sync(&mut self, name: &str) -> io::Result<()>;
+    /// Renames a file; an existing file `to` is replaced.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// All names outlive the machine's power.
+    /// Makes all file names survive a power loss.
     fn sync_directory(&mut self) -> io::Result<()>;
-    /// Writes a small file in place: it outlives this process, and nothing more is said of it.
+    /// Writes a small file in place. It survives this process; nothing is guaranteed beyond that.
     fn write_in_place(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Nobody else uses the folder from now on; an error where somebody does.
+    /// Locks the directory for this process; an error if another process holds it.
     fn lock(&mut self) -> io::Result<()>;
+    /// The machine that the directory belongs to.
     fn machine(&mut self) -> Machine {
         Machine::current()
     }
 }
 
-/// A real folder.
+/// A directory of the file system.
 pub struct DirectoryDisk {
     path: PathBuf,
     lock: Option<File>,
-    /// The file that was written last stays open.
+    /// The file written last, kept open.
     open: Option<(String, File)>,
 }
 
 impl DirectoryDisk {
+    /// Uses the directory at `path`, which must exist.
     pub fn new(path: &Path) -> DirectoryDisk {
         DirectoryDisk { path: path.to_owned(), lock: None, open: None }
     }
@@ -77,6 +85,7 @@
     }
 }
 
+/// File that is locked while a process uses the directory.
 const LOCK_FILE: &str = "lock";
 
 impl Disk for DirectoryDisk {
@@ -140,8 +149,8 @@
     }
 }
 
-/// A folder in memory that never fails and loses nothing: what lies below [`crate::FaultyDisk`] in tests and in virtual
-/// time. Clones are the same folder.
+/// A directory in memory that never fails and loses nothing: the layer below [`crate::FaultyDisk`] in tests
+/// and in virtual time. Clones share the same content.
 #[derive(Clone, Default)]
 pub struct MemoryDisk {
     files: Arc<Mutex<BTreeMap<String, Vec<u8>>>>,
@@ -149,12 +158,12 @@
 }
 
 impl MemoryDisk {
-    /// What the folder holds, to be looked at, copied or spoilt.
+    /// The content, for tests to inspect, copy or damage.
     pub fn files(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, Vec<u8>>> {
         self.files.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Moves the folder to another machine, or to another life of its own.
+    /// Moves the directory to another machine, or to another boot of the same one.
     pub fn set_machine(&self, machine: Machine) {
         *self.machine.lock().unwrap_or_else(PoisonError::into_inner) = machine;
     }
--- a/store/src/faulty.rs
+++ b/store/src/faulty.rs
@@ -1,8 +1,9 @@
-//! A disk that fails on purpose, over any other: what was not synced is kept here and is gone with this value, as
-//! with the machine's power; some of it may have reached the disk all the same, by seed.
+//! A disk with injected faults, on top of any other disk. Writes that are not synced are held in this value
+//! and lost with it, as in a power loss; by a seeded random choice some of them reach the disk early.
 //!
-//! It owns the difference between what has been written and what is on the disk. The same layer is used in tests in
-//! process and, in the lab's dispatcher, over a real folder. It must never make anything safer than a real disk is.
+//! It tracks the difference between what has been written and what is on the disk. The same layer is used by
+//! in-process tests and, over a real directory, by the lab's dispatcher. It must never be safer than a real
+//! disk.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,53 +13,60 @@
 use crate::Micros;
 use crate::disk::{Disk, Machine};
 
-/// What is wrong with the disk now; shared, so that it can be changed under way.
+/// The current faults of a disk; shared, so that they can be changed while the disk is in use.
 #[derive(Clone, Debug, Default)]
 pub struct DiskFaults {
-    /// Nothing more can be written.
+    /// No space is left: nothing more can be written.
     pub full: bool,
+    /// All writes fail.
     pub read_only: bool,
-    /// A sync fails, and the next one says yes without having written what the first one lost.
+    /// A sync fails. After that a sync succeeds although the bytes of the failed one are lost.
     pub sync_fails: bool,
-    /// A sync says yes and has done nothing: as a program would be that does not wait for it.
+    /// A sync succeeds without doing anything, as if the program did not wait for it.
     pub sync_skipped: bool,
-    /// Each sync takes so long.
+    /// Duration of each sync.
     pub sync_delay: Duration,
-    /// Nothing is done from this operation on, counted from 0: a crash there.
+    /// Simulates a crash: every operation from this number on fails, counted from 0.
     pub crash_at: Option<u64>,
-    /// The machine's life as told, where it is not the disk's own.
+    /// Replaces the machine that the disk reports.
     pub machine: Option<Machine>,
 }
 
-/// One file: what has been written, and what is on the disk of it.
+/// Content of one file.
 #[derive(Default)]
 struct FileState {
+    /// All bytes written so far.
     written: Vec<u8>,
+    /// How many of them are on the disk.
     persisted: usize,
-    /// Bytes that a failed sync has lost: zeros on the disk.
+    /// Byte ranges lost by a failed sync: zeros on the disk.
     lost: Vec<(usize, usize)>,
 }
 
+/// A change of a file name that is not on the disk yet.
 enum NameChange {
     Create(String, usize),
     Rename(String, String),
     Remove(String),
 }
 
+/// A [`Disk`] with injected faults; see the module description.
 pub struct FaultyDisk<D> {
     inner: D,
     faults: Arc<Mutex<DiskFaults>>,
     files: Vec<FileState>,
+    /// File names as written, with the index of the file.
     names: BTreeMap<String, usize>,
-    /// Names as they are on the disk, and what has been done to them since.
+    /// File names as they are on the disk.
     persisted_names: BTreeMap<String, usize>,
+    /// Changes of names since then.
     name_changes: Vec<NameChange>,
     seed: u64,
     operations: u64,
 }
 
 impl<D: Disk> FaultyDisk<D> {
-    /// Takes over what the disk holds. By `seed`, some of what was not synced reaches it early.
+    /// Starts with what `inner` holds. `seed` decides which unsynced writes reach the disk early.
     pub fn new(mut inner: D, faults: Arc<Mutex<DiskFaults>>, seed: u64) -> io::Result<FaultyDisk<D>> {
         let (mut files, mut names) = (Vec::new(), BTreeMap::new());
         for name in inner.list()? {
@@ -71,12 +79,12 @@
         Ok(FaultyDisk { inner, faults, files, names, persisted_names, name_changes, seed, operations: 0 })
     }
 
-    /// Operations so far: the places where a crash can come.
+    /// Number of operations so far: the points at which a crash can be injected.
     pub fn operations(&self) -> u64 {
         self.operations
     }
 
-    /// SplitMix64.
+    /// A random number below `below`, by SplitMix64.
     fn random_below(&mut self, below: usize) -> usize {
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.seed;
@@ -89,6 +97,7 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
+    /// Counts an operation, and fails it after the injected crash.
     fn begin_operation(&mut self) -> io::Result<DiskFaults> {
         let faults = self.current_faults();
         if faults.crash_at.is_some_and(|at| self.operations >= at) {
@@ -110,7 +119,7 @@
         self.names.get(name).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// Puts bytes of a file on the disk, as far as `upto`.
+    /// Writes the bytes of a file up to `up_to` to the disk.
     fn persist_bytes(&mut self, file: usize, up_to: usize) -> io::Result<()> {
         let known = &mut self.files[file];
         let from = std::mem::replace(&mut known.persisted, up_to);
@@ -127,7 +136,7 @@
         Ok(())
     }
 
-    /// Puts the next so many steps on names on the disk, in their order, as a journal of names does.
+    /// Applies the next `count` name changes to the disk, in order, as a journaling file system does.
     fn persist_names(&mut self, count: usize) -> io::Result<()> {
         let count = count.min(self.name_changes.len());
         for change in self.name_changes.drain(..count).collect::<Vec<_>>() {
@@ -160,7 +169,7 @@
         Ok(())
     }
 
-    /// The system has written some of it by itself.
+    /// The system writes some name changes to the disk without a sync.
     fn persist_some_names(&mut self) -> io::Result<()> {
         if self.random_below(3) == 0 {
             let count = self.random_below(self.name_changes.len() + 1);
@@ -194,7 +203,7 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let full = self.begin_write()?.full;
         let file = self.file_index(name)?;
-        // Where there is room for some it is written in part.
+        // On a full disk a part of the bytes may still fit.
         let fits = if full { self.random_below(bytes.len()) } else { bytes.len() };
         self.files[file].written.extend_from_slice(&bytes[..fits]);
         if self.random_below(3) == 0 {
@@ -262,8 +271,8 @@
     }
 }
 
-/// How long ago something was noted, where that can be told: by the machine's own clock in the same life of it, else
-/// at least as long as it has been up.
+/// The minimum time since `noted`. Within one boot of the machine the difference of the uptimes; after
+/// another boot at least the current uptime; 0 if a boot id is unknown.
 pub fn min_elapsed(noted: &Machine, now: &Machine) -> Micros {
     if now.boot_id.is_empty() || noted.boot_id.is_empty() {
         return 0;
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,8 +1,10 @@
-//! What outlives a process: named records with age, form and checksum, on a disk that may fail at any moment.
+//! Storage that outlives a process: named records with age, format version and checksum, on a disk that may
+//! fail at any time.
 //!
-//! `disk` is the layer at the bottom, real or failing on purpose; `log` holds the files' form and reads whatever is
-//! left of them; `store` is one folder's records, in memory and on the disk; `stored_types` gives the records of a
-//! dispatcher their types. Nothing here has a thread or reads a clock: the node runs it on a thread of its own
+//! `disk` is the lowest layer, a real directory or memory; `faulty` adds failures for tests. `log` defines
+//! the file format and reads whatever is left of a file. `store` holds the records of one directory, in
+//! memory and on the disk. `stored_types` defines the types of a dispatcher's records. Nothing here starts
+//! threads or reads a clock: the node runs the store on a thread of its own
 //! (`node/src/lifecycle/store_thread.rs`). See `docs/recovery.md`.
 
 pub mod disk;
@@ -16,5 +18,5 @@
 pub use log::{FORMAT, Record, Table};
 pub use store::{IntegrityWarning, LoadSummary, Store, StoreError, WriteError, inspect};
 
-/// Whole microseconds of Unix time, or a span.
+/// Whole microseconds of Unix time, or a duration.
 pub type Micros = i64;
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -1,72 +1,74 @@
-//! The form of a store's file: a head, records one after the other, each sealed by a checksum over its place as well.
+//! The file format of a store: a head followed by entries, each protected by a checksum that also covers its
+//! position.
 //!
-//! It owns the bytes. A file begins with a snapshot of all records and grows by what changes; it is never written over.
-//! Reading takes whatever is left of one: what fails its checksum is passed over, never guessed at, and what stands
-//! behind it is found again. It must never give a record that was not written as it is given, nor fail on any bytes.
+//! A file begins with a snapshot of all records and grows by the changes; it is never overwritten. Reading
+//! recovers whatever is left of a file: entries with a wrong checksum are skipped, never guessed, and the
+//! next valid entry after them is found again. Reading never returns a record that was not written exactly
+//! so, and never fails, whatever the bytes.
 //!
 //! ```text
-//! line = mark (2) | length (4, little-endian) | its number in the file (8) | checksum (4) | payload
-//! checksum = CRC-32 (IEEE) over the file's number (8), the line's number (8), the length, the payload
+//! entry = magic (2) | length (4, little-endian) | index in the file (8) | checksum (4) | payload
+//! checksum = CRC-32 (IEEE) over the file's number (8), the entry's index (8), the length, the payload
 //! ```
 
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// The newest form that is read, and the one that is written.
+/// Version of the format: the one that is written, and the newest that is read.
 pub const FORMAT: u16 = 1;
+/// First bytes of each entry, by which the next entry is found after damage.
 const MAGIC: [u8; 2] = [0xd5, 0x7a];
+/// Length of an entry without its payload.
 const HEADER_BYTES: usize = 18;
-/// No record is larger: a list of 10,000 runners takes about 3 MB.
+/// Largest record in bytes; a roster of 10,000 runners takes about 3 MB.
 pub const MAX_RECORD_BYTES: usize = 64 << 20;
+/// Start of the names of log files.
 const PREFIX: &str = "log-";
 
-/// What a record is about. Numbers are for ever; those from 32 on are left to a journal of work that must not run
-/// twice.
+/// Kind of a record. Numbers are never reused; those from 32 on are reserved for a journal of non-idempotent
+/// work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Table(pub u8);
 
-/// One record: the latest of a table and key counts. Its age is `written`, Unix time as its writer believed it.
+/// One record; the latest one of a table and key is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
+    /// Kind of the record.
     pub table: Table,
+    /// Key within the table.
     pub key: String,
-    /// The form of `value`, a number of the table's own.
+    /// Format version of `value`, defined by the table.
     pub form: u16,
-    /// The boot number of the writer.
+    /// Boot number of the writer.
     pub boot: u64,
+    /// When it was written, in Unix time by the writer's clock.
     pub written: Micros,
-    /// None where the record is taken back.
+    /// The encoded value; none if the record was deleted.
     pub value: Option<Vec<u8>>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+/// One entry of a log file.
 pub enum LogEntry {
-    /// First in each file; `form` is of this and all that follows.
-    Head {
-        form: u16,
-        owner: String,
-        store: u64,
-        boot: u64,
-    },
+    /// First entry of each file; `form` is the format version of the file.
+    Head { form: u16, owner: String, store: u64, boot: u64 },
+    /// A record of the snapshot, or a later change.
     Record(Record),
-    /// The snapshot before it holds so many records.
+    /// End of the snapshot, with the number of its records.
     #[serde(rename = "Whole")]
-    SnapshotEnd {
-        records: u64,
-    },
-    /// The process has ended as it should: nothing is missing.
+    SnapshotEnd { records: u64 },
+    /// The process shut down cleanly: nothing is missing.
     #[serde(rename = "Clean")]
-    CleanShutdown {
-        written: Micros,
-    },
+    CleanShutdown { written: Micros },
 }
 
-/// A file's name by its number.
+/// Name of the file with this number.
 pub fn name(number: u64) -> String {
     format!("{PREFIX}{number:016}")
 }
 
+/// Number of a log file by its name; none for other files.
 pub fn number(name: &str) -> Option<u64> {
     name.strip_prefix(PREFIX).filter(|digits| digits.len() == 16)?.parse().ok()
 }
@@ -80,21 +82,25 @@
     hasher.finalize()
 }
 
-/// Writes lines of one file, in order.
+/// Encodes the entries of one file, in order.
 pub struct Writer {
+    /// Number of the file.
     pub file: u64,
+    /// Index of the next entry.
     index: u64,
-    /// Bytes so far.
+    /// Bytes encoded so far.
     pub length: u64,
 }
 
 impl Writer {
+    /// Starts an empty file with this number.
     pub fn new(file: u64) -> Writer {
         Writer { file, index: 0, length: 0 }
     }
 
+    /// Appends an entry to `out`.
     pub fn append(&mut self, entry: &LogEntry, out: &mut Vec<u8>) {
-        // Plain types only: there is nothing that could fail to be written.
+        // Plain types only: encoding cannot fail.
         let payload = postcard::to_stdvec(entry).unwrap_or_default();
         out.extend_from_slice(&MAGIC);
         out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -106,19 +112,21 @@
     }
 }
 
-/// What is left of a file.
+/// What could be read of a file.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct LogContents {
+    /// The valid entries, in order.
     pub entries: Vec<LogEntry>,
-    /// Places within the file at which lines are missing or spoilt, with readable ones behind them.
+    /// Number of places at which entries are missing or damaged and are followed by valid ones.
     pub gaps: u64,
-    /// Bytes at the end that are no line: the last write was torn, or the end is spoilt.
+    /// Bytes at the end without a valid entry: the last write was torn, or the end is damaged.
     pub torn_bytes: u64,
-    /// The form of a file that is newer than what is known here.
+    /// Format version of the file if it is newer than [`FORMAT`].
     pub newer_format: Option<u16>,
 }
 
-/// The line at the beginning of `bytes`, if its number in the file is at least `from`: its number, itself, its length.
+/// Decodes the entry at the start of `bytes` if its index is at least `from`. Returns its index, the entry
+/// and its length in bytes.
 fn open(bytes: &[u8], file: u64, from: u64) -> Option<(u64, LogEntry, usize)> {
     if bytes.get(..2)? != MAGIC {
         return None;
@@ -136,11 +144,12 @@
     Some((index, postcard::from_bytes(payload).ok()?, HEADER_BYTES + length))
 }
 
+/// Reads all valid entries of the file with number `file`.
 pub fn read(file: u64, bytes: &[u8]) -> LogContents {
     let mut contents = LogContents::default();
     let (mut at, mut next, mut good_end) = (0, 0, 0);
     while at < bytes.len() {
-        // One that stands where it is due, or one that is found again behind a spoilt stretch.
+        // Either the expected entry, or the first valid one after a damaged stretch.
         match open(&bytes[at..], file, next) {
             Some((index, entry, length)) => {
                 if let LogEntry::Head { form, .. } = entry
--- a/store/src/log/tests.rs
+++ b/store/src/log/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_a_torn_end_is_left_out() {
+fn written_entries_are_read_and_a_torn_end_is_skipped() {
     let (bytes, entries) = file();
     assert_eq!(read(3, &bytes), LogContents { entries: entries.clone(), ..LogContents::default() });
     for end in 0..bytes.len() {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_flipped_bit_costs_one_line_and_gives_none() {
+fn a_flipped_bit_loses_one_entry_and_invents_none() {
     let (bytes, entries) = file();
     for at in 0..bytes.len() * 8 {
         let mut damaged = bytes.clone();
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn lines_of_another_file_or_in_another_order_are_none() {
+fn entries_of_another_file_or_out_of_order_are_skipped() {
     let (bytes, entries) = file();
     assert_eq!(read(4, &bytes).entries, []);
     let half = bytes.len() / 2;
     let turned = [&bytes[half..], &bytes[..half]].concat();
-    // Behind what is found first nothing earlier is believed.
+    // After the first entry found, entries with a lower index are not accepted.
     assert_eq!(read(3, &turned).entries, entries[3..]);
     let twice = [&bytes[..], &bytes[..]].concat();
     assert_eq!(read(3, &twice).entries, entries);
--- a/store/src/store.rs
+++ b/store/src/store.rs
@@ -1,8 +1,8 @@
-//! One folder's records, in memory and on the disk.
+//! The records of one directory, in memory and on the disk.
 //!
-//! It owns when something counts as kept: after a sync that nothing before it has made doubtful. Each start writes a
-//! whole new file and goes on in it; a file that had any fault is never written again. It must never say that
-//! something is kept which a loss of power could take back.
+//! A record counts as stored after a sync, unless an earlier operation on the same file failed. Each start
+//! writes a whole new file and continues in it; a file with any error is never written again. Nothing is
+//! reported as stored that a power loss could take back.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,24 +13,27 @@
 use crate::faulty::min_elapsed;
 use crate::log::{self, FORMAT, LogEntry, MAX_RECORD_BYTES, Record, Table, Writer};
 
+/// Name under which a new file is written before it is renamed.
 const TEMPORARY: &str = "next";
-/// Twice, as the latest boot number is the one thing that nobody else may know: each is read by itself.
+/// Two copies, as nobody else knows the latest boot number for certain; each is read independently.
 const BOOT_FILES: [&str; 2] = ["boot-a", "boot-b"];
+/// File with the last sign of life of the running process.
 const ALIVE_FILE: &str = "alive";
-/// A file is written anew once it is larger than its records by this factor and this much.
+/// A new file is written once the current one exceeds its snapshot by this factor plus [`REWRITE_MIN_BYTES`].
 const REWRITE_FACTOR: u64 = 4;
+/// See [`REWRITE_FACTOR`]; avoids frequent rewrites of small stores.
 const REWRITE_MIN_BYTES: u64 = 4 << 20;
 
-/// Why the last life's records are taken with doubt.
+/// Why the records of the previous process run are not fully trusted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IntegrityWarning {
-    /// Lines in the middle of the newest file are spoilt: what they said is not known.
+    /// Entries in the middle of the newest file are damaged in this many places; their content is unknown.
     MissingEntries(u64),
-    /// The newest file could not be used at all, and an older one stands in.
+    /// The newest file could not be used at all; an older one is used instead.
     OlderFile { file: u64, instead_of: u64 },
-    /// Nothing could be read although there are files.
+    /// There are files, but none could be read.
     Unreadable,
-    /// The clock is behind what was written last: ages say nothing.
+    /// The clock is behind the time of the last record, so ages are meaningless.
     ClockBehind { behind: Micros },
 }
 
@@ -49,13 +52,14 @@
     }
 }
 
-/// Why a folder cannot be used.
+/// Why a store cannot be opened.
 #[derive(Debug)]
 pub enum StoreError {
+    /// The disk reports an error.
     Disk(io::Error),
-    /// It is another dispatcher's.
+    /// The directory belongs to the dispatcher with this name.
     ForeignOwner(String),
-    /// A newer version has written it.
+    /// It was written by a newer version, in this format version.
     NewerFormat(u16),
 }
 
@@ -65,7 +69,7 @@
             StoreError::Disk(error) => error.fmt(to),
             StoreError::ForeignOwner(owner) => write!(to, "it is the store of {owner:?}"),
             StoreError::NewerFormat(format) => {
-                write!(to, "it has form {format}, and this version knows {FORMAT} at most")
+                write!(to, "it has format {format}, and this version supports {FORMAT} at most")
             }
         }
     }
@@ -77,7 +81,7 @@
     }
 }
 
-/// What could not be kept: the disk is not to be relied on now.
+/// Why something could not be written: the disk cannot be relied on at the moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriteError(pub String);
 
@@ -89,34 +93,42 @@
 
 impl std::error::Error for WriteError {}
 
-/// What was found at the start.
+/// What was found when the store was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadSummary {
-    /// Whether there was nothing: no life has kept anything here.
+    /// Whether the directory was empty: no earlier process run has stored anything.
     pub is_new: bool,
-    /// Of which life the records are.
+    /// Boot number of the process run that wrote the records.
     pub boot: u64,
-    /// Whether that life ended as it should, so that nothing is missing.
+    /// Whether that run shut down cleanly, so that nothing is missing.
     pub ended_cleanly: bool,
+    /// What reduces the trust in the records.
     pub warnings: Vec<IntegrityWarning>,
-    /// Bytes of a last write that did not come whole.
+    /// Bytes of an incomplete last write.
     pub torn_bytes: u64,
-    /// When the last record was written, as its writer believed.
+    /// When the last record was written, by its writer's clock.
     pub last_written: Micros,
-    /// At least so long ago the last life ended.
+    /// Minimum time since the previous process run ended.
     pub min_downtime: Micros,
-    /// Why nothing can be written now, if so: this life has no boot number until that is over.
+    /// Why nothing can be written at the moment, if so. Until that is over this process run has no boot
+    /// number.
     pub write_error: Option<WriteError>,
 }
 
-/// What is left in a folder.
+/// The content of a directory.
 #[derive(Debug, Default)]
 pub struct StoreInspection {
+    /// Name of the dispatcher that owns it.
     pub owner: Option<String>,
+    /// Id of the store, 0 if unknown.
     pub store: u64,
+    /// What was found.
     pub summary: LoadSummary,
+    /// Number of the file that the records come from.
     pub file: Option<u64>,
+    /// Name and length in bytes of each log file that was read, newest first.
     pub files: Vec<(String, u64)>,
+    /// The records in force.
     pub records: BTreeMap<(Table, String), Record>,
 }
 
@@ -134,7 +146,7 @@
     last_written: Micros,
 }
 
-/// A file's records, if its head and its snapshot are there.
+/// Loads a file; none without a valid head. A missing end of the snapshot counts as a gap.
 fn load_file(number: u64, bytes: &[u8]) -> Result<Option<LoadedFile>, StoreError> {
     let contents = log::read(number, bytes);
     if let Some(format) = contents.newer_format {
@@ -176,12 +188,13 @@
         }
     }
     file.ended_cleanly &= file.torn_bytes == 0 && file.gaps == 0;
-    // Without the mark the snapshot's own end is spoilt: what is there is taken, and more may be missing.
+    // The end of the snapshot itself is damaged: what was read is used, and more may be missing.
     file.gaps += u64::from(!has_snapshot_end);
     Ok(Some(file))
 }
 
-/// Reads a folder and changes nothing. Damage is told, not failed on; a folder of a newer form is a fault.
+/// Reads a directory without changing it. Damage is reported in the summary; errors are those of the disk,
+/// and a newer format version.
 pub fn inspect(disk: &mut dyn Disk) -> Result<StoreInspection, StoreError> {
     let names = disk.list()?;
     let mut files: Vec<(u64, String)> =
@@ -195,8 +208,8 @@
         inspection.files.push((name.clone(), bytes.len() as u64));
         match &mut best {
             None => best = load_file(*number, &bytes)?,
-            // What a spoilt file may have said of a record it does not have, the one before says at least as it
-            // once was: better a ban too many than one too few.
+            // For a record that is missing in a damaged file, the state in the file before it is used: an
+            // override of a runner that has since been lifted does less harm than one that is lost.
             Some(known) if known.gaps > 0 => {
                 let before = load_file(*number, &bytes)?.map(|file| file.records).unwrap_or_default();
                 let newer = std::mem::replace(&mut known.records, before);
@@ -251,7 +264,7 @@
     Some(u64::from_le_bytes(strip_checksum(bytes)?.try_into().ok()?))
 }
 
-/// Always of one length, as it is written over.
+/// Fixed length, as the file is overwritten in place.
 const ALIVE_BYTES: usize = 64;
 
 fn write_alive(machine: &Machine) -> Vec<u8> {
@@ -266,26 +279,29 @@
     Some(Machine { boot_id: boot_id.to_owned(), uptime: uptime.parse().ok()? })
 }
 
+/// The open store of one process run.
 pub struct Store {
     disk: Box<dyn Disk>,
     owner: String,
+    /// Id of the store.
     store: u64,
     boot: u64,
-    /// Whether that number is on the disk, so that no later life will have it.
+    /// Whether the boot number is on the disk, so that no later process run will use it.
     boot_is_stored: bool,
     records: Records,
-    /// The file that grows; none after a fault, until a new one has been written.
+    /// The current file; none after an error, until a new file has been written.
     writer: Option<Writer>,
+    /// Number of the newest file.
     file_number: u64,
-    /// Size of the file right after its snapshot.
+    /// Length of the current file right after its snapshot.
     snapshot_bytes: u64,
-    /// Whether what has been appended is not synced yet.
+    /// Whether there are changes that have not been synced.
     has_unsynced: bool,
 }
 
 impl Store {
-    /// Takes a folder over for a new life: its boot number is on the disk when this returns, or `unwritten` says why
-    /// not. `id` is for a folder that has none yet.
+    /// Opens a directory for a new process run. When this returns, the run's boot number is on the disk, or
+    /// `write_error` of the summary says why not. `id` is used for a store that has none yet.
     pub fn open(
         mut disk: Box<dyn Disk>,
         owner: &str,
@@ -320,12 +336,12 @@
         Ok((store, summary))
     }
 
-    /// This life's number, once no later one can have it.
+    /// The boot number of this process run, once it is on the disk and no later run can use it.
     pub fn boot(&self) -> Option<u64> {
         Some(self.boot).filter(|_| self.boot_is_stored)
     }
 
-    /// A higher number for this life, as somebody has heard of one at least as high as ours.
+    /// Takes a higher boot number, as a peer knows a process run of this dispatcher with number `heard`.
     pub fn raise_boot_above(&mut self, heard: u64) -> Result<(), WriteError> {
         if heard >= self.boot {
             (self.boot, self.boot_is_stored, self.writer) = (heard + 1, false, None);
@@ -333,11 +349,12 @@
         self.sync()
     }
 
+    /// The records in force.
     pub fn records(&self) -> &BTreeMap<(Table, String), Record> {
         &self.records
     }
 
-    /// One file after the other: a fault that spoils one leaves the other.
+    /// Writes one copy after the other: an error that damages one leaves the other intact.
     fn write_boot(&mut self) -> io::Result<()> {
         if self.boot_is_stored {
             return Ok(());
@@ -354,16 +371,17 @@
         Ok(())
     }
 
-    /// Takes note that this life goes on, and may for so long without another note, for the next one to know when it
-    /// ended at the latest. It may fail: then the next one knows less.
+    /// Records that this process is running and may go on for `margin` without a further call, so that the
+    /// next process run knows the latest time at which this one ended. Errors are ignored: the next run then
+    /// knows less.
     pub fn note_alive(&mut self, margin: Micros) {
         let mut machine = self.disk.machine();
         machine.uptime += margin;
         let _ = self.disk.write_in_place(ALIVE_FILE, &write_alive(&machine));
     }
 
-    /// Changes a record; kept once [`Store::sync`] has said so. The value in force here is the new one whatever the
-    /// disk says.
+    /// Changes a record, or deletes it if `value` is none. It is in force here immediately and stored once
+    /// [`Store::sync`] has succeeded.
     pub fn put(&mut self, table: Table, key: &str, format: u16, value: Option<Vec<u8>>, now: Micros) {
         let value = value.filter(|value| value.len() + key.len() + 64 <= MAX_RECORD_BYTES);
         let record =
@@ -384,13 +402,13 @@
         }
     }
 
-    /// Whether a file is being written that had no fault so far.
+    /// Whether the current file has had no error.
     pub fn is_healthy(&self) -> bool {
         self.writer.is_some()
     }
 
-    /// All that was put is on the disk, or why it is not. After a fault the whole of it is written anew: what a file
-    /// with a failed sync holds is not known, even where the next sync says yes.
+    /// Makes all changes durable. After an error everything is written to a new file: the content of a file
+    /// with a failed sync is unknown, even if the next sync succeeds.
     pub fn sync(&mut self) -> Result<(), WriteError> {
         let result = match &self.writer {
             Some(_) if !self.has_unsynced => return Ok(()),
@@ -412,7 +430,7 @@
         }
     }
 
-    /// The process ends as it should.
+    /// Records a clean shutdown.
     pub fn close(&mut self, now: Micros) -> Result<(), WriteError> {
         self.sync()?;
         if let Some(writer) = &mut self.writer {
@@ -425,7 +443,7 @@
         Ok(())
     }
 
-    /// A new file with all records; then the one before the last is let go.
+    /// Writes a new file with all records, then removes all files but the previous one.
     fn write_new_file(&mut self) -> io::Result<()> {
         self.writer = None;
         let mut writer = Writer::new(self.file_number + 1);
@@ -436,7 +454,7 @@
         for record in self.records.values() {
             writer.append(&LogEntry::Record(record.clone()), &mut bytes);
         }
-        // Once more: whose store this is may not hang on one line.
+        // The head is written twice: the owner must not depend on a single entry.
         writer.append(&head, &mut bytes);
         writer.append(&LogEntry::SnapshotEnd { records: self.records.len() as u64 }, &mut bytes);
         self.disk.create(TEMPORARY)?;
@@ -447,10 +465,10 @@
         self.file_number = writer.file;
         self.snapshot_bytes = writer.length;
         self.writer = Some(writer);
-        // The last one stays, for the case that this one is spoilt.
+        // The previous file is kept in case the new one is damaged.
         let names: Vec<String> = self.disk.list()?;
         for name in names.iter().filter(|name| log::number(name).is_some_and(|n| n + 1 < self.file_number)) {
-            // What cannot be removed now is tried again next time.
+            // Files that cannot be removed now are tried again next time.
             let _ = self.disk.remove(name);
         }
         Ok(())
--- a/store/src/stored_types.rs
+++ b/store/src/stored_types.rs
@@ -1,7 +1,7 @@
-//! What a dispatcher keeps: the types of its records, and how long each is believed.
+//! The types of a dispatcher's records, and how long each is considered fresh.
 //!
-//! It owns the forms of values. A value of a form that is not known here is told as such and left alone; it must never
-//! be read as something else.
+//! Each type has its own format version. A value of an unknown format is left alone and never decoded as
+//! something else.
 
 use std::collections::BTreeMap;
 
@@ -11,20 +11,26 @@
 use crate::log::{Record, Table};
 use crate::{Micros, Store};
 
-/// One kind of record.
+/// A type that is stored as a record.
 pub trait Storable: Serialize + DeserializeOwned {
+    /// Number of its table.
     const TABLE: Table;
+    /// Name of its table in reports.
     const NAME: &'static str;
+    /// Format version of its encoding.
     const FORMAT: u16;
-    /// Older than this it is believed only where nothing newer is to be had; none where age says nothing.
+    /// An older record is used only if nothing newer is available; none if age does not matter.
     const FRESHNESS_WINDOW: Option<Micros>;
 }
 
-/// The list of runners as last had, in discovery's own form.
+/// The last known roster, in discovery's JSON format. One record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRoster {
+    /// Address of the discovery service.
     pub discovery: String,
+    /// Discovery's generation number of the roster.
     pub generation: u64,
+    /// The roster.
     pub json: String,
 }
 
@@ -35,14 +41,16 @@
     const FRESHNESS_WINDOW: Option<Micros> = Some(10_000_000);
 }
 
-/// What an operator's hand has done to one runner, by its id.
+/// An operator's override of one runner; the key is the runner's id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredOverride {
+    /// Since when the runner is out of use, in Unix time; none if it is not.
     pub out_since: Option<Micros>,
+    /// From when and until when it was last out of use.
     pub was_out: Option<(Micros, Micros)>,
-    /// How new this word is among dispatchers: calls on this runner so far, and the author of the last one; 0 and 0 where
-    /// there are no others.
+    /// Version among dispatchers: the number of overrides of this runner so far; 0 without peers.
     pub count: u64,
+    /// Author of the last override; 0 without peers.
     pub author: u32,
 }
 
@@ -53,9 +61,11 @@
     const FRESHNESS_WINDOW: Option<Micros> = None;
 }
 
-/// What was sent to cold runners of late: when, and work as time on a standard core. One record for all.
+/// Work recently sent to cold runners. One record for all runners.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredSlowStartUsage {
+    /// For each runner id, the age at the time of writing and the work of each forward, as time on a standard
+    /// core.
     pub runners: Vec<(String, Vec<(Micros, f64)>)>,
 }
 
@@ -66,10 +76,12 @@
     const FRESHNESS_WINDOW: Option<Micros> = Some(10_000_000);
 }
 
-/// The configuration in force, and the hash of its settings as its version.
+/// The configuration in force. One record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredSettings {
+    /// Hash of its settings.
     pub version: u64,
+    /// The whole configuration file.
     pub json: String,
 }
 
@@ -80,7 +92,7 @@
     const FRESHNESS_WINDOW: Option<Micros> = None;
 }
 
-/// A table's name, for people.
+/// Name of a table for reports.
 pub fn table_name(table: Table) -> String {
     let known = [
         (StoredRoster::TABLE, StoredRoster::NAME),
@@ -92,19 +104,19 @@
     name.unwrap_or_else(|| format!("table-{}", table.0))
 }
 
-/// A record's value, where it is of a known form and can be read.
+/// Decodes a record's value; none if the table or format version differs, or the bytes are invalid.
 pub fn decode<T: Storable>(record: &Record) -> Option<T> {
     let bytes = record.value.as_deref().filter(|_| record.table == T::TABLE && record.form == T::FORMAT)?;
     postcard::from_bytes(bytes).ok()
 }
 
-/// The bytes of a value, as they stand in a record.
+/// Encodes a value for a record.
 pub fn encode<T: Storable>(value: &T) -> Vec<u8> {
-    // Plain types only: there is nothing that could fail to be written.
+    // Plain types only: encoding cannot fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// All of one kind, by key.
+/// All records of one type, with their keys and decoded values.
 pub fn all<T: Storable>(records: &BTreeMap<(Table, String), Record>) -> Vec<(&str, T, &Record)> {
     let in_table =
         records.range((T::TABLE, String::new())..).take_while(|((table, _), _)| *table == T::TABLE);
@@ -112,7 +124,7 @@
 }
 
 impl Store {
-    /// As [`Store::put`], with a value of a known kind.
+    /// Like [`Store::put`], for a typed value; none deletes the record.
     pub fn put_typed<T: Storable>(&mut self, key: &str, value: Option<&T>, now: Micros) {
         self.put(T::TABLE, key, T::FORMAT, value.map(encode), now);
     }
--- a/store/tests/crashes.rs
+++ b/store/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! The store through crashes at every operation, disks that fail, and files that are spoilt: what it said is kept is
-//! there afterwards, and nothing is there that was not written.
+//! The store through crashes at every operation, failing disks and damaged files: what was reported as stored
+//! must be there afterwards, and nothing may be there that was not written.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -30,18 +30,20 @@
     Store::open(Box::new(disk), "d0", 77, NOW)
 }
 
-/// What one life has written, and what of it was said to be kept, as all that may be found afterwards.
+/// What process runs have written, and which states may be found afterwards.
 #[derive(Clone, Default)]
 struct History {
-    /// Told as kept: nothing older may be found.
-    kept: Overrides,
-    /// Every state since, the last one first in time.
+    /// Reported as stored: nothing older may be found.
+    stored: Overrides,
+    /// Every state since then, oldest first.
     later: Vec<Overrides>,
+    /// Boot numbers used so far.
     boots: Vec<u64>,
 }
 
 impl History {
-    /// One life over `under`, until it ends by itself or crashes at an operation; by `seed`, what it does.
+    /// One process run over `disk`, until it ends or crashes at an operation. `seed` decides what it does.
+    /// Returns the number of disk operations.
     fn run(&mut self, disk: &MemoryDisk, seed: u64, crash_at: Option<u64>, mut faults: DiskFaults) -> u64 {
         faults.crash_at = crash_at;
         let faults = Arc::new(Mutex::new(faults));
@@ -54,18 +56,18 @@
         let Ok((mut store, _)) = opened else { return *counted.lock().unwrap() };
         let found = overrides(&store);
         assert!(
-            found == self.kept || self.later.contains(&found),
-            "seed {seed} crash {crash_at:?}: found {found:?}, kept {:?}, since {:?}",
-            self.kept,
+            found == self.stored || self.later.contains(&found),
+            "seed {seed} crash {crash_at:?}: found {found:?}, stored {:?}, later {:?}",
+            self.stored,
             self.later
         );
         if let Some(boot) = store.boot() {
             assert!(self.boots.iter().all(|known| *known < boot), "{boot} again, {:?}", self.boots);
             self.boots.push(boot);
         }
-        // What was found is in force from here on, and kept where the start could write it.
+        // What was found is in force from here on, and stored if the start could write it.
         if store.is_healthy() {
-            (self.kept, self.later) = (found.clone(), Vec::new());
+            (self.stored, self.later) = (found.clone(), Vec::new());
         }
         let mut now = found;
         for nth in 0..random.random_range(1..12) {
@@ -80,17 +82,17 @@
             }
             self.later.push(now.clone());
             if random.random_range(0..2) == 0 && store.sync().is_ok() {
-                (self.kept, self.later) = (now.clone(), Vec::new());
+                (self.stored, self.later) = (now.clone(), Vec::new());
             }
         }
         if random.random_range(0..3) == 0 && store.close(NOW).is_ok() {
-            (self.kept, self.later) = (now, Vec::new());
+            (self.stored, self.later) = (now, Vec::new());
         }
         *counted.lock().unwrap()
     }
 }
 
-/// Counts operations where the disk itself has gone into the store.
+/// Counts disk operations, as the disk itself is moved into the store.
 struct Counting<D: Disk>(FaultyDisk<D>, Arc<Mutex<u64>>);
 
 macro_rules! counted {
@@ -118,28 +120,29 @@
     machine() -> Machine;
 }
 
-fn copied(of: &MemoryDisk) -> MemoryDisk {
+fn copy_of(disk: &MemoryDisk) -> MemoryDisk {
     let copy = MemoryDisk::default();
-    *copy.files() = of.files().clone();
+    *copy.files() = disk.files().clone();
     copy
 }
 
-/// Three lives, the second of them cut at every single operation, and the third at every one for each of those.
+/// Three process runs: the second is cut at every single operation, and for each of those the third at every
+/// one, or at every seventh.
 #[test]
-fn a_cut_at_every_operation_loses_nothing_that_was_said_to_be_kept() {
-    let mut cuts = 0;
+fn a_crash_at_every_operation_loses_nothing_reported_as_stored() {
+    let mut crashes = 0;
     for seed in 0..12 {
         let (disk, mut history) = (MemoryDisk::default(), History::default());
         history.run(&disk, seed, None, DiskFaults::default());
         let mut second = 0;
         loop {
-            let (again, mut history_after) = (copied(&disk), history.clone());
+            let (again, mut history_after) = (copy_of(&disk), history.clone());
             let done = history_after.run(&again, seed + 100, Some(second), DiskFaults::default());
             for third in (0..30).step_by(if seed == 0 { 1 } else { 7 }) {
-                let (again, mut history_after) = (copied(&again), history_after.clone());
+                let (again, mut history_after) = (copy_of(&again), history_after.clone());
                 history_after.run(&again, seed + 200, Some(third), DiskFaults::default());
                 history_after.run(&again, seed + 300, None, DiskFaults::default());
-                cuts += 1;
+                crashes += 1;
             }
             if done < second {
                 break;
@@ -147,11 +150,11 @@
             second += 1;
         }
     }
-    assert!(cuts > 2_000, "{cuts}");
+    assert!(crashes > 2_000, "{crashes}");
 }
 
 #[test]
-fn long_histories_by_seed() {
+fn random_histories_of_crashes_and_faults() {
     for seed in 0..400u64 {
         let (disk, mut history) = (MemoryDisk::default(), History::default());
         let mut random = Pcg32::seed_from_u64(seed);
@@ -170,7 +173,7 @@
     }
 }
 
-/// A folder with two lives in it and three bans, the last of them in the last line.
+/// A directory after two process runs, with three overrides, the last of them in the last entry.
 fn folder() -> MemoryDisk {
     let disk = MemoryDisk::default();
     let (mut store, found) = open(disk.clone()).unwrap();
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn every_byte_flipped_gives_the_old_or_the_right_value_or_a_refusal() {
+fn any_flipped_byte_gives_right_values_or_a_warning() {
     let disk = folder();
     let all_files = disk.files().clone();
     let right: Overrides = [("r1", out(1)), ("r2", out(2)), ("r3", out(3))]
@@ -200,7 +203,7 @@
     for (name, bytes) in &all_files {
         for at in 0..bytes.len() {
             for flip in [0x01, 0x80, 0xff] {
-                let damaged = copied(&disk);
+                let damaged = copy_of(&disk);
                 damaged.files().get_mut(name).unwrap()[at] ^= flip;
                 let (store, found) =
                     open(damaged.clone()).unwrap_or_else(|error| panic!("{name} {at}: {error}"));
@@ -210,7 +213,7 @@
                     overrides.iter().all(|(id, entry)| right[id] == *entry),
                     "{name} {at}: {overrides:?}"
                 );
-                // What is missing is owned up to: as a hole, or as an end that is spoilt.
+                // Anything missing must be reported, as a gap or as a damaged end.
                 let reported = !found.warnings.is_empty() || found.torn_bytes > 0;
                 assert!(overrides == right || reported, "{name} {at}: {overrides:?} {found:?}");
             }
@@ -219,13 +222,13 @@
 }
 
 #[test]
-fn a_file_cut_anywhere_is_read_as_far_as_it_goes() {
+fn a_truncated_file_is_read_up_to_its_end() {
     let disk = folder();
     let newest = disk.files().keys().rfind(|name| name.starts_with("log-")).cloned().unwrap();
     let length = disk.files()[&newest].len();
     let mut least = 3;
     for end in (0..length).rev() {
-        let cut = copied(&disk);
+        let cut = copy_of(&disk);
         cut.files().get_mut(&newest).unwrap().truncate(end);
         let (store, found) = open(cut).unwrap();
         let overrides = overrides(&store);
@@ -239,14 +242,14 @@
 }
 
 #[test]
-fn a_sync_that_failed_once_is_not_believed_the_second_time() {
+fn a_sync_that_succeeds_after_a_failed_one_is_not_trusted() {
     let (disk, faults) = (MemoryDisk::default(), Arc::new(Mutex::new(DiskFaults::default())));
     let faulty = FaultyDisk::new(disk.clone(), faults.clone(), 9).unwrap();
     let (mut store, _) = open(faulty).unwrap();
     store.put_typed("r1", Some(&out(1)), NOW);
     faults.lock().unwrap().sync_fails = true;
     assert!(store.sync().is_err());
-    // From here on this disk says yes to every sync, though what the first one lost is not there.
+    // From here on every sync on this disk succeeds, though the bytes of the failed one are lost.
     faults.lock().unwrap().sync_fails = false;
     store.put_typed("r2", Some(&out(2)), NOW);
     assert!(store.sync().is_ok());
@@ -256,7 +259,7 @@
 }
 
 #[test]
-fn a_full_or_read_only_disk_is_owned_up_to_and_what_is_on_it_still_holds() {
+fn a_full_or_read_only_disk_is_reported_and_its_records_stay_in_force() {
     for faults in [
         DiskFaults { full: true, ..DiskFaults::default() },
         DiskFaults { read_only: true, ..DiskFaults::default() },
@@ -268,7 +271,7 @@
         assert_eq!(overrides(&store).len(), 3);
         store.put_typed("r4", Some(&out(4)), NOW);
         assert!(store.sync().is_err() && overrides(&store).len() == 4);
-        // Free again.
+        // The disk works again.
         *faults.lock().unwrap() = DiskFaults::default();
         assert!(store.sync().is_ok() && store.boot() == Some(3));
         drop(store);
@@ -277,7 +280,7 @@
 }
 
 #[test]
-fn another_dispatchers_store_a_newer_form_and_a_clock_that_went_back() {
+fn another_dispatchers_store_is_refused_and_a_clock_set_back_is_reported() {
     let refused = Store::open(Box::new(folder()), "d1", 1, NOW).map(|_| ()).unwrap_err();
     assert_eq!(refused.to_string(), "it is the store of \"d0\"");
     let (_, found) = Store::open(Box::new(folder()), "d0", 1, NOW - 5_000_000).unwrap();
@@ -287,7 +290,7 @@
 }
 
 #[test]
-fn how_long_the_last_life_has_been_over_is_told_by_the_machine_not_by_the_clock() {
+fn downtime_is_measured_by_the_machines_uptime_not_by_the_clock() {
     let machine = |boot_id: &str, uptime| Machine { boot_id: boot_id.to_owned(), uptime };
     let away = |then: Machine, now: Machine| {
         let disk = MemoryDisk::default();
@@ -297,14 +300,14 @@
         open(disk).unwrap().1.min_downtime
     };
     assert_eq!(away(machine("a", 5_000_000), machine("a", 7_500_000)), 2_500_000);
-    // Another life of the machine: over for at least as long as that has been up.
+    // After another boot of the machine: at least its uptime.
     assert_eq!(away(machine("a", 90_000_000), machine("b", 3_000_000)), 3_000_000);
-    // A machine that does not tell proves nothing.
+    // Without a boot id nothing is known.
     assert_eq!(away(machine("", 1), machine("", 9_000_000)), 0);
 }
 
 #[test]
-fn somebody_has_heard_of_a_higher_number() {
+fn a_higher_boot_number_known_to_a_peer_is_exceeded() {
     let disk = folder();
     let (mut store, _) = open(disk.clone()).unwrap();
     assert_eq!(store.boot(), Some(3));
