--- a/peers/src/admin_overrides.rs
+++ b/peers/src/admin_overrides.rs
@@ -36,6 +36,7 @@
     digest: [u32; BUCKETS],
 }
 
+/// The digest bucket of a runner.
 fn bucket(runner: &str) -> usize {
     crc32fast::hash(runner.as_bytes()) as usize % BUCKETS
 }
@@ -44,11 +45,11 @@
 /// would not do: it is linear, so entries for `r-10` to `r-13` would cancel out and a difference would never
 /// be noticed.
 fn entry_hash(entry: &AdminOverride) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(entry.runner.as_bytes());
-    sum.update(&entry.version.count.to_le_bytes());
-    sum.update(&entry.version.author.to_le_bytes());
-    mix(u64::from(sum.finalize())) as u32
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(entry.runner.as_bytes());
+    hasher.update(&entry.version.count.to_le_bytes());
+    hasher.update(&entry.version.author.to_le_bytes());
+    mix(u64::from(hasher.finalize())) as u32
 }
 
 impl AdminOverrides {
@@ -83,6 +84,7 @@
         true
     }
 
+    /// Removes the oldest entry of a runner that is not out of use.
     fn evict_oldest(&mut self) {
         let not_out = self.by_runner.values().filter(|entry| entry.out_since.is_none());
         let oldest = not_out.min_by_key(|entry| (entry.was_out, entry.version));
--- a/peers/src/admin_overrides/tests.rs
+++ b/peers/src/admin_overrides/tests.rs
@@ -9,8 +9,8 @@
 fn the_newest_entry_wins_in_any_order_of_arrival() {
     let entries =
         [entry("a", 1, 5, true), entry("a", 2, 1, false), entry("a", 2, 3, true), entry("b", 1, 1, true)];
-    let mut orders = vec![vec![0, 1, 2, 3], vec![3, 2, 1, 0], vec![2, 0, 3, 1, 2, 0]];
-    let all: Vec<AdminOverrides> = orders
+    let mut arrival_orders = vec![vec![0, 1, 2, 3], vec![3, 2, 1, 0], vec![2, 0, 3, 1, 2, 0]];
+    let all: Vec<AdminOverrides> = arrival_orders
         .drain(..)
         .map(|order| {
             let mut overrides = AdminOverrides::default();
--- a/peers/src/packet.rs
+++ b/peers/src/packet.rs
@@ -80,9 +80,9 @@
 pub struct Packet {
     /// Name of the sender, so that dispatcher lists that differ between two dispatchers are noticed.
     pub from: String,
-    /// Boot number of the sender, and a nonce that distinguishes it from another process run with the same
-    /// number.
+    /// Boot number of the sender; 0 if it has none.
     pub boot: u64,
+    /// Distinguishes the sender's process run from another one with the same boot number.
     pub nonce: u32,
     /// The newest process run of the receiver that the sender knows: boot number and nonce.
     #[serde(rename = "yours")]
@@ -101,7 +101,6 @@
     TooLong,
     /// Not a datagram of this protocol, truncated, or damaged on the way.
     Malformed,
-    /// Sealed well, in a form that is not known here.
     /// The checksum is right, but the format version is not supported.
     UnknownFormat,
 }
--- a/peers/src/peers.rs
+++ b/peers/src/peers.rs
@@ -128,6 +128,7 @@
     indirect_sent: bool,
 }
 
+/// Another dispatcher and what is known about it.
 struct Peer {
     member: Member,
     state: PeerState,
@@ -140,6 +141,7 @@
     has_heard_us: bool,
     /// Its latest digest.
     digest: Digest,
+    /// The probe that it has not answered yet.
     probe: Option<Probe>,
     /// When entries were last sent to it.
     overrides_sent_at: Micros,
@@ -147,7 +149,7 @@
     last_sent_runner: String,
 }
 
-/// The membership state machine of one dispatcher. All times are the caller's monotonic clock.
+/// The membership state machine of one dispatcher. All times are of the caller's clock.
 pub struct Peers {
     name: String,
     boot: u64,
@@ -158,6 +160,7 @@
     peers: Vec<Peer>,
     /// All names including our own, sorted: packets name dispatchers by their index here.
     names: Vec<String>,
+    /// Index of the peer with each address.
     by_address: BTreeMap<SocketAddr, usize>,
     /// The admin overrides known here.
     pub overrides: AdminOverrides,
@@ -177,6 +180,7 @@
     random: Pcg32,
     /// Counts of datagrams, for metrics.
     pub counters: PeerCounters,
+    /// Actions to return from the current call.
     actions: Vec<Action>,
 }
 
@@ -326,6 +330,7 @@
         self.peers.iter().filter(heard).count() * 2 < self.peers.len()
     }
 
+    /// A packet for the peer at `index`, with our boot number and digest.
     fn packet(&self, index: usize, message: Message) -> Packet {
         let digest = Digest { stage: self.stage, overrides: self.overrides.digest() };
         let peer = &self.peers[index];
@@ -340,6 +345,7 @@
         }
     }
 
+    /// Queues a packet for the peer at `index`.
     fn send(&mut self, index: usize, message: Message) {
         let bytes = seal(&self.packet(index, message));
         self.counters.sent += 1;
@@ -347,11 +353,13 @@
         self.actions.push(Action::Send { to: self.peers[index].member.address, bytes });
     }
 
+    /// Index of a peer's name in `names`, as packets use it.
     fn name_index(&self, index: usize) -> u16 {
         let name = &self.peers[index].member.name;
         self.names.binary_search(name).unwrap_or(0) as u16
     }
 
+    /// Index of the peer with this index in `names`; none for ourselves or an invalid index.
     fn peer_at(&self, name_index: u16) -> Option<usize> {
         let name = self.names.get(usize::from(name_index))?;
         self.peers.binary_search_by(|peer| peer.member.name.cmp(name)).ok()
@@ -397,6 +405,7 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Probes a peer unless a probe of it is outstanding.
     fn probe(&mut self, index: usize, now: Micros) {
         if self.peers[index].probe.is_some() {
             return;
@@ -436,6 +445,7 @@
         }
     }
 
+    /// Sets a peer's state, and reports it if it has changed.
     fn set_state(&mut self, index: usize, state: PeerState) {
         let peer = &mut self.peers[index];
         if std::mem::replace(&mut peer.state, state) != state {
@@ -467,6 +477,7 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Processes a valid packet of the peer at `index`.
     fn handle_packet(&mut self, index: usize, packet: Packet, now: Micros) {
         let peer = &mut self.peers[index];
         let theirs = (packet.boot, packet.nonce);
--- a/peers/src/slow_start.rs
+++ b/peers/src/slow_start.rs
@@ -68,6 +68,7 @@
     owners_by_runner: BTreeMap<String, Vec<u16>>,
 }
 
+/// Hash of a name or id; all dispatchers must compute the same.
 fn hash(text: &str) -> u64 {
     let bytes = text.as_bytes();
     // The length adds variety, as a checksum alone has 32 bits.
@@ -175,6 +176,7 @@
         runners.map(share_of).collect()
     }
 
+    /// The owners of a runner, by rendezvous hashing.
     fn owners_of(&mut self, runner: &str) -> Vec<u16> {
         if let Some(owners) = self.owners_by_runner.get(runner) {
             return owners.clone();
--- a/peers/src/slow_start/tests.rs
+++ b/peers/src/slow_start/tests.rs
@@ -38,7 +38,7 @@
     let held = share(&mut all[other], now);
     assert!(
         held.share == 0.0 && held.until > now + all[other].promise_span(),
-        "an earlier life may have promised"
+        "an earlier run may have promised"
     );
     for nth in 0..9 {
         let gave = all[nth].try_promise(false, now + 10);
--- a/store/src/faulty.rs
+++ b/store/src/faulty.rs
@@ -45,7 +45,9 @@
 
 /// A change of a file name that is not on the disk yet.
 enum NameChange {
+    /// Name, and index of the file.
     Create(String, usize),
+    /// Old name, new name.
     Rename(String, String),
     Remove(String),
 }
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -26,8 +26,8 @@
 /// Start of the names of log files.
 const PREFIX: &str = "log-";
 
-/// Kind of a record. Numbers are never reused; those from 32 on are reserved for a journal of non-idempotent
-/// work.
+/// Kind of a record. Numbers are never reused; those from 32 on are reserved for a journal of work that
+/// must not run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Table(pub u8);
 
@@ -48,8 +48,8 @@
     pub value: Option<Vec<u8>>,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 /// One entry of a log file.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogEntry {
     /// First entry of each file; `form` is the format version of the file.
     Head { form: u16, owner: String, store: u64, boot: u64 },
--- a/store/src/store.rs
+++ b/store/src/store.rs
@@ -15,13 +15,13 @@
 
 /// Name under which a new file is written before it is renamed.
 const TEMPORARY: &str = "next";
-/// Two copies, as nobody else knows the latest boot number for certain; each is read independently.
+/// Two copies, as the latest boot number may be known nowhere else; each is read independently.
 const BOOT_FILES: [&str; 2] = ["boot-a", "boot-b"];
-/// File with the last sign of life of the running process.
+/// File with the machine's uptime until which the process may have been running.
 const ALIVE_FILE: &str = "alive";
 /// A new file is written once the current one exceeds its snapshot by this factor plus [`REWRITE_MIN_BYTES`].
 const REWRITE_FACTOR: u64 = 4;
-/// See [`REWRITE_FACTOR`]; avoids frequent rewrites of small stores.
+/// See [`REWRITE_FACTOR`]; keeps a small store from being rewritten all the time.
 const REWRITE_MIN_BYTES: u64 = 4 << 20;
 
 /// Why the records of the previous process run are not fully trusted.
@@ -134,12 +134,16 @@
 
 type Records = BTreeMap<(Table, String), Record>;
 
+/// The content of one log file.
 struct LoadedFile {
+    /// Number in the file's name.
     number: u64,
     owner: String,
     store: u64,
     boot: u64,
+    /// Whether the last entry records a clean shutdown and nothing is missing.
     ended_cleanly: bool,
+    /// Places with missing or damaged entries.
     gaps: u64,
     torn_bytes: u64,
     records: Records,
@@ -188,7 +192,7 @@
         }
     }
     file.ended_cleanly &= file.torn_bytes == 0 && file.gaps == 0;
-    // The end of the snapshot itself is damaged: what was read is used, and more may be missing.
+    // Without the end of the snapshot, what was read is used and more may be missing.
     file.gaps += u64::from(!has_snapshot_end);
     Ok(Some(file))
 }
@@ -302,6 +306,7 @@
 impl Store {
     /// Opens a directory for a new process run. When this returns, the run's boot number is on the disk, or
     /// `write_error` of the summary says why not. `id` is used for a store that has none yet.
+    /// Fails if the disk cannot be read or locked, belongs to another dispatcher, or has a newer format.
     pub fn open(
         mut disk: Box<dyn Disk>,
         owner: &str,
@@ -381,7 +386,7 @@
     }
 
     /// Changes a record, or deletes it if `value` is none. It is in force here immediately and stored once
-    /// [`Store::sync`] has succeeded.
+    /// [`Store::sync`] has succeeded. A value that is too large for a record deletes it.
     pub fn put(&mut self, table: Table, key: &str, format: u16, value: Option<Vec<u8>>, now: Micros) {
         let value = value.filter(|value| value.len() + key.len() + 64 <= MAX_RECORD_BYTES);
         let record =
@@ -430,7 +435,7 @@
         }
     }
 
-    /// Records a clean shutdown.
+    /// Makes all changes durable and records a clean shutdown.
     pub fn close(&mut self, now: Micros) -> Result<(), WriteError> {
         self.sync()?;
         if let Some(writer) = &mut self.writer {
