--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -36,7 +36,7 @@
 
     /// Number of peers that are alive.
     fn alive_count(&self) -> usize {
-        let states = self.peers.iter().flat_map(|peers| peers.lives());
+        let states = self.peers.iter().flat_map(|peers| peers.peer_states());
         states.filter(|(_, state, _)| *state == PeerState::Alive).count()
     }
 
@@ -47,21 +47,21 @@
 
     /// Counters and gauges for an operator's `stats`.
     pub fn metrics(&self) -> [(&'static str, u64); 7] {
-        let counters = self.peers.as_ref().map(|peers| peers.counts).unwrap_or_default();
+        let counters = self.peers.as_ref().map(|peers| peers.counters).unwrap_or_default();
         [
             ("peers", self.configuration.members.len() as u64),
             ("peers_alive", self.alive_count() as u64),
             ("peers_sent", counters.sent),
             ("peers_sent_bytes", counters.sent_bytes),
             ("peers_heard", counters.heard),
-            ("peers_bad", counters.bad + counters.strangers),
+            ("peers_bad", counters.bad + counters.unlisted),
             ("peers_old", counters.old),
         ]
     }
 
     /// Version of a runner's admin override, if one is known.
     fn version(&self, id: &str) -> Option<Version> {
-        self.peers.as_ref()?.hands.get(id).map(|entry| entry.version)
+        self.peers.as_ref()?.overrides.get(id).map(|entry| entry.version)
     }
 }
 
@@ -93,9 +93,9 @@
             };
         if let Some(peers) = &mut peer_exchange.peers {
             // The disk opened late: the peers are notified of what it holds all the same.
-            peers.numbered(boot.unwrap_or(0));
+            peers.set_boot(boot.unwrap_or(0));
             let in_force: Vec<_> =
-                loaded.iter().filter_map(|loaded| peers.remember(stored_override(loaded))).collect();
+                loaded.iter().filter_map(|loaded| peers.restore(stored_override(loaded))).collect();
             for entry in in_force {
                 self.apply_peer_override(&entry.runner, entry.out_since.is_some(), driver);
             }
@@ -112,9 +112,9 @@
             seed,
             now,
         );
-        peers.settings(self.dispatcher_count, self.overload_window);
+        peers.configure(self.dispatcher_count, self.overload_window);
         for loaded in loaded {
-            peers.remember(stored_override(loaded));
+            peers.restore(stored_override(loaded));
         }
         peer_exchange.peers = Some(peers);
         self.run_peer_round(driver);
@@ -123,7 +123,7 @@
     /// Passes on this process run's boot number, which may have reached the disk only now.
     pub(super) fn set_peer_boot(&mut self, boot: Option<u64>) {
         if let Some(peers) = self.peers() {
-            peers.numbered(boot.unwrap_or(0));
+            peers.set_boot(boot.unwrap_or(0));
         }
     }
 
@@ -137,7 +137,7 @@
     pub(super) fn announce_admin_override(&mut self, id: &str, driver: &mut dyn ConnectionDriver) {
         let (out_since, was_out) = self.membership.hand(id);
         let Some(peers) = self.peers() else { return };
-        let (_, actions) = peers.call(id, out_since, was_out, driver.now());
+        let (_, actions) = peers.set_override(id, out_since, was_out, driver.now());
         self.apply_peer_actions(actions, driver);
     }
 
@@ -145,7 +145,7 @@
     pub(super) fn announce_stage(&mut self) {
         let stage = self.persistence.as_ref().map(|persistence| persistence.stage());
         if let (Some(stage), Some(peers)) = (stage, self.peers()) {
-            peers.stage(stage as u8);
+            peers.set_stage(stage as u8);
         }
     }
 
@@ -155,7 +155,7 @@
         let Some(peers) = &mut peer_exchange.peers else { return };
         let now = driver.now();
         let actions = peers.tick(now);
-        let round_at = peers.due();
+        let round_at = peers.next_tick();
         if peer_exchange.round_at != Some(round_at) {
             peer_exchange.round_at = Some(round_at);
             driver.set_timer(Timer::Peers, round_at);
@@ -169,7 +169,7 @@
     pub(super) fn update_peer_settings(&mut self) {
         let (dispatcher_count, overload_window) = (self.dispatcher_count, self.overload_window);
         if let Some(peers) = self.peers() {
-            peers.settings(dispatcher_count, overload_window);
+            peers.configure(dispatcher_count, overload_window);
         }
     }
 
@@ -180,7 +180,7 @@
         }
         let cold = self.membership.cold(now);
         let Some(peers) = self.peers() else { return };
-        let shares = peers.portions(cold.iter().map(|id| &**id), now);
+        let shares = peers.slow_start_shares(cold.iter().map(|id| &**id), now);
         if !cold.is_empty() {
             let entries = cold.into_iter().zip(shares).map(|(id, share)| (id, share.share, share.until));
             self.pending_events.push(Event::SlowStartShares(entries.collect()));
@@ -191,7 +191,7 @@
     pub fn datagram(&mut self, from: SocketAddr, bytes: &[u8], driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
         let Some(peers) = self.peers() else { return };
-        let actions = peers.heard(now, from, bytes);
+        let actions = peers.receive(now, from, bytes);
         self.apply_peer_actions(actions, driver);
     }
 
@@ -200,17 +200,17 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => driver.datagram(to, &bytes),
-                Action::PeerEvent(PeerEvent::Peer { name, life: state, boot }) => {
+                Action::PeerEvent(PeerEvent::StateChanged { name, state, boot }) => {
                     log!("peer", "name={name} life={} boot={boot}", state.code());
                 }
-                Action::PeerEvent(PeerEvent::Numbered(boot)) => self.resolve_boot_conflict(boot),
+                Action::PeerEvent(PeerEvent::BootTaken(boot)) => self.resolve_boot_conflict(boot),
                 Action::PeerEvent(PeerEvent::AdminOverride(entry)) => {
                     self.apply_peer_override(&entry.runner, entry.out_since.is_some(), driver);
                 }
             }
         }
-        let Some((all, agree)) = self.peers().map(|peers| peers.agree()) else { return };
-        self.handle_recovery_event(recovery::Event::Agree { all, agree }, driver);
+        let Some((all, agree)) = self.peers().map(|peers| peers.agreement()) else { return };
+        self.handle_recovery_event(recovery::Event::PeerAgreement { all, agree }, driver);
     }
 
     /// Handles a boot number of this dispatcher that a peer knows and that is not below the current one: the
@@ -219,7 +219,7 @@
         let Some(peers) = self.peers() else { return };
         if boot >= peers.boot() {
             log!("boot-taken", "heard={boot} ours={}", peers.boot());
-            peers.numbered(boot + 1);
+            peers.set_boot(boot + 1);
             self.raise_boot_above(boot);
         }
     }
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -151,7 +151,8 @@
     /// Retry-After of clients that are turned away before service begins, if one is sent: spread by id so
     /// that they do not retry all at once.
     pub(super) fn recovery_retry_after(&self, id: &str, now: Micros) -> Option<Micros> {
-        let time_left = self.persistence.as_ref().map_or(0, |persistence| persistence.recovery.left(now));
+        let time_left =
+            self.persistence.as_ref().map_or(0, |persistence| persistence.recovery.time_to_service(now));
         let spread = topazsail::hash(id.as_bytes()) % RETRY_AFTER_SPREAD as u64;
         self.max_retry_after.map(|max_retry_after| (time_left + spread as Micros).min(max_retry_after))
     }
@@ -164,7 +165,7 @@
         }
         let Some(persistence) = &mut self.persistence else { return true };
         let draw = topazsail::hash(id.as_bytes()) as f64 / u64::MAX as f64;
-        persistence.admission_limits.takes(operation, draw, now)
+        persistence.admission_limits.admit(operation, draw, now)
     }
 
     /// The share of its full capacity that the fleet has; `None` unless recovery is in the stage in which
@@ -193,7 +194,7 @@
         if let Some(warmth) = self.current_warmth(now)
             && let Some(persistence) = &mut self.persistence
         {
-            persistence.admission_limits.short(warmth, now);
+            persistence.admission_limits.record_shortage(warmth, now);
         }
     }
 
@@ -202,7 +203,7 @@
         if let Some(persistence) =
             self.persistence.as_mut().filter(|persistence| persistence.stage() == Stage::Limited)
         {
-            persistence.admission_limits.succeeded(operation, latency);
+            persistence.admission_limits.record_success(operation, latency);
         }
     }
 
@@ -229,7 +230,7 @@
     fn arm_recovery_timer(&mut self, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
         let Some(persistence) = &mut self.persistence else { return };
-        let Some(due) = persistence.recovery.due() else { return };
+        let Some(due) = persistence.recovery.next_tick() else { return };
         let is_limited = persistence.stage() == Stage::Limited;
         let at = if is_limited { due.min(now + LIMITED_CHECK_INTERVAL) } else { due };
         // A timer that is set already and fires in time will set the next one.
@@ -247,7 +248,7 @@
                     log!("stage", "stage={} {why}", stage.code());
                     self.announce_stage();
                 }
-                Action::Begin => self.begin_with_roster(driver),
+                Action::ChooseRoster => self.begin_with_roster(driver),
                 Action::Serve => self.clients.ready(self.shutdown_since.is_none()),
             }
         }
@@ -330,7 +331,7 @@
                 log!("trusts", "item=spent belief=trusted reason={why:?} runners={}", usage.runners.len());
                 // Usage is stored as ages at the end of the process run. The time since then is known only as
                 // a lower bound, and the usage may be older: that errs on the safe side.
-                let ended_at = now - loaded.found.away;
+                let ended_at = now - loaded.found.min_downtime;
                 let absolute = |work: Vec<(Micros, f64)>| {
                     work.into_iter().map(move |(ago, w)| (ended_at - ago, w)).collect()
                 };
@@ -364,12 +365,12 @@
                 StoreEvent::Opened(loaded) => {
                     persistence.boot = loaded.boot;
                     persistence.store_failure = None;
-                    if let Some(why) = &loaded.found.unwritten {
+                    if let Some(why) = &loaded.found.write_error {
                         persistence.record_store_failure(&why.to_string());
                     }
                     let boot = loaded.boot;
                     if persistence.stage() == Stage::Finding {
-                        let event = recovery::Event::Opened { found: &loaded.found, boot };
+                        let event = recovery::Event::StoreOpened { summary: &loaded.found, boot };
                         let actions = persistence.recovery.handle(driver.now(), event);
                         persistence.loaded = Some(loaded);
                         self.store_settings();
@@ -386,7 +387,7 @@
                 StoreEvent::Unopened(why) => {
                     log!("store", "state=refused reason={why:?}");
                     persistence.record_store_failure(&why);
-                    let event = recovery::Event::Unopened { why: &why };
+                    let event = recovery::Event::StoreUnavailable { reason: &why };
                     let actions = persistence.recovery.handle(driver.now(), event);
                     self.apply_recovery_actions(actions, driver);
                 }
@@ -409,11 +410,11 @@
     pub(super) fn note_listing(&mut self, listing: Listing, driver: &mut dyn ConnectionDriver) {
         let Some(persistence) = &mut self.persistence else { return };
         let event = match listing {
-            Listing::All | Listing::Changes => recovery::Event::Heard,
-            Listing::Refused => recovery::Event::Refused,
+            Listing::All | Listing::Changes => recovery::Event::RosterReceived,
+            Listing::Refused => recovery::Event::DiscoveryFailed,
             Listing::Remembered | Listing::Local => return,
         };
-        let is_fresh = matches!(event, recovery::Event::Heard);
+        let is_fresh = matches!(event, recovery::Event::RosterReceived);
         let actions = persistence.recovery.handle(driver.now(), event);
         if is_fresh && !std::mem::replace(&mut persistence.roster_write_is_scheduled, true) {
             let extra_delay =
--- a/peers/src/peers.rs
+++ b/peers/src/peers.rs
@@ -1,13 +1,15 @@
-//! Probes, suspicion, numbers of lives, and the exchange of what differs.
+//! Probing and suspicion of peers, boot numbers, and the exchange of state that differs.
 //!
-//! Each round some of the others are probed, in turn. Who does not answer is asked for through three others, as the
-//! link may be cut and not the peer; then it is suspected, and later taken for gone, until it is heard again. Whatever
-//! a peer says carries a short digest of what it has: where that differs, what is behind it is sent. It must never
-//! believe an earlier life's words, and never take a suspected peer for one that does nothing.
+//! In each round some of the peers are probed, in random order. A peer that does not answer is probed through
+//! three others, as the link may be cut and not the peer dead. Without an answer it becomes suspected, and
+//! later gone, until a packet from it arrives. Every packet carries a short digest of the sender's state;
+//! where digests differ, the entries behind them are sent. Packets of an earlier process run are never
+//! believed, and a suspected peer is never assumed to be idle.
 //!
-//! Source: SWIM (Das, Gupta, Motivala 2002) for probes on others' behalf and suspicion; digests first as in anti-entropy
-//! by Demers et al. (1987). Not taken from SWIM: word of failures spread by gossip. Each judges by what it hears itself,
-//! as here a false word of a failure would cost more than a late one.
+//! Sources: SWIM (Das, Gupta, Motivala 2002) for indirect probes and suspicion; digests first as in
+//! anti-entropy by Demers et al. (1987). Unlike in SWIM, failures are not spread by gossip: each dispatcher
+//! judges by the packets that it receives itself, as here a false report of a failure would cost more than a
+//! late one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,44 +20,56 @@
 
 use crate::Micros;
 use crate::admin_overrides::{AdminOverrides, Version};
-use crate::packet::{AdminOverride, Digest, Message, PACKET_MOST, Packet, PacketError, open, seal};
+use crate::packet::{AdminOverride, Digest, MAX_PACKET_BYTES, Message, Packet, PacketError, open, seal};
 use crate::slow_start::{SlowStartAllocator, SlowStartShare};
 
-/// From one round of probes to the next, and how many are probed at once in a large fleet.
-const ROUND: Micros = 200_000;
-const AT_ONCE_SHARE: usize = 8;
-const AT_ONCE_MOST: usize = 4;
-/// An answer takes no longer; then others are asked, and then it is suspected.
-const ANSWER_WITHIN: Micros = 300_000;
-const THROUGH_WITHIN: Micros = 600_000;
-const THROUGH: usize = 3;
-/// Suspected for so long without a word, a peer is taken for gone.
-const GONE_AFTER: Micros = 5_000_000;
-/// What differs is sent to one peer at most so often, in so many datagrams.
-const TELL_AGAIN: Micros = 200_000;
-const TELL_MOST: usize = 4;
-/// At the start nobody has been heard yet; who is not by then is not there.
-const ALONE_AFTER: Micros = 2_000_000;
-/// Probes on others' behalf that may be under way.
-const BEHALF_MOST: usize = 256;
+/// Time from one round of probes to the next.
+const ROUND_INTERVAL: Micros = 200_000;
+/// One peer in this many is probed per round.
+const PEERS_PER_PROBE: usize = 8;
+/// Most peers probed per round, unless promises have to be renewed more often.
+const MAX_PROBES_PER_ROUND: usize = 4;
+/// Time within which a probe must be answered; after it other peers are asked to probe.
+const ANSWER_TIMEOUT: Micros = 300_000;
+/// Time from then on within which an indirect answer must arrive; after it the peer is suspected.
+const INDIRECT_ANSWER_TIMEOUT: Micros = 600_000;
+/// Number of peers that are asked to probe.
+const INDIRECT_PROBES: usize = 3;
+/// A suspected peer counts as gone this long after its last packet.
+const GONE_TIMEOUT: Micros = 5_000_000;
+/// Shortest time between two batches of entries to the same peer.
+const OVERRIDES_RESEND_INTERVAL: Micros = 200_000;
+/// Most datagrams of one batch.
+const MAX_OVERRIDE_PACKETS: usize = 4;
+/// During this time after the start, a peer that has not been heard yet does not count as unreachable.
+const START_GRACE: Micros = 2_000_000;
+/// Most outstanding probes on behalf of other dispatchers.
+const MAX_INDIRECT_PROBES: usize = 256;
 
 /// Another dispatcher, as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
+    /// Its unique name.
     pub name: String,
+    /// The address that it sends datagrams from and receives them at.
     pub address: SocketAddr,
 }
 
+/// What this process run knows about a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// Never heard in this life of ours.
+    /// No packet has been received in this process run.
     Unknown,
+    /// It answers probes, or packets from it arrive.
     Alive,
+    /// It has not answered a probe, neither directly nor through others.
     Suspected,
+    /// It has been suspected, and silent for `GONE_TIMEOUT`.
     Gone,
 }
 
 impl PeerState {
+    /// Name of the state in log lines.
     pub fn code(self) -> &'static str {
         match self {
             PeerState::Unknown => "unknown",
@@ -66,107 +80,131 @@
     }
 }
 
-/// What is new.
+/// A change that the caller has to act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerEvent {
-    /// A peer's state has changed; with the number of its life.
-    Peer { name: String, life: PeerState, boot: u64 },
-    /// Somebody has heard of a life of ours with this number, which is not this one.
-    Numbered(u64),
-    /// A newer word on a runner.
+    /// A peer's state has changed; `boot` is the boot number of its newest process run.
+    StateChanged { name: String, state: PeerState, boot: u64 },
+    /// A peer knows another process run of this dispatcher with this boot number, which is at least as high
+    /// as ours.
+    BootTaken(u64),
+    /// A newer entry for a runner has been received.
     AdminOverride(AdminOverride),
 }
 
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
+    /// Send a datagram.
     Send { to: SocketAddr, bytes: Vec<u8> },
+    /// Handle an event.
     PeerEvent(PeerEvent),
 }
 
-/// Datagrams, by what became of them.
+/// Counts of datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerCounters {
+    /// Datagrams sent.
     pub sent: u64,
+    /// Bytes sent.
     pub sent_bytes: u64,
+    /// Valid datagrams received from peers.
     pub heard: u64,
-    /// Garbage, too long, or of an unknown form.
+    /// Malformed, too long, or of an unknown format.
     pub bad: u64,
-    /// From an address that is not listed, or by a name that is not that address's.
-    pub strangers: u64,
-    /// Of an earlier life.
+    /// From an unlisted address, or with a name that does not belong to the address.
+    pub unlisted: u64,
+    /// From an earlier process run of the peer.
     pub old: u64,
 }
 
+/// An outstanding probe.
 #[derive(Clone, Copy)]
 struct Probe {
+    /// The number that the answer must repeat.
     number: u64,
-    at: Micros,
-    /// Others have been asked.
-    asked: bool,
+    sent_at: Micros,
+    /// Whether other peers have been asked to probe.
+    indirect_sent: bool,
 }
 
+/// Another dispatcher and what is known about it.
 struct Peer {
     member: Member,
-    life: PeerState,
-    /// The highest number of its lives, and which life that was.
+    state: PeerState,
+    /// The highest boot number seen, and the nonce of that process run.
     boot: u64,
     nonce: u32,
-    heard_at: Micros,
-    /// It has heard this life of ours.
-    knows_us: bool,
+    /// When the last packet arrived from it, or an indirect answer.
+    last_heard: Micros,
+    /// Whether it has seen this process run.
+    has_heard_us: bool,
+    /// Its latest digest.
     digest: Digest,
+    /// The probe that it has not answered yet.
     probe: Option<Probe>,
-    told_at: Micros,
-    /// The runner whose word was told last of many.
-    told_last: String,
+    /// When entries were last sent to it.
+    overrides_sent_at: Micros,
+    /// The last runner whose entry was sent, where one batch could not hold all entries.
+    last_sent_runner: String,
 }
 
+/// The membership state machine of one dispatcher. All times are of the caller's clock.
 pub struct Peers {
     name: String,
     boot: u64,
     nonce: u32,
+    /// Own recovery stage, as sent to peers.
     stage: u8,
-    /// By name, so that all have the same places.
+    /// Sorted by name.
     peers: Vec<Peer>,
-    /// All names in order, ours among them: places in packets.
+    /// All names including our own, sorted: packets name dispatchers by their index here.
     names: Vec<String>,
+    /// Index of the peer with each address.
     by_address: BTreeMap<SocketAddr, usize>,
-    pub hands: AdminOverrides,
-    account: SlowStartAllocator,
-    /// Whether cold runners are listed: promises are then asked for in time.
-    cold: bool,
-    began: Micros,
-    /// Who is to be probed next, in this order.
-    turn: Vec<usize>,
-    number: u64,
-    round_at: Micros,
-    /// Probes that were made for others: their number here, who asked, their number there.
-    behalf: BTreeMap<u64, (usize, u64, usize)>,
-    drawn: Pcg32,
-    pub counts: PeerCounters,
+    /// The admin overrides known here.
+    pub overrides: AdminOverrides,
+    allocator: SlowStartAllocator,
+    /// Whether any listed runner is cold; if so, peers are probed often enough to renew promises in time.
+    has_cold_runners: bool,
+    started_at: Micros,
+    /// Peers still to be probed in this pass, last first.
+    probe_order: Vec<usize>,
+    /// Number of the last probe that was sent.
+    last_number: u64,
+    /// When the next round is due.
+    next_round: Micros,
+    /// Probes sent for other dispatchers, by their number: the index of the asker, the number that it waits
+    /// for, and the index of the target.
+    indirect_probes: BTreeMap<u64, (usize, u64, usize)>,
+    random: Pcg32,
+    /// Counts of datagrams, for metrics.
+    pub counters: PeerCounters,
+    /// Actions to return from the current call.
     actions: Vec<Action>,
 }
 
 impl Peers {
-    /// `boot` is this life's number, 0 where it has none yet; `nonce` tells it from others of that number.
+    /// `boot` is the boot number of this process run, 0 if it has none yet; `nonce` distinguishes it from
+    /// other runs with the same number.
     pub fn new(name: &str, members: Vec<Member>, (boot, nonce): (u64, u32), seed: u64, now: Micros) -> Peers {
         let mut members = members;
         members.sort_by(|a, b| a.name.cmp(&b.name));
         let mut names: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
         names.push(name.to_owned());
         names.sort();
-        let by_address = members.iter().enumerate().map(|(nth, member)| (member.address, nth)).collect();
+        let by_address = members.iter().enumerate().map(|(index, member)| (member.address, index)).collect();
         let peer = |member| Peer {
             member,
-            life: PeerState::Unknown,
+            state: PeerState::Unknown,
             boot: 0,
             nonce: 0,
-            heard_at: now,
-            knows_us: false,
+            last_heard: now,
+            has_heard_us: false,
             digest: Digest::default(),
             probe: None,
-            told_at: Micros::MIN,
-            told_last: String::new(),
+            overrides_sent_at: Micros::MIN,
+            last_sent_runner: String::new(),
         };
         Peers {
             name: name.to_owned(),
@@ -174,357 +212,389 @@
             nonce,
             stage: 0,
             peers: members.into_iter().map(peer).collect(),
-            account: SlowStartAllocator::new(&names, name, now),
-            cold: false,
-            began: now,
+            allocator: SlowStartAllocator::new(&names, name, now),
+            has_cold_runners: false,
+            started_at: now,
             names,
             by_address,
-            hands: AdminOverrides::default(),
-            turn: Vec::new(),
-            number: u64::from(nonce) << 20,
-            round_at: now,
-            behalf: BTreeMap::new(),
-            drawn: Pcg32::seed_from_u64(seed),
-            counts: PeerCounters::default(),
+            overrides: AdminOverrides::default(),
+            probe_order: Vec::new(),
+            last_number: u64::from(nonce) << 20,
+            next_round: now,
+            indirect_probes: BTreeMap::new(),
+            random: Pcg32::seed_from_u64(seed),
+            counters: PeerCounters::default(),
             actions: Vec::new(),
         }
     }
 
+    /// The boot number of this process run, 0 if it has none.
     pub fn boot(&self) -> u64 {
         self.boot
     }
 
-    /// This life has this number from now on.
-    pub fn numbered(&mut self, boot: u64) {
+    /// Sets the boot number of this process run; a lower one than the current is ignored.
+    pub fn set_boot(&mut self, boot: u64) {
         self.boot = self.boot.max(boot);
     }
 
-    pub fn stage(&mut self, stage: u8) {
+    /// Sets the recovery stage that is sent to peers.
+    pub fn set_stage(&mut self, stage: u8) {
         self.stage = stage;
     }
 
     /// When to call [`Peers::tick`] next.
-    pub fn due(&self) -> Micros {
-        self.round_at
+    pub fn next_tick(&self) -> Micros {
+        self.next_round
     }
 
-    /// All others, and how many of them have heard this life of ours and agree on who is out by hand.
-    pub fn agree(&self) -> (usize, usize) {
-        let ours = self.hands.digest();
-        let agrees =
-            |peer: &&Peer| peer.life == PeerState::Alive && peer.knows_us && peer.digest.hands == ours;
+    /// The number of peers, and how many of them have seen this process run and agree on the admin overrides.
+    pub fn agreement(&self) -> (usize, usize) {
+        let ours = self.overrides.digest();
+        let agrees = |peer: &&Peer| {
+            peer.state == PeerState::Alive && peer.has_heard_us && peer.digest.overrides == ours
+        };
         (self.peers.len(), self.peers.iter().filter(agrees).count())
     }
 
-    pub fn lives(&self) -> impl Iterator<Item = (&str, PeerState, u64)> {
-        self.peers.iter().map(|peer| (peer.member.name.as_str(), peer.life, peer.boot))
+    /// Name, state and newest boot number of each peer.
+    pub fn peer_states(&self) -> impl Iterator<Item = (&str, PeerState, u64)> {
+        self.peers.iter().map(|peer| (peer.member.name.as_str(), peer.state, peer.boot))
     }
 
-    /// A call on a runner that was made here.
-    pub fn call(
+    /// Records an operator's override of a runner that was made at this dispatcher. Returns its version, and
+    /// the packets to send.
+    pub fn set_override(
         &mut self,
         runner: &str,
         out_since: Option<Micros>,
         was_out: Option<(Micros, Micros)>,
         now: Micros,
     ) -> (Version, Vec<Action>) {
-        let version = self.hands.next(runner, self.author());
-        let hand = AdminOverride { runner: runner.to_owned(), version, out_since, was_out };
-        self.hands.merge(hand.clone());
-        // At once to all who are there: rounds are for who was not.
-        for nth in 0..self.peers.len() {
-            if matches!(self.peers[nth].life, PeerState::Alive | PeerState::Suspected) {
-                self.peers[nth].told_at = now;
-                self.send(nth, Message::AdminOverrides(vec![hand.clone()]));
+        let version = self.overrides.next_version(runner, self.author());
+        let entry = AdminOverride { runner: runner.to_owned(), version, out_since, was_out };
+        self.overrides.merge(entry.clone());
+        // Sent to all reachable peers immediately; rounds are for those that miss it.
+        for index in 0..self.peers.len() {
+            if matches!(self.peers[index].state, PeerState::Alive | PeerState::Suspected) {
+                self.peers[index].overrides_sent_at = now;
+                self.send(index, Message::AdminOverrides(vec![entry.clone()]));
             }
         }
         (version, std::mem::take(&mut self.actions))
     }
 
-    /// Marks calls that were made in this life.
+    /// Marks overrides that were made in this process run.
     fn author(&self) -> u32 {
         crc32fast::hash(format!("{} {}", self.name, self.nonce).as_bytes())
     }
 
-    /// A word that an earlier life has left, perhaps on a disk that opens late. Gives it back where it holds from now
-    /// on: not where a newer one is known, nor where a call was made here since, which then counts above it.
-    pub fn remember(&mut self, hand: AdminOverride) -> Option<AdminOverride> {
+    /// Adds an entry that an earlier process run has stored, possibly on a disk that opens late. Returns the
+    /// entry if it is in force now. It is not if a newer entry is known. If an override was made here since
+    /// the start, that one wins and gets a version above the stored entry.
+    pub fn restore(&mut self, entry: AdminOverride) -> Option<AdminOverride> {
         let own = self.author();
-        let known = self.hands.get(&hand.runner).filter(|known| known.version.author == own).cloned();
-        if !self.hands.merge(hand.clone()) {
+        let known = self.overrides.get(&entry.runner).filter(|known| known.version.author == own).cloned();
+        if !self.overrides.merge(entry.clone()) {
             return None;
         }
-        let Some(called) = known else { return Some(hand) };
-        let version = self.hands.next(&called.runner, own);
-        self.hands.merge(AdminOverride { version, ..called });
+        let Some(own_entry) = known else { return Some(entry) };
+        let version = self.overrides.next_version(&own_entry.runner, own);
+        self.overrides.merge(AdminOverride { version, ..own_entry });
         None
     }
 
-    /// What the settings say of the account on cold runners: how many dispatchers share it, over which span.
-    pub fn settings(&mut self, dispatchers: usize, looks_at: Micros) {
-        self.account.settings(dispatchers, looks_at);
+    /// Applies the settings: the number of dispatchers that share slow-start budgets, and the overload
+    /// window.
+    pub fn configure(&mut self, dispatchers: usize, overload_window: Micros) {
+        self.allocator.configure(dispatchers, overload_window);
     }
 
-    /// Which portions of these cold runners' budgets are this dispatcher's own, in the same order: to be asked for
-    /// in each round, and to hold from when they are told.
-    pub fn portions<'a>(&mut self, cold: impl Iterator<Item = &'a str>, now: Micros) -> Vec<SlowStartShare> {
-        let portions = self.account.portions(cold, now);
-        self.cold = !portions.is_empty();
-        portions
+    /// This dispatcher's shares of the slow-start budgets of these cold runners, in the same order. To be
+    /// called in each round; a share is in force as soon as it is returned.
+    pub fn slow_start_shares<'a>(
+        &mut self,
+        cold: impl Iterator<Item = &'a str>,
+        now: Micros,
+    ) -> Vec<SlowStartShare> {
+        let shares = self.allocator.shares(cold, now);
+        self.has_cold_runners = !shares.is_empty();
+        shares
     }
 
-    /// Whether fewer than half of the others are heard.
-    fn alone(&self, now: Micros) -> bool {
-        let starting = now < self.began + ALONE_AFTER;
+    /// Whether fewer than half of the peers are heard.
+    fn is_isolated(&self, now: Micros) -> bool {
+        let starting = now < self.started_at + START_GRACE;
         let heard =
-            |peer: &&Peer| peer.life == PeerState::Alive || starting && peer.life == PeerState::Unknown;
+            |peer: &&Peer| peer.state == PeerState::Alive || starting && peer.state == PeerState::Unknown;
         self.peers.iter().filter(heard).count() * 2 < self.peers.len()
     }
 
-    fn packet(&self, nth: usize, what: Message) -> Packet {
-        let digest = Digest { stage: self.stage, hands: self.hands.digest() };
-        let peer = &self.peers[nth];
-        let yours = (peer.boot, peer.nonce);
-        Packet { from: self.name.clone(), boot: self.boot, nonce: self.nonce, yours, digest, what }
+    /// A packet for the peer at `index`, with our boot number and digest.
+    fn packet(&self, index: usize, message: Message) -> Packet {
+        let digest = Digest { stage: self.stage, overrides: self.overrides.digest() };
+        let peer = &self.peers[index];
+        let known_receiver = (peer.boot, peer.nonce);
+        Packet {
+            from: self.name.clone(),
+            boot: self.boot,
+            nonce: self.nonce,
+            known_receiver,
+            digest,
+            message,
+        }
     }
 
-    fn send(&mut self, nth: usize, what: Message) {
-        let bytes = seal(&self.packet(nth, what));
-        self.counts.sent += 1;
-        self.counts.sent_bytes += bytes.len() as u64;
-        self.actions.push(Action::Send { to: self.peers[nth].member.address, bytes });
+    /// Queues a packet for the peer at `index`.
+    fn send(&mut self, index: usize, message: Message) {
+        let bytes = seal(&self.packet(index, message));
+        self.counters.sent += 1;
+        self.counters.sent_bytes += bytes.len() as u64;
+        self.actions.push(Action::Send { to: self.peers[index].member.address, bytes });
     }
 
-    fn place(&self, nth: usize) -> u16 {
-        let name = &self.peers[nth].member.name;
+    /// Index of a peer's name in `names`, as packets use it.
+    fn name_index(&self, index: usize) -> u16 {
+        let name = &self.peers[index].member.name;
         self.names.binary_search(name).unwrap_or(0) as u16
     }
 
-    fn at_place(&self, place: u16) -> Option<usize> {
-        let name = self.names.get(usize::from(place))?;
+    /// Index of the peer with this index in `names`; none for ourselves or an invalid index.
+    fn peer_at(&self, name_index: u16) -> Option<usize> {
+        let name = self.names.get(usize::from(name_index))?;
         self.peers.binary_search_by(|peer| peer.member.name.cmp(name)).ok()
     }
 
-    /// A round, where it is due.
+    /// Runs a round if one is due.
     pub fn tick(&mut self, now: Micros) -> Vec<Action> {
-        if now < self.round_at {
+        if now < self.next_round {
             return Vec::new();
         }
-        // Rounds that were missed are not made up for: who stood still has nothing to say of others' silence.
-        let missed = now > self.round_at + 2 * ROUND;
-        self.round_at = now + ROUND;
-        for nth in 0..self.peers.len() {
+        // Missed rounds are not made up for: after a pause of this process, the silence of others proves
+        // nothing.
+        let missed = now > self.next_round + 2 * ROUND_INTERVAL;
+        self.next_round = now + ROUND_INTERVAL;
+        for index in 0..self.peers.len() {
             if missed {
-                self.peers[nth].probe = None;
+                self.peers[index].probe = None;
             }
-            self.look(nth, now);
+            self.check_probe(index, now);
         }
-        let alone = self.alone(now);
-        self.account.round(alone, now);
-        let mut at_once = self.peers.len().div_ceil(AT_ONCE_SHARE).min(AT_ONCE_MOST);
-        if self.cold {
-            let rounds = (self.account.renew_within() / ROUND).max(1) as usize;
+        let isolated = self.is_isolated(now);
+        self.allocator.start_round(isolated, now);
+        let mut at_once = self.peers.len().div_ceil(PEERS_PER_PROBE).min(MAX_PROBES_PER_ROUND);
+        if self.has_cold_runners {
+            let rounds = (self.allocator.renewal_interval() / ROUND_INTERVAL).max(1) as usize;
             at_once = at_once.max(self.peers.len().div_ceil(rounds));
         }
         for _ in 0..at_once {
-            if self.turn.is_empty() {
-                self.turn = (0..self.peers.len()).collect();
-                self.turn.shuffle(&mut self.drawn);
+            if self.probe_order.is_empty() {
+                self.probe_order = (0..self.peers.len()).collect();
+                self.probe_order.shuffle(&mut self.random);
             }
-            if let Some(nth) = self.turn.pop() {
-                self.probe(nth, now);
+            if let Some(index) = self.probe_order.pop() {
+                self.probe(index, now);
             }
         }
-        // At the start all are asked, not one after the other.
-        for nth in 0..self.peers.len() {
-            if self.peers[nth].life == PeerState::Unknown && self.peers[nth].probe.is_none() {
-                self.probe(nth, now);
+        // At the start all peers are probed at once, not one after the other.
+        for index in 0..self.peers.len() {
+            if self.peers[index].state == PeerState::Unknown && self.peers[index].probe.is_none() {
+                self.probe(index, now);
             }
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn probe(&mut self, nth: usize, now: Micros) {
-        if self.peers[nth].probe.is_some() {
+    /// Probes a peer unless a probe of it is outstanding.
+    fn probe(&mut self, index: usize, now: Micros) {
+        if self.peers[index].probe.is_some() {
             return;
         }
-        self.number += 1;
-        let number = self.number;
-        self.peers[nth].probe = Some(Probe { number, at: now, asked: false });
-        self.send(nth, Message::Probe { number, behalf: None });
+        self.last_number += 1;
+        let number = self.last_number;
+        self.peers[index].probe = Some(Probe { number, sent_at: now, indirect_sent: false });
+        self.send(index, Message::Probe { number, on_behalf_of: None });
     }
 
-    /// What a probe without an answer says by now.
-    fn look(&mut self, nth: usize, now: Micros) {
-        let peer = &self.peers[nth];
-        if peer.life == PeerState::Suspected && now >= peer.heard_at + GONE_AFTER {
-            self.becomes(nth, PeerState::Gone);
+    /// Acts on a probe that has not been answered so far.
+    fn check_probe(&mut self, index: usize, now: Micros) {
+        let peer = &self.peers[index];
+        if peer.state == PeerState::Suspected && now >= peer.last_heard + GONE_TIMEOUT {
+            self.set_state(index, PeerState::Gone);
         }
-        let Some(probe) = self.peers[nth].probe else { return };
-        let waited = now - probe.at;
-        if waited >= ANSWER_WITHIN && !probe.asked {
-            self.peers[nth].probe = Some(Probe { asked: true, ..probe });
+        let Some(probe) = self.peers[index].probe else { return };
+        let waited = now - probe.sent_at;
+        if waited >= ANSWER_TIMEOUT && !probe.indirect_sent {
+            self.peers[index].probe = Some(Probe { indirect_sent: true, ..probe });
             let mut others: Vec<usize> = (0..self.peers.len())
-                .filter(|o| *o != nth && self.peers[*o].life == PeerState::Alive)
+                .filter(|other| *other != index && self.peers[*other].state == PeerState::Alive)
                 .collect();
-            let most = THROUGH.min(others.len());
-            let (target, number) = (self.place(nth), probe.number);
-            let (chosen, _) = others.partial_shuffle(&mut self.drawn, most);
+            let count = INDIRECT_PROBES.min(others.len());
+            let (target, number) = (self.name_index(index), probe.number);
+            let (chosen, _) = others.partial_shuffle(&mut self.random, count);
             for other in chosen.iter().copied() {
-                self.send(other, Message::Ask { target, number });
+                self.send(other, Message::ProbeRequest { target, number });
             }
         }
-        if waited >= ANSWER_WITHIN + THROUGH_WITHIN {
-            self.peers[nth].probe = None;
-            // Heard meanwhile: it is there, whatever becomes of what is sent to it.
-            if self.peers[nth].heard_at < probe.at && self.peers[nth].life == PeerState::Alive {
-                self.becomes(nth, PeerState::Suspected);
+        if waited >= ANSWER_TIMEOUT + INDIRECT_ANSWER_TIMEOUT {
+            self.peers[index].probe = None;
+            // If a packet arrived meanwhile the peer is running, even if our packets do not reach it.
+            if self.peers[index].last_heard < probe.sent_at && self.peers[index].state == PeerState::Alive {
+                self.set_state(index, PeerState::Suspected);
             }
         }
     }
 
-    fn becomes(&mut self, nth: usize, life: PeerState) {
-        let peer = &mut self.peers[nth];
-        if std::mem::replace(&mut peer.life, life) != life {
-            let told = PeerEvent::Peer { name: peer.member.name.clone(), life, boot: peer.boot };
-            self.actions.push(Action::PeerEvent(told));
+    /// Sets a peer's state, and reports it if it has changed.
+    fn set_state(&mut self, index: usize, state: PeerState) {
+        let peer = &mut self.peers[index];
+        if std::mem::replace(&mut peer.state, state) != state {
+            let event = PeerEvent::StateChanged { name: peer.member.name.clone(), state, boot: peer.boot };
+            self.actions.push(Action::PeerEvent(event));
         }
     }
 
-    /// A datagram has come.
-    pub fn heard(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Vec<Action> {
-        let Some(nth) = self.by_address.get(&from).copied() else {
-            self.counts.strangers += 1;
+    /// Processes a received datagram. Anything that is not a valid packet of a listed peer is counted and
+    /// dropped.
+    pub fn receive(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Vec<Action> {
+        let Some(index) = self.by_address.get(&from).copied() else {
+            self.counters.unlisted += 1;
             return Vec::new();
         };
         let packet = match open(bytes) {
             Ok(packet) => packet,
-            Err(PacketError::TooLong | PacketError::Garbage | PacketError::Form) => {
-                self.counts.bad += 1;
+            Err(PacketError::TooLong | PacketError::Malformed | PacketError::UnknownFormat) => {
+                self.counters.bad += 1;
                 return Vec::new();
             }
         };
-        if packet.from != self.peers[nth].member.name {
-            self.counts.strangers += 1;
+        if packet.from != self.peers[index].member.name {
+            self.counters.unlisted += 1;
             return Vec::new();
         }
-        self.counts.heard += 1;
-        self.take(nth, packet, now);
+        self.counters.heard += 1;
+        self.handle_packet(index, packet, now);
         std::mem::take(&mut self.actions)
     }
 
-    fn take(&mut self, nth: usize, packet: Packet, now: Micros) {
-        let peer = &mut self.peers[nth];
+    /// Processes a valid packet of the peer at `index`.
+    fn handle_packet(&mut self, index: usize, packet: Packet, now: Micros) {
+        let peer = &mut self.peers[index];
         let theirs = (packet.boot, packet.nonce);
         let known = (peer.boot, peer.nonce);
         let newer = packet.boot > peer.boot || known == (0, 0);
         if !newer && theirs != known {
-            // Of an earlier life, or of another one with a number that is taken: it is told so, and not believed.
-            self.counts.old += 1;
-            if let Message::Probe { number, behalf } = packet.what {
-                self.send(nth, Message::Answer { number, behalf, promise: None });
+            // From an earlier process run, or from another one that uses the same boot number. It is not
+            // believed; the answer to a probe carries the newest known run, so that the sender learns of it.
+            self.counters.old += 1;
+            if let Message::Probe { number, on_behalf_of } = packet.message {
+                self.send(index, Message::Answer { number, on_behalf_of, promise: None });
             }
             return;
         }
         if newer && theirs != known {
-            (peer.boot, peer.nonce, peer.knows_us) = (packet.boot, packet.nonce, false);
-            // Told anew, also where it was alive before: it is another life.
-            peer.life = PeerState::Unknown;
+            (peer.boot, peer.nonce, peer.has_heard_us) = (packet.boot, packet.nonce, false);
+            // Forces an event even if the peer was alive before: it is another process run.
+            peer.state = PeerState::Unknown;
         }
-        peer.heard_at = now;
+        peer.last_heard = now;
         peer.digest = packet.digest;
-        let (yours, nonce) = packet.yours;
-        if yours > self.boot || yours == self.boot && yours > 0 && nonce != self.nonce {
-            self.actions.push(Action::PeerEvent(PeerEvent::Numbered(yours)));
+        let (our_boot, our_nonce) = packet.known_receiver;
+        if our_boot > self.boot || our_boot == self.boot && our_boot > 0 && our_nonce != self.nonce {
+            self.actions.push(Action::PeerEvent(PeerEvent::BootTaken(our_boot)));
         }
-        peer.knows_us |= (yours > 0 || self.boot == 0) && nonce == self.nonce;
-        self.becomes(nth, PeerState::Alive);
-        match packet.what {
-            Message::Probe { number, behalf } => {
-                let alone = self.alone(now);
-                let promise = behalf.is_none() && self.account.promise(alone, now);
-                let promise = Some(self.account.list).filter(|_| promise);
-                self.send(nth, Message::Answer { number, behalf, promise });
+        peer.has_heard_us |= (our_boot > 0 || self.boot == 0) && our_nonce == self.nonce;
+        self.set_state(index, PeerState::Alive);
+        match packet.message {
+            Message::Probe { number, on_behalf_of } => {
+                let isolated = self.is_isolated(now);
+                let promise = on_behalf_of.is_none() && self.allocator.try_promise(isolated, now);
+                let promise = Some(self.allocator.dispatchers_hash).filter(|_| promise);
+                self.send(index, Message::Answer { number, on_behalf_of, promise });
             }
-            Message::Answer { number, behalf: None, promise } => {
-                if let Some(probe) = self.peers[nth].probe.take_if(|probe| probe.number == number)
-                    && promise == Some(self.account.list)
+            Message::Answer { number, on_behalf_of: None, promise } => {
+                if let Some(probe) = self.peers[index].probe.take_if(|probe| probe.number == number)
+                    && promise == Some(self.allocator.dispatchers_hash)
                 {
-                    self.account.promised(usize::from(self.place(nth)), probe.at);
+                    self.allocator.record_promise(usize::from(self.name_index(index)), probe.sent_at);
                 }
             }
-            Message::Answer { number, behalf: Some(_), .. } => {
-                if let Some((asker, theirs, target)) = self.behalf.remove(&number)
-                    && target == nth
+            Message::Answer { number, on_behalf_of: Some(_), .. } => {
+                if let Some((asker, theirs, target)) = self.indirect_probes.remove(&number)
+                    && target == index
                 {
-                    let (target, boot) = (self.place(nth), self.peers[nth].boot);
-                    self.send(asker, Message::Through { target, number: theirs, boot });
+                    let (target, boot) = (self.name_index(index), self.peers[index].boot);
+                    self.send(asker, Message::IndirectAnswer { target, number: theirs, boot });
                 }
             }
-            Message::Ask { target, number } => self.ask(nth, target, number),
-            Message::Through { target, number, boot } => self.through(target, number, boot, now),
-            Message::AdminOverrides(hands) => {
-                for hand in hands {
-                    if self.hands.merge(hand.clone()) {
-                        self.actions.push(Action::PeerEvent(PeerEvent::AdminOverride(hand)));
+            Message::ProbeRequest { target, number } => self.probe_for(index, target, number),
+            Message::IndirectAnswer { target, number, boot } => {
+                self.handle_indirect_answer(target, number, boot, now)
+            }
+            Message::AdminOverrides(entries) => {
+                for entry in entries {
+                    if self.overrides.merge(entry.clone()) {
+                        self.actions.push(Action::PeerEvent(PeerEvent::AdminOverride(entry)));
                     }
                 }
             }
         }
-        self.tell_what_differs(nth, now);
+        self.send_differing_overrides(index, now);
     }
 
-    /// Probes somebody for `asker`, who cannot reach it.
-    fn ask(&mut self, asker: usize, target: u16, theirs: u64) {
-        let Some(target) = self.at_place(target).filter(|target| *target != asker) else { return };
-        if self.behalf.len() >= BEHALF_MOST {
-            self.behalf.pop_first();
+    /// Probes `target` on behalf of `asker`, which cannot reach it.
+    fn probe_for(&mut self, asker: usize, target: u16, theirs: u64) {
+        let Some(target) = self.peer_at(target).filter(|target| *target != asker) else { return };
+        if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
+            self.indirect_probes.pop_first();
         }
-        self.number += 1;
-        self.behalf.insert(self.number, (asker, theirs, target));
-        let behalf = Some((self.place(asker), theirs));
-        let number = self.number;
-        self.send(target, Message::Probe { number, behalf });
+        self.last_number += 1;
+        self.indirect_probes.insert(self.last_number, (asker, theirs, target));
+        let on_behalf_of = Some((self.name_index(asker), theirs));
+        let number = self.last_number;
+        self.send(target, Message::Probe { number, on_behalf_of });
     }
 
-    /// A peer whose link to us is cut has answered somebody else.
-    fn through(&mut self, target: u16, number: u64, boot: u64, now: Micros) {
-        let Some(nth) = self.at_place(target) else { return };
-        let peer = &mut self.peers[nth];
+    /// A peer that we cannot reach has answered another dispatcher.
+    fn handle_indirect_answer(&mut self, target: u16, number: u64, boot: u64, now: Micros) {
+        let Some(index) = self.peer_at(target) else { return };
+        let peer = &mut self.peers[index];
         if peer.probe.is_some_and(|probe| probe.number == number) && boot >= peer.boot {
             peer.probe = None;
-            peer.heard_at = now;
-            self.becomes(nth, PeerState::Alive);
+            peer.last_heard = now;
+            self.set_state(index, PeerState::Alive);
         }
     }
 
-    /// Sends a peer what it has otherwise, a few datagrams at a time.
-    fn tell_what_differs(&mut self, nth: usize, now: Micros) {
-        let theirs = self.peers[nth].digest.hands;
-        if theirs == self.hands.digest() || now < self.peers[nth].told_at + TELL_AGAIN {
+    /// Sends a peer the entries that differ, a few datagrams at a time.
+    fn send_differing_overrides(&mut self, index: usize, now: Micros) {
+        let theirs = self.peers[index].digest.overrides;
+        if theirs == self.overrides.digest()
+            || now < self.peers[index].overrides_sent_at + OVERRIDES_RESEND_INTERVAL
+        {
             return;
         }
-        self.peers[nth].told_at = now;
-        let mut hands: Vec<AdminOverride> = self.hands.differing(&theirs).cloned().collect();
-        // Where there are too many, on from where the last time ended.
-        let from = hands.partition_point(|hand| hand.runner <= self.peers[nth].told_last);
-        hands.rotate_left(from);
-        let bare = seal(&self.packet(nth, Message::AdminOverrides(Vec::new()))).len();
-        let mut hands = hands.into_iter().peekable();
-        for _ in 0..TELL_MOST {
-            let (mut some, mut length) = (Vec::new(), bare + 8);
-            while let Some(hand) = hands.next_if(|hand| {
-                // Its runner's id, and the most that its numbers take.
-                length += hand.runner.len() + 64;
-                length <= PACKET_MOST
+        self.peers[index].overrides_sent_at = now;
+        let mut entries: Vec<AdminOverride> = self.overrides.differing(&theirs).cloned().collect();
+        // If there are too many, continue where the previous batch ended.
+        let start = entries.partition_point(|entry| entry.runner <= self.peers[index].last_sent_runner);
+        entries.rotate_left(start);
+        let empty_length = seal(&self.packet(index, Message::AdminOverrides(Vec::new()))).len();
+        let mut entries = entries.into_iter().peekable();
+        for _ in 0..MAX_OVERRIDE_PACKETS {
+            let (mut batch, mut length) = (Vec::new(), empty_length + 8);
+            while let Some(entry) = entries.next_if(|entry| {
+                // The runner's id, and an upper bound for the encoded numbers.
+                length += entry.runner.len() + 64;
+                length <= MAX_PACKET_BYTES
             }) {
-                self.peers[nth].told_last.clone_from(&hand.runner);
-                some.push(hand);
+                self.peers[index].last_sent_runner.clone_from(&entry.runner);
+                batch.push(entry);
             }
-            if some.is_empty() {
+            if batch.is_empty() {
                 return;
             }
-            self.send(nth, Message::AdminOverrides(some));
+            self.send(index, Message::AdminOverrides(batch));
         }
     }
 }
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -1,7 +1,8 @@
-//! The layer at the bottom: the few things that a store does to one folder.
+//! The lowest layer: the few operations that a store performs on one directory.
 //!
-//! It owns what "on the disk" means: bytes of a file after [`Disk::sync`], names after [`Disk::sync_folder`]. All that
-//! is not synced may be there after a crash, in part, or not. It must never hide a fault.
+//! It defines what "on the disk" means: the bytes of a file after [`Disk::sync`], file names after
+//! [`Disk::sync_directory`]. Anything that is not synced may be there after a crash, wholly, in part, or not
+//! at all. Errors are always passed on.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -12,58 +13,65 @@
 
 use crate::Micros;
 
-/// Which life of which machine this is: after a loss of power it is another one, and has been up since then only.
+/// The machine and its boot: after a power loss the boot id is another one, and the uptime starts at zero.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Machine {
-    /// Another one after each start of the machine.
-    pub life: String,
-    /// How long it has been up: its monotonic clock, which all its processes share.
-    pub up: Micros,
+    /// Changes with each boot of the machine; empty if unknown.
+    pub boot_id: String,
+    /// Time since the boot, from the monotonic clock that all processes of the machine share.
+    pub uptime: Micros,
 }
 
 impl Machine {
-    /// The machine that this process runs on; without a name where the system does not tell.
-    pub fn here() -> Machine {
-        static LIFE: OnceLock<String> = OnceLock::new();
+    /// The machine that this process runs on, with an empty boot id if the system does not report one.
+    pub fn current() -> Machine {
+        static BOOT_ID: OnceLock<String> = OnceLock::new();
         let read = || fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
-        let life = LIFE.get_or_init(read);
-        let up = fs::read_to_string("/proc/uptime").unwrap_or_default();
-        let up = up.split(' ').next().and_then(|up| up.parse::<f64>().ok()).unwrap_or(0.0);
-        Machine { life: life.trim().to_owned(), up: (up * 1e6) as Micros }
+        let boot_id = BOOT_ID.get_or_init(read);
+        let uptime = fs::read_to_string("/proc/uptime").unwrap_or_default();
+        let uptime = uptime.split(' ').next().and_then(|seconds| seconds.parse::<f64>().ok()).unwrap_or(0.0);
+        Machine { boot_id: boot_id.trim().to_owned(), uptime: (uptime * 1e6) as Micros }
     }
 }
 
-/// One folder. Names are plain file names. Errors are those of the file system.
+/// One directory. Names are plain file names; errors are those of the file system.
 pub trait Disk: Send {
+    /// All file names.
     fn list(&mut self) -> io::Result<Vec<String>>;
+    /// The whole content of a file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// An empty file; an older one of that name is gone.
+    /// Creates an empty file; an existing file of that name is replaced.
     fn create(&mut self, name: &str) -> io::Result<()>;
+    /// Appends to an existing file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// All bytes of a file outlive the machine's power.
+    /// Makes all bytes of a file survive a power loss.
     fn sync(&mut self, name: &str) -> io::Result<()>;
+    /// Renames a file; an existing file `to` is replaced.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+    /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// All names outlive the machine's power.
-    fn sync_folder(&mut self) -> io::Result<()>;
-    /// Writes a small file in place: it outlives this process, and nothing more is said of it.
-    fn note(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Nobody else uses the folder from now on; an error where somebody does.
+    /// Makes all file names survive a power loss.
+    fn sync_directory(&mut self) -> io::Result<()>;
+    /// Writes a small file in place. It survives this process; nothing is guaranteed beyond that.
+    fn write_in_place(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
+    /// Locks the directory for this process; an error if another process holds it.
     fn lock(&mut self) -> io::Result<()>;
+    /// The machine that the directory belongs to.
     fn machine(&mut self) -> Machine {
-        Machine::here()
+        Machine::current()
     }
 }
 
-/// A real folder.
+/// A directory of the file system.
 pub struct DirectoryDisk {
     path: PathBuf,
     lock: Option<File>,
-    /// The file that was written last stays open.
+    /// The file written last, kept open.
     open: Option<(String, File)>,
 }
 
 impl DirectoryDisk {
+    /// Uses the directory at `path`, which must exist.
     pub fn new(path: &Path) -> DirectoryDisk {
         DirectoryDisk { path: path.to_owned(), lock: None, open: None }
     }
@@ -77,7 +85,8 @@
     }
 }
 
-const LOCK: &str = "lock";
+/// File that is locked while a process uses the directory.
+const LOCK_FILE: &str = "lock";
 
 impl Disk for DirectoryDisk {
     fn list(&mut self) -> io::Result<Vec<String>> {
@@ -115,11 +124,11 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
-    fn note(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+    fn write_in_place(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let path = self.path.join(name);
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
         file.write_all_at(bytes, 0)
@@ -129,7 +138,7 @@
         if self.lock.is_some() {
             return Ok(());
         }
-        let path = self.path.join(LOCK);
+        let path = self.path.join(LOCK_FILE);
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
         file.try_lock().map_err(|error| match error {
             fs::TryLockError::WouldBlock => io::Error::other("another process uses this folder"),
@@ -140,8 +149,8 @@
     }
 }
 
-/// A folder in memory that never fails and loses nothing: what lies below [`crate::FaultyDisk`] in tests and in virtual
-/// time. Clones are the same folder.
+/// A directory in memory that never fails and loses nothing: the layer below [`crate::FaultyDisk`] in tests
+/// and in virtual time. Clones share the same content.
 #[derive(Clone, Default)]
 pub struct MemoryDisk {
     files: Arc<Mutex<BTreeMap<String, Vec<u8>>>>,
@@ -149,18 +158,18 @@
 }
 
 impl MemoryDisk {
-    /// What the folder holds, to be looked at, copied or spoilt.
+    /// The content, for tests to inspect, copy or damage.
     pub fn files(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, Vec<u8>>> {
         self.files.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Moves the folder to another machine, or to another life of its own.
+    /// Moves the directory to another machine, or to another boot of the same one.
     pub fn set_machine(&self, machine: Machine) {
         *self.machine.lock().unwrap_or_else(PoisonError::into_inner) = machine;
     }
 }
 
-fn missing() -> io::Error {
+fn not_found() -> io::Error {
     io::ErrorKind::NotFound.into()
 }
 
@@ -170,7 +179,7 @@
     }
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
-        self.files().get(name).cloned().ok_or_else(missing)
+        self.files().get(name).cloned().ok_or_else(not_found)
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -179,30 +188,30 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.files().get_mut(name).ok_or_else(missing)?.extend_from_slice(bytes);
+        self.files().get_mut(name).ok_or_else(not_found)?.extend_from_slice(bytes);
         Ok(())
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.files().get(name).map(|_| ()).ok_or_else(missing)
+        self.files().get(name).map(|_| ()).ok_or_else(not_found)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut files = self.files();
-        let bytes = files.remove(from).ok_or_else(missing)?;
+        let bytes = files.remove(from).ok_or_else(not_found)?;
         files.insert(to.to_owned(), bytes);
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.files().remove(name).map(|_| ()).ok_or_else(missing)
+        self.files().remove(name).map(|_| ()).ok_or_else(not_found)
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         Ok(())
     }
 
-    fn note(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+    fn write_in_place(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.files().insert(name.to_owned(), bytes.to_vec());
         Ok(())
     }
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -1,161 +1,172 @@
-//! The form of a store's file: a head, records one after the other, each sealed by a checksum over its place as well.
+//! The file format of a store: a head followed by entries, each protected by a checksum that also covers its
+//! position.
 //!
-//! It owns the bytes. A file begins with a snapshot of all records and grows by what changes; it is never written over.
-//! Reading takes whatever is left of one: what fails its checksum is passed over, never guessed at, and what stands
-//! behind it is found again. It must never give a record that was not written as it is given, nor fail on any bytes.
+//! A file begins with a snapshot of all records and grows by the changes; it is never overwritten. Reading
+//! recovers whatever is left of a file: entries with a wrong checksum are skipped, never guessed, and the
+//! next valid entry after them is found again. Reading never returns a record that was not written exactly
+//! so, and never fails, whatever the bytes.
 //!
 //! ```text
-//! line = mark (2) | length (4, little-endian) | its number in the file (8) | checksum (4) | payload
-//! checksum = CRC-32 (IEEE) over the file's number (8), the line's number (8), the length, the payload
+//! entry = magic (2) | length (4, little-endian) | index in the file (8) | checksum (4) | payload
+//! checksum = CRC-32 (IEEE) over the file's number (8), the entry's index (8), the length, the payload
 //! ```
 
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// The newest form that is read, and the one that is written.
+/// Version of the format: the one that is written, and the newest that is read.
 pub const FORMAT: u16 = 1;
-const MARK: [u8; 2] = [0xd5, 0x7a];
-const HEAD: usize = 18;
-/// No record is larger: a list of 10,000 runners takes about 3 MB.
-pub const RECORD_MOST: usize = 64 << 20;
+/// First bytes of each entry, by which the next entry is found after damage.
+const MAGIC: [u8; 2] = [0xd5, 0x7a];
+/// Length of an entry without its payload.
+const HEADER_BYTES: usize = 18;
+/// Largest record in bytes; a roster of 10,000 runners takes about 3 MB.
+pub const MAX_RECORD_BYTES: usize = 64 << 20;
+/// Start of the names of log files.
 const PREFIX: &str = "log-";
 
-/// What a record is about. Numbers are for ever; those from 32 on are left to a journal of work that must not run
-/// twice.
+/// Kind of a record. Numbers are never reused; those from 32 on are reserved for a journal of work that
+/// must not run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Table(pub u8);
 
-/// One record: the latest of a table and key counts. Its age is `written`, Unix time as its writer believed it.
+/// One record; the latest one of a table and key is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
+    /// Kind of the record.
     pub table: Table,
+    /// Key within the table.
     pub key: String,
-    /// The form of `value`, a number of the table's own.
+    /// Format version of `value`, defined by the table.
     pub form: u16,
-    /// The boot number of the writer.
+    /// Boot number of the writer.
     pub boot: u64,
+    /// When it was written, in Unix time by the writer's clock.
     pub written: Micros,
-    /// None where the record is taken back.
+    /// The encoded value; none if the record was deleted.
     pub value: Option<Vec<u8>>,
 }
 
+/// One entry of a log file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogEntry {
-    /// First in each file; `form` is of this and all that follows.
-    Head {
-        form: u16,
-        owner: String,
-        store: u64,
-        boot: u64,
-    },
+    /// First entry of each file; `form` is the format version of the file.
+    Head { form: u16, owner: String, store: u64, boot: u64 },
+    /// A record of the snapshot, or a later change.
     Record(Record),
-    /// The snapshot before it holds so many records.
-    Whole {
-        records: u64,
-    },
-    /// The process has ended as it should: nothing is missing.
-    Clean {
-        written: Micros,
-    },
+    /// End of the snapshot, with the number of its records.
+    #[serde(rename = "Whole")]
+    SnapshotEnd { records: u64 },
+    /// The process shut down cleanly: nothing is missing.
+    #[serde(rename = "Clean")]
+    CleanShutdown { written: Micros },
 }
 
-/// A file's name by its number.
+/// Name of the file with this number.
 pub fn name(number: u64) -> String {
     format!("{PREFIX}{number:016}")
 }
 
+/// Number of a log file by its name; none for other files.
 pub fn number(name: &str) -> Option<u64> {
     name.strip_prefix(PREFIX).filter(|digits| digits.len() == 16)?.parse().ok()
 }
 
-fn checksum(file: u64, nth: u64, payload: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&file.to_le_bytes());
-    sum.update(&nth.to_le_bytes());
-    sum.update(&(payload.len() as u32).to_le_bytes());
-    sum.update(payload);
-    sum.finalize()
+fn checksum(file: u64, index: u64, payload: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&file.to_le_bytes());
+    hasher.update(&index.to_le_bytes());
+    hasher.update(&(payload.len() as u32).to_le_bytes());
+    hasher.update(payload);
+    hasher.finalize()
 }
 
-/// Writes lines of one file, in order.
+/// Encodes the entries of one file, in order.
 pub struct Writer {
+    /// Number of the file.
     pub file: u64,
-    nth: u64,
-    /// Bytes so far.
+    /// Index of the next entry.
+    index: u64,
+    /// Bytes encoded so far.
     pub length: u64,
 }
 
 impl Writer {
+    /// Starts an empty file with this number.
     pub fn new(file: u64) -> Writer {
-        Writer { file, nth: 0, length: 0 }
+        Writer { file, index: 0, length: 0 }
     }
 
-    pub fn seal(&mut self, line: &LogEntry, into: &mut Vec<u8>) {
-        // Plain types only: there is nothing that could fail to be written.
-        let payload = postcard::to_stdvec(line).unwrap_or_default();
-        into.extend_from_slice(&MARK);
-        into.extend_from_slice(&(payload.len() as u32).to_le_bytes());
-        into.extend_from_slice(&self.nth.to_le_bytes());
-        into.extend_from_slice(&checksum(self.file, self.nth, &payload).to_le_bytes());
-        into.extend_from_slice(&payload);
-        self.nth += 1;
-        self.length += (HEAD + payload.len()) as u64;
+    /// Appends an entry to `out`.
+    pub fn append(&mut self, entry: &LogEntry, out: &mut Vec<u8>) {
+        // Plain types only: encoding cannot fail.
+        let payload = postcard::to_stdvec(entry).unwrap_or_default();
+        out.extend_from_slice(&MAGIC);
+        out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
+        out.extend_from_slice(&self.index.to_le_bytes());
+        out.extend_from_slice(&checksum(self.file, self.index, &payload).to_le_bytes());
+        out.extend_from_slice(&payload);
+        self.index += 1;
+        self.length += (HEADER_BYTES + payload.len()) as u64;
     }
 }
 
-/// What is left of a file.
+/// What could be read of a file.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct LogContents {
-    pub lines: Vec<LogEntry>,
-    /// Places within the file at which lines are missing or spoilt, with readable ones behind them.
-    pub holes: u64,
-    /// Bytes at the end that are no line: the last write was torn, or the end is spoilt.
-    pub torn: u64,
-    /// The form of a file that is newer than what is known here.
-    pub newer: Option<u16>,
+    /// The valid entries, in order.
+    pub entries: Vec<LogEntry>,
+    /// Number of places at which entries are missing or damaged and are followed by valid ones.
+    pub gaps: u64,
+    /// Bytes at the end without a valid entry: the last write was torn, or the end is damaged.
+    pub torn_bytes: u64,
+    /// Format version of the file if it is newer than [`FORMAT`].
+    pub newer_format: Option<u16>,
 }
 
-/// The line at the beginning of `bytes`, if its number in the file is at least `from`: its number, itself, its length.
+/// Decodes the entry at the start of `bytes` if its index is at least `from`. Returns its index, the entry
+/// and its length in bytes.
 fn open(bytes: &[u8], file: u64, from: u64) -> Option<(u64, LogEntry, usize)> {
-    if bytes.get(..2)? != MARK {
+    if bytes.get(..2)? != MAGIC {
         return None;
     }
     let length = u32::from_le_bytes(bytes.get(2..6)?.try_into().ok()?) as usize;
-    let nth = u64::from_le_bytes(bytes.get(6..14)?.try_into().ok()?);
-    let sum = u32::from_le_bytes(bytes.get(14..HEAD)?.try_into().ok()?);
-    if length > RECORD_MOST || nth < from {
+    let index = u64::from_le_bytes(bytes.get(6..14)?.try_into().ok()?);
+    let expected = u32::from_le_bytes(bytes.get(14..HEADER_BYTES)?.try_into().ok()?);
+    if length > MAX_RECORD_BYTES || index < from {
         return None;
     }
-    let payload = bytes.get(HEAD..HEAD + length)?;
-    if checksum(file, nth, payload) != sum {
+    let payload = bytes.get(HEADER_BYTES..HEADER_BYTES + length)?;
+    if checksum(file, index, payload) != expected {
         return None;
     }
-    Some((nth, postcard::from_bytes(payload).ok()?, HEAD + length))
+    Some((index, postcard::from_bytes(payload).ok()?, HEADER_BYTES + length))
 }
 
+/// Reads all valid entries of the file with number `file`.
 pub fn read(file: u64, bytes: &[u8]) -> LogContents {
-    let mut read = LogContents::default();
-    let (mut at, mut next, mut good) = (0, 0, 0);
+    let mut contents = LogContents::default();
+    let (mut at, mut next, mut good_end) = (0, 0, 0);
     while at < bytes.len() {
-        // One that stands where it is due, or one that is found again behind a spoilt stretch.
+        // Either the expected entry, or the first valid one after a damaged stretch.
         match open(&bytes[at..], file, next) {
-            Some((nth, line, length)) => {
-                if let LogEntry::Head { form, .. } = line
+            Some((index, entry, length)) => {
+                if let LogEntry::Head { form, .. } = entry
                     && form > FORMAT
                 {
-                    read.newer = Some(form);
+                    contents.newer_format = Some(form);
                 }
-                read.holes += u64::from(at != good || nth != next);
-                read.lines.push(line);
-                (at, next) = (at + length, nth + 1);
-                good = at;
+                contents.gaps += u64::from(at != good_end || index != next);
+                contents.entries.push(entry);
+                (at, next) = (at + length, index + 1);
+                good_end = at;
             }
             None => at += 1,
         }
     }
-    read.torn = (bytes.len() - good) as u64;
-    read
+    contents.torn_bytes = (bytes.len() - good_end) as u64;
+    contents
 }
 
 #[cfg(test)]
--- a/store/tests/crashes.rs
+++ b/store/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! The store through crashes at every operation, disks that fail, and files that are spoilt: what it said is kept is
-//! there afterwards, and nothing is there that was not written.
+//! The store through crashes at every operation, failing disks and damaged files: what was reported as stored
+//! must be there afterwards, and nothing may be there that was not written.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -13,81 +13,86 @@
 
 const NOW: i64 = 1_700_000_000_000_000;
 
-type Told = BTreeMap<String, StoredOverride>;
+type Overrides = BTreeMap<String, StoredOverride>;
 
 fn out(since: i64) -> StoredOverride {
     StoredOverride { out_since: Some(since), ..StoredOverride::default() }
 }
 
-fn hands(store: &Store) -> Told {
-    all::<StoredOverride>(store.records()).into_iter().map(|(key, hand, _)| (key.to_owned(), hand)).collect()
+fn overrides(store: &Store) -> Overrides {
+    all::<StoredOverride>(store.records())
+        .into_iter()
+        .map(|(key, entry, _)| (key.to_owned(), entry))
+        .collect()
 }
 
 fn open(disk: impl Disk + 'static) -> Result<(Store, topazsail_store::LoadSummary), StoreError> {
     Store::open(Box::new(disk), "d0", 77, NOW)
 }
 
-/// What one life has written, and what of it was said to be kept, as all that may be found afterwards.
+/// What process runs have written, and which states may be found afterwards.
 #[derive(Clone, Default)]
-struct Life {
-    /// Told as kept: nothing older may be found.
-    kept: Told,
-    /// Every state since, the last one first in time.
-    since: Vec<Told>,
+struct History {
+    /// Reported as stored: nothing older may be found.
+    stored: Overrides,
+    /// Every state since then, oldest first.
+    later: Vec<Overrides>,
+    /// Boot numbers used so far.
     boots: Vec<u64>,
 }
 
-impl Life {
-    /// One life over `under`, until it ends by itself or crashes at an operation; by `seed`, what it does.
-    fn live(&mut self, under: &MemoryDisk, seed: u64, crash_at: Option<u64>, mut faults: DiskFaults) -> u64 {
+impl History {
+    /// One process run over `disk`, until it ends or crashes at an operation. `seed` decides what it does.
+    /// Returns the number of disk operations.
+    fn run(&mut self, disk: &MemoryDisk, seed: u64, crash_at: Option<u64>, mut faults: DiskFaults) -> u64 {
         faults.crash_at = crash_at;
         let faults = Arc::new(Mutex::new(faults));
-        let disk = FaultyDisk::new(under.clone(), faults, seed).unwrap();
-        let mut drawn = Pcg32::seed_from_u64(seed ^ 0x51);
+        let faulty = FaultyDisk::new(disk.clone(), faults, seed).unwrap();
+        let mut random = Pcg32::seed_from_u64(seed ^ 0x51);
         // Opening may crash as well; nothing is lost by it.
         let counted = Arc::new(Mutex::new(0));
-        let counting = Counting(disk, counted.clone());
+        let counting = Counting(faulty, counted.clone());
         let opened = Store::open(Box::new(counting), "d0", 77, NOW);
         let Ok((mut store, _)) = opened else { return *counted.lock().unwrap() };
-        let found = hands(&store);
+        let found = overrides(&store);
         assert!(
-            found == self.kept || self.since.contains(&found),
-            "seed {seed} crash {crash_at:?}: found {found:?}, kept {:?}, since {:?}",
-            self.kept,
-            self.since
+            found == self.stored || self.later.contains(&found),
+            "seed {seed} crash {crash_at:?}: found {found:?}, stored {:?}, later {:?}",
+            self.stored,
+            self.later
         );
         if let Some(boot) = store.boot() {
             assert!(self.boots.iter().all(|known| *known < boot), "{boot} again, {:?}", self.boots);
             self.boots.push(boot);
         }
-        // What was found is in force from here on, and kept where the start could write it.
-        if store.is_well() {
-            (self.kept, self.since) = (found.clone(), Vec::new());
+        // What was found is in force from here on, and stored if the start could write it.
+        if store.is_healthy() {
+            (self.stored, self.later) = (found.clone(), Vec::new());
         }
         let mut now = found;
-        for nth in 0..drawn.random_range(1..12) {
-            let runner = format!("r{}", drawn.random_range(0..3));
-            if drawn.random_range(0..4) == 0 {
+        for nth in 0..random.random_range(1..12) {
+            let runner = format!("r{}", random.random_range(0..3));
+            if random.random_range(0..4) == 0 {
                 store.put_typed::<StoredOverride>(&runner, None, NOW);
                 now.remove(&runner);
             } else {
-                let hand = out(seed as i64 * 1000 + nth);
-                store.put_typed(&runner, Some(&hand), NOW);
-                now.insert(runner, hand);
+                let entry = out(seed as i64 * 1000 + nth);
+                store.put_typed(&runner, Some(&entry), NOW);
+                now.insert(runner, entry);
             }
-            self.since.push(now.clone());
-            if drawn.random_range(0..2) == 0 && store.sync().is_ok() {
-                (self.kept, self.since) = (now.clone(), Vec::new());
+            self.later.push(now.clone());
+            if random.random_range(0..2) == 0 && store.sync().is_ok() {
+                (self.stored, self.later) = (now.clone(), Vec::new());
             }
         }
-        if drawn.random_range(0..3) == 0 && store.close(NOW).is_ok() {
-            (self.kept, self.since) = (now, Vec::new());
+        if random.random_range(0..3) == 0 && store.close(NOW).is_ok() {
+            (self.stored, self.later) = (now, Vec::new());
         }
         *counted.lock().unwrap()
     }
 }
 
-/// Counts operations where the disk itself has gone into the store.
+/// Counts disk operations, as the disk itself is moved into the store.
 struct Counting<D: Disk>(FaultyDisk<D>, Arc<Mutex<u64>>);
 
 macro_rules! counted {
@@ -109,34 +114,35 @@
     sync(name: &str) -> std::io::Result<()>;
     rename(from: &str, to: &str) -> std::io::Result<()>;
     remove(name: &str) -> std::io::Result<()>;
-    sync_folder() -> std::io::Result<()>;
-    note(name: &str, bytes: &[u8]) -> std::io::Result<()>;
+    sync_directory() -> std::io::Result<()>;
+    write_in_place(name: &str, bytes: &[u8]) -> std::io::Result<()>;
     lock() -> std::io::Result<()>;
     machine() -> Machine;
 }
 
-fn copied(of: &MemoryDisk) -> MemoryDisk {
+fn copy_of(disk: &MemoryDisk) -> MemoryDisk {
     let copy = MemoryDisk::default();
-    *copy.files() = of.files().clone();
+    *copy.files() = disk.files().clone();
     copy
 }
 
-/// Three lives, the second of them cut at every single operation, and the third at every one for each of those.
+/// Three process runs: the second is cut at every single operation, and for each of those the third at every
+/// one, or at every seventh.
 #[test]
-fn a_cut_at_every_operation_loses_nothing_that_was_said_to_be_kept() {
-    let mut cuts = 0;
+fn a_crash_at_every_operation_loses_nothing_reported_as_stored() {
+    let mut crashes = 0;
     for seed in 0..12 {
-        let (under, mut life) = (MemoryDisk::default(), Life::default());
-        life.live(&under, seed, None, DiskFaults::default());
+        let (disk, mut history) = (MemoryDisk::default(), History::default());
+        history.run(&disk, seed, None, DiskFaults::default());
         let mut second = 0;
         loop {
-            let (again, mut lived) = (copied(&under), life.clone());
-            let done = lived.live(&again, seed + 100, Some(second), DiskFaults::default());
+            let (again, mut history_after) = (copy_of(&disk), history.clone());
+            let done = history_after.run(&again, seed + 100, Some(second), DiskFaults::default());
             for third in (0..30).step_by(if seed == 0 { 1 } else { 7 }) {
-                let (again, mut lived) = (copied(&again), lived.clone());
-                lived.live(&again, seed + 200, Some(third), DiskFaults::default());
-                lived.live(&again, seed + 300, None, DiskFaults::default());
-                cuts += 1;
+                let (again, mut history_after) = (copy_of(&again), history_after.clone());
+                history_after.run(&again, seed + 200, Some(third), DiskFaults::default());
+                history_after.run(&again, seed + 300, None, DiskFaults::default());
+                crashes += 1;
             }
             if done < second {
                 break;
@@ -144,166 +150,169 @@
             second += 1;
         }
     }
-    assert!(cuts > 2_000, "{cuts}");
+    assert!(crashes > 2_000, "{crashes}");
 }
 
 #[test]
-fn long_histories_by_seed() {
+fn random_histories_of_crashes_and_faults() {
     for seed in 0..400u64 {
-        let (under, mut life) = (MemoryDisk::default(), Life::default());
-        let mut drawn = Pcg32::seed_from_u64(seed);
+        let (disk, mut history) = (MemoryDisk::default(), History::default());
+        let mut random = Pcg32::seed_from_u64(seed);
         for nth in 0..20 {
-            let crash = (drawn.random_range(0..4) > 0).then(|| drawn.random_range(0..60));
+            let crash = (random.random_range(0..4) > 0).then(|| random.random_range(0..60));
             let faults = DiskFaults {
-                full: drawn.random_range(0..8) == 0,
-                sync_fails: drawn.random_range(0..8) == 0,
-                read_only: drawn.random_range(0..12) == 0,
+                full: random.random_range(0..8) == 0,
+                sync_fails: random.random_range(0..8) == 0,
+                read_only: random.random_range(0..12) == 0,
                 ..DiskFaults::default()
             };
-            life.live(&under, seed * 100 + nth, crash, faults);
+            history.run(&disk, seed * 100 + nth, crash, faults);
         }
-        life.live(&under, seed * 100 + 99, None, DiskFaults::default());
-        assert!(life.boots.len() > 2, "{:?}", life.boots);
+        history.run(&disk, seed * 100 + 99, None, DiskFaults::default());
+        assert!(history.boots.len() > 2, "{:?}", history.boots);
     }
 }
 
-/// A folder with two lives in it and three bans, the last of them in the last line.
+/// A directory after two process runs, with three overrides, the last of them in the last entry.
 fn folder() -> MemoryDisk {
-    let under = MemoryDisk::default();
-    let (mut store, found) = open(under.clone()).unwrap();
-    assert!(found.fresh && found.doubts.is_empty());
+    let disk = MemoryDisk::default();
+    let (mut store, found) = open(disk.clone()).unwrap();
+    assert!(found.is_new && found.warnings.is_empty());
     store.put_typed("r1", Some(&out(1)), NOW);
     store.close(NOW).unwrap();
     drop(store);
-    let (mut store, found) = open(under.clone()).unwrap();
-    assert!(!found.fresh && found.clean && found.boot == 1);
+    let (mut store, found) = open(disk.clone()).unwrap();
+    assert!(!found.is_new && found.ended_cleanly && found.boot == 1);
     let list = StoredRoster { discovery: "127.0.0.1:1".into(), generation: 4, json: "{}".into() };
     store.put_typed("", Some(&list), NOW);
     store.put_typed("r2", Some(&out(2)), NOW);
     store.sync().unwrap();
     store.put_typed("r3", Some(&out(3)), NOW);
     store.sync().unwrap();
-    under
+    disk
 }
 
 #[test]
-fn every_byte_flipped_gives_the_old_or_the_right_value_or_a_refusal() {
-    let under = folder();
-    let all_files = under.files().clone();
-    let right: Told = [("r1", out(1)), ("r2", out(2)), ("r3", out(3))]
+fn any_flipped_byte_gives_right_values_or_a_warning() {
+    let disk = folder();
+    let all_files = disk.files().clone();
+    let right: Overrides = [("r1", out(1)), ("r2", out(2)), ("r3", out(3))]
         .into_iter()
-        .map(|(id, hand)| (id.to_owned(), hand))
+        .map(|(id, entry)| (id.to_owned(), entry))
         .collect();
     for (name, bytes) in &all_files {
         for at in 0..bytes.len() {
             for flip in [0x01, 0x80, 0xff] {
-                let spoilt = copied(&under);
-                spoilt.files().get_mut(name).unwrap()[at] ^= flip;
+                let damaged = copy_of(&disk);
+                damaged.files().get_mut(name).unwrap()[at] ^= flip;
                 let (store, found) =
-                    open(spoilt.clone()).unwrap_or_else(|error| panic!("{name} {at}: {error}"));
+                    open(damaged.clone()).unwrap_or_else(|error| panic!("{name} {at}: {error}"));
                 assert_eq!(store.boot(), Some(3), "{name} {at}");
-                let hands = hands(&store);
-                assert!(hands.iter().all(|(id, hand)| right[id] == *hand), "{name} {at}: {hands:?}");
-                // What is missing is owned up to: as a hole, or as an end that is spoilt.
-                let owned = !found.doubts.is_empty() || found.torn > 0;
-                assert!(hands == right || owned, "{name} {at}: {hands:?} {found:?}");
+                let overrides = overrides(&store);
+                assert!(
+                    overrides.iter().all(|(id, entry)| right[id] == *entry),
+                    "{name} {at}: {overrides:?}"
+                );
+                // Anything missing must be reported, as a gap or as a damaged end.
+                let reported = !found.warnings.is_empty() || found.torn_bytes > 0;
+                assert!(overrides == right || reported, "{name} {at}: {overrides:?} {found:?}");
             }
         }
     }
 }
 
 #[test]
-fn a_file_cut_anywhere_is_read_as_far_as_it_goes() {
-    let under = folder();
-    let newest = under.files().keys().rfind(|name| name.starts_with("log-")).cloned().unwrap();
-    let length = under.files()[&newest].len();
+fn a_truncated_file_is_read_up_to_its_end() {
+    let disk = folder();
+    let newest = disk.files().keys().rfind(|name| name.starts_with("log-")).cloned().unwrap();
+    let length = disk.files()[&newest].len();
     let mut least = 3;
     for end in (0..length).rev() {
-        let cut = copied(&under);
+        let cut = copy_of(&disk);
         cut.files().get_mut(&newest).unwrap().truncate(end);
         let (store, found) = open(cut).unwrap();
-        let hands = hands(&store);
-        assert!(hands.len() <= least && hands.contains_key("r1"), "{end}: {hands:?}");
+        let overrides = overrides(&store);
+        assert!(overrides.len() <= least && overrides.contains_key("r1"), "{end}: {overrides:?}");
         assert!(
-            hands.len() == 3 || found.torn > 0 || !found.doubts.is_empty() || end > 0,
+            overrides.len() == 3 || found.torn_bytes > 0 || !found.warnings.is_empty() || end > 0,
             "{end}: {found:?}"
         );
-        least = hands.len();
+        least = overrides.len();
     }
 }
 
 #[test]
-fn a_sync_that_failed_once_is_not_believed_the_second_time() {
-    let (under, faults) = (MemoryDisk::default(), Arc::new(Mutex::new(DiskFaults::default())));
-    let disk = FaultyDisk::new(under.clone(), faults.clone(), 9).unwrap();
-    let (mut store, _) = open(disk).unwrap();
+fn a_sync_that_succeeds_after_a_failed_one_is_not_trusted() {
+    let (disk, faults) = (MemoryDisk::default(), Arc::new(Mutex::new(DiskFaults::default())));
+    let faulty = FaultyDisk::new(disk.clone(), faults.clone(), 9).unwrap();
+    let (mut store, _) = open(faulty).unwrap();
     store.put_typed("r1", Some(&out(1)), NOW);
     faults.lock().unwrap().sync_fails = true;
     assert!(store.sync().is_err());
-    // From here on this disk says yes to every sync, though what the first one lost is not there.
+    // From here on every sync on this disk succeeds, though the bytes of the failed one are lost.
     faults.lock().unwrap().sync_fails = false;
     store.put_typed("r2", Some(&out(2)), NOW);
     assert!(store.sync().is_ok());
     drop(store);
-    let (store, found) = open(under).unwrap();
-    assert_eq!(hands(&store).len(), 2, "{found:?}");
+    let (store, found) = open(disk).unwrap();
+    assert_eq!(overrides(&store).len(), 2, "{found:?}");
 }
 
 #[test]
-fn a_full_or_read_only_disk_is_owned_up_to_and_what_is_on_it_still_holds() {
+fn a_full_or_read_only_disk_is_reported_and_its_records_stay_in_force() {
     for faults in [
         DiskFaults { full: true, ..DiskFaults::default() },
         DiskFaults { read_only: true, ..DiskFaults::default() },
     ] {
-        let under = folder();
+        let disk = folder();
         let faults = Arc::new(Mutex::new(faults));
-        let (mut store, found) = open(FaultyDisk::new(under.clone(), faults.clone(), 4).unwrap()).unwrap();
-        assert!(found.unwritten.is_some() && store.boot().is_none());
-        assert_eq!(hands(&store).len(), 3);
+        let (mut store, found) = open(FaultyDisk::new(disk.clone(), faults.clone(), 4).unwrap()).unwrap();
+        assert!(found.write_error.is_some() && store.boot().is_none());
+        assert_eq!(overrides(&store).len(), 3);
         store.put_typed("r4", Some(&out(4)), NOW);
-        assert!(store.sync().is_err() && hands(&store).len() == 4);
-        // Free again.
+        assert!(store.sync().is_err() && overrides(&store).len() == 4);
+        // The disk works again.
         *faults.lock().unwrap() = DiskFaults::default();
         assert!(store.sync().is_ok() && store.boot() == Some(3));
         drop(store);
-        assert_eq!(hands(&open(under).unwrap().0).len(), 4);
+        assert_eq!(overrides(&open(disk).unwrap().0).len(), 4);
     }
 }
 
 #[test]
-fn another_dispatchers_store_a_newer_form_and_a_clock_that_went_back() {
+fn another_dispatchers_store_is_refused_and_a_clock_set_back_is_reported() {
     let refused = Store::open(Box::new(folder()), "d1", 1, NOW).map(|_| ()).unwrap_err();
     assert_eq!(refused.to_string(), "it is the store of \"d0\"");
     let (_, found) = Store::open(Box::new(folder()), "d0", 1, NOW - 5_000_000).unwrap();
-    assert_eq!(found.doubts, [IntegrityWarning::Clock { behind: 5_000_000 }]);
-    let looked = inspect(&mut folder()).unwrap();
-    assert_eq!((looked.owner.as_deref(), looked.store, looked.found.boot), (Some("d0"), 77, 2));
+    assert_eq!(found.warnings, [IntegrityWarning::ClockBehind { behind: 5_000_000 }]);
+    let inspection = inspect(&mut folder()).unwrap();
+    assert_eq!((inspection.owner.as_deref(), inspection.store, inspection.summary.boot), (Some("d0"), 77, 2));
 }
 
 #[test]
-fn how_long_the_last_life_has_been_over_is_told_by_the_machine_not_by_the_clock() {
-    let machine = |life: &str, up| Machine { life: life.to_owned(), up };
+fn downtime_is_measured_by_the_machines_uptime_not_by_the_clock() {
+    let machine = |boot_id: &str, uptime| Machine { boot_id: boot_id.to_owned(), uptime };
     let away = |then: Machine, now: Machine| {
-        let under = MemoryDisk::default();
-        under.set_machine(then);
-        drop(open(under.clone()).unwrap());
-        under.set_machine(now);
-        open(under).unwrap().1.away
+        let disk = MemoryDisk::default();
+        disk.set_machine(then);
+        drop(open(disk.clone()).unwrap());
+        disk.set_machine(now);
+        open(disk).unwrap().1.min_downtime
     };
     assert_eq!(away(machine("a", 5_000_000), machine("a", 7_500_000)), 2_500_000);
-    // Another life of the machine: over for at least as long as that has been up.
+    // After another boot of the machine: at least its uptime.
     assert_eq!(away(machine("a", 90_000_000), machine("b", 3_000_000)), 3_000_000);
-    // A machine that does not tell proves nothing.
+    // Without a boot id nothing is known.
     assert_eq!(away(machine("", 1), machine("", 9_000_000)), 0);
 }
 
 #[test]
-fn somebody_has_heard_of_a_higher_number() {
-    let under = folder();
-    let (mut store, _) = open(under.clone()).unwrap();
+fn a_higher_boot_number_known_to_a_peer_is_exceeded() {
+    let disk = folder();
+    let (mut store, _) = open(disk.clone()).unwrap();
     assert_eq!(store.boot(), Some(3));
     store.raise_boot_above(9).unwrap();
     assert_eq!(store.boot(), Some(10));
     drop(store);
-    assert_eq!(open(under).unwrap().0.boot(), Some(11));
+    assert_eq!(open(disk).unwrap().0.boot(), Some(11));
 }
