--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -96,7 +96,7 @@
     let folder = folder.ok_or("--folder is missing; see --help")?;
     let report = report_store(&folder, all, json)?;
     print!("{}", report.text);
-    if report.well { Ok(()) } else { Err(format!("--folder {}: spoilt", folder.display())) }
+    if report.is_intact { Ok(()) } else { Err(format!("--folder {}: spoilt", folder.display())) }
 }
 
 fn run_migrate(mut words: pico_args::Arguments, path: Option<String>) -> Result<(), String> {
@@ -121,7 +121,7 @@
         migrate::write(&migration.text, &to)?;
     }
     migration.changed.iter().for_each(|line| eprintln!("changed: {line}"));
-    migration.left.iter().for_each(|line| eprintln!("not carried over: {line}"));
+    migration.not_carried_over.iter().for_each(|line| eprintln!("not carried over: {line}"));
     eprintln!("{}", if dry { "nothing was written".to_owned() } else { format!("written: {to}") });
     Ok(())
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -93,7 +93,7 @@
     /// Whether the host failed to read the file for a reason that may pass by itself.
     pub fn passes(&self) -> bool {
         match self {
-            LoadError::Unreadable { error, .. } => errno::file(error).passes(),
+            LoadError::Unreadable { error, .. } => errno::file(error).is_transient(),
             LoadError::Bad(_) => false,
         }
     }
--- a/node/src/ingress/clients.rs
+++ b/node/src/ingress/clients.rs
@@ -10,7 +10,7 @@
 
 use crate::ingress::operations::Operations;
 use crate::net::connection::{CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, Timer};
-use crate::net::http::{self, HttpError, MESSAGE_MOST, Request, encode_answer};
+use crate::net::http::{self, HttpError, MAX_MESSAGE_BYTES, Request, encode_response};
 use crate::net::log::log;
 
 const READY: &str = "/healthz";
@@ -124,12 +124,14 @@
     /// ask anything yet, or the one that has been idle longest; those that have brought invocations go last,
     /// as they will bring more.
     pub fn room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
-        driver.connections() < self.most.0 || self.make_room(driver) || driver.connections() < self.most.1
+        driver.connection_count() < self.most.0
+            || self.make_room(driver)
+            || driver.connection_count() < self.most.1
     }
 
     /// Ends one connection that nothing is owed on, if there is any.
     pub fn make_room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
-        if driver.end_lingering() {
+        if driver.close_oldest_lingering() {
             return true;
         }
         let now = driver.now();
@@ -178,7 +180,7 @@
     ) {
         let Some(client) = self.conns.get_mut(&connection) else { return };
         let keep = client.keep && may_keep && !driver.has_overflowed(connection);
-        driver.send(connection, &encode_answer(status, more, body, keep));
+        driver.send(connection, &encode_response(status, more, body, keep));
         client.phase = Phase::Idle;
         client.since = driver.now();
         if keep {
@@ -222,7 +224,7 @@
         end: CloseReason,
         driver: &mut dyn ConnectionDriver,
     ) -> bool {
-        if driver.unsent(connection) || !driver.is_reusable(connection) {
+        if driver.has_unsent(connection) || !driver.is_reusable(connection) {
             return false;
         }
         self.conns.remove(&connection);
@@ -242,7 +244,7 @@
         driver: &mut dyn ConnectionDriver,
     ) {
         log!("bad-request", "link={connection} status={status} reason={why}");
-        driver.send(connection, &encode_answer(status, "", why.as_bytes(), false));
+        driver.send(connection, &encode_response(status, "", why.as_bytes(), false));
         self.conns.remove(&connection);
         driver.finish(connection, CloseReason::BadInput);
     }
@@ -254,7 +256,7 @@
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), HttpError> {
         let Some(client) = self.conns.get_mut(&connection) else { return Ok(()) };
-        (client.keep, client.newcomer) = (request.keep, None);
+        (client.keep, client.newcomer) = (request.keep_alive, None);
         match (request.path(), request.method) {
             (READY, "GET") => {
                 let status = if self.draining { 503 } else { 200 };
@@ -293,23 +295,23 @@
     began: Micros,
     request: Request,
 ) -> Result<Invocation, HttpError> {
-    let id = request.only("x-request-id")?.ok_or(HttpError(400, "missing_id"))?;
+    let id = request.single_header("x-request-id")?.ok_or(HttpError(400, "missing_id"))?;
     // It stands in the path of a cancel, so that nothing may need escaping there.
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:~".contains(&byte);
     if id.is_empty() || id.len() > ID_MOST || !id.bytes().all(plain) {
         return Err(HttpError(400, "bad_id"));
     }
-    let timeout = request.only("x-deadline-ms")?.ok_or(HttpError(400, "missing_timeout"))?;
+    let timeout = request.single_header("x-deadline-ms")?.ok_or(HttpError(400, "missing_timeout"))?;
     let digits = timeout.bytes().all(|byte| byte.is_ascii_digit());
     let timeout = timeout.parse().ok().filter(|_| digits).and_then(|ms: Micros| ms.checked_mul(1000));
     let timeout = timeout.filter(|timeout| *timeout <= TIMEOUT_MOST).ok_or(HttpError(400, "bad_timeout"))?;
-    request.only("idempotency-key")?;
+    request.single_header("idempotency-key")?;
     if request.target.bytes().any(|byte| byte == b'#' || !byte.is_ascii_graphic()) {
         return Err(HttpError(400, "bad_target"));
     }
-    let extras = request.only("x-extras")?.unwrap_or_default();
+    let extras = request.single_header("x-extras")?.unwrap_or_default();
     let slots = named(extras, ',', &["slots", "width"]).find_map(|value| value.parse::<f64>().ok());
-    let hint = request.only("x-cost-hint")?.and_then(|hint| hint.trim().parse::<f64>().ok());
+    let hint = request.single_header("x-cost-hint")?.and_then(|hint| hint.trim().parse::<f64>().ok());
     let cookies = request.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("cookie"));
     let mut cookies = cookies.filter_map(|(_, value)| std::str::from_utf8(value).ok());
     let key = cookies.find_map(|value| named(value, ';', &["sid"]).next());
@@ -359,12 +361,12 @@
 }
 
 impl ConnectionHandler for Clients {
-    fn up(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
+    fn connected(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 
-    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
+    fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
         while let Some(client) = self.conns.get_mut(&connection) {
             // Whoever does not read what it is owed is read no further: answers would pile up.
-            if input.is_empty() || matches!(client.phase, Phase::Owed(_)) || driver.unsent(connection) {
+            if input.is_empty() || matches!(client.phase, Phase::Owed(_)) || driver.has_unsent(connection) {
                 return;
             }
             if driver.has_overflowed(connection) {
@@ -374,10 +376,10 @@
                 client.phase = Phase::Reading;
                 client.since = driver.now();
                 // Its time runs from when it came, however long it has waited to be read or looked at.
-                client.began = driver.arrived(connection);
+                client.began = driver.received_since(connection);
             }
-            let used = match http::request(input) {
-                Ok(None) if input.len() >= MESSAGE_MOST => Err(HttpError(413, "message_too_long")),
+            let used = match http::parse_request(input) {
+                Ok(None) if input.len() >= MAX_MESSAGE_BYTES => Err(HttpError(413, "message_too_long")),
                 Ok(None) => return,
                 Ok(Some((request, used))) => self.take(connection, request, driver).map(|()| used),
                 Err(fault) => Err(fault),
@@ -389,7 +391,7 @@
         }
     }
 
-    fn ended(
+    fn closed(
         &mut self,
         connection: ConnectionId,
         _: CloseReason,
@@ -409,7 +411,7 @@
         let overdue = now >= whole_by;
         let end = match client.phase {
             Phase::Reading if overdue => CloseReason::SlowRequest,
-            Phase::Idle if overdue && driver.unsent(connection) => CloseReason::SlowReader,
+            Phase::Idle if overdue && driver.has_unsent(connection) => CloseReason::SlowReader,
             Phase::Idle if overdue && client.newcomer.is_some() => CloseReason::Silent,
             Phase::Idle if now >= client.since + IDLE_MOST => CloseReason::Idle,
             // One look at a time is asked for: a request that has begun since the last one is in time for it.
--- a/node/src/ingress/operators.rs
+++ b/node/src/ingress/operators.rs
@@ -79,9 +79,9 @@
 }
 
 impl ConnectionHandler for Operators {
-    fn up(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
+    fn connected(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 
-    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
+    fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
         if !self.calling.contains(&connection) {
             return input.clear();
         }
@@ -103,7 +103,7 @@
         }
     }
 
-    fn ended(
+    fn closed(
         &mut self,
         connection: ConnectionId,
         _: CloseReason,
--- a/node/src/lifecycle/handover.rs
+++ b/node/src/lifecycle/handover.rs
@@ -38,7 +38,8 @@
 pub struct HandoverState {
     /// Where the list comes from, and the list in discovery's own form.
     pub discovery: String,
-    pub list: Value,
+    #[serde(rename = "list")]
+    pub roster: Value,
     /// Until when nothing that discovery could tell can have been missed; 0 where the other process does not say.
     #[serde(default)]
     pub sure_at: Micros,
@@ -56,7 +57,8 @@
     /// The text of the configuration in force.
     pub configuration: String,
     /// What has been sent to cold runners of late.
-    pub spent: Vec<(String, Vec<(Micros, f64)>)>,
+    #[serde(rename = "spent")]
+    pub slow_start_usage: Vec<(String, Vec<(Micros, f64)>)>,
 }
 
 /// What the two processes tell each other while both serve.
@@ -64,15 +66,18 @@
 #[serde(rename_all = "snake_case")]
 pub enum HandoverMessage {
     /// A call-back for an invocation that is not open here, with the hash of its bytes.
-    Told(RunnerCallback, u64),
+    #[serde(rename = "told")]
+    Callback(RunnerCallback, u64),
     /// An operator took a runner out, or back in.
-    Hand { id: String, out: bool },
+    #[serde(rename = "hand")]
+    AdminOverride { id: String, out: bool },
     /// An id that has been taken.
-    Taken(String),
+    #[serde(rename = "taken")]
+    InvocationTaken(String),
 }
 
 /// Where the process that serves at this address is found; nowhere without a folder of its own.
-pub fn place(listen: SocketAddr) -> Option<PathBuf> {
+pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     let folder = env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     Some(Path::new(&folder).join(format!("topazsail-{listen}.sock")))
 }
@@ -87,7 +92,7 @@
 }
 
 /// Asks the process that serves, if there is one.
-pub fn ask(place: &Path) -> Option<Inherited> {
+pub fn request_handover(place: &Path) -> Option<Inherited> {
     let stream = UnixStream::connect(place).ok()?;
     let given = take(stream);
     given.inspect_err(|fault| log!("handover-failed", "reason={:?}", fault.to_string())).ok()
@@ -130,7 +135,7 @@
 }
 
 /// Waits for a successor here; whoever was here before has left, or will not be asked at this place again.
-pub fn offer(place: &Path) -> io::Result<UnixListener> {
+pub fn bind_successor_socket(place: &Path) -> io::Result<UnixListener> {
     match fs::remove_file(place) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
@@ -142,7 +147,7 @@
 }
 
 /// Gives a successor the listener; the state follows on the connection as any other bytes.
-pub fn give(stream: &UnixStream, listener: &TcpListener) -> io::Result<()> {
+pub fn send_listener(stream: &UnixStream, listener: &TcpListener) -> io::Result<()> {
     stream.set_nonblocking(true)?;
     let mut room = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut room);
@@ -157,22 +162,22 @@
 pub struct HandoverPeer {
     connection: Option<ConnectionId>,
     text: Vec<u8>,
-    pub heard: Vec<HandoverMessage>,
+    pub incoming: Vec<HandoverMessage>,
     /// It has ended since this was last looked at.
     pub ended: bool,
 }
 
 impl HandoverPeer {
-    pub fn is_there(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.connection.is_some()
     }
 
-    pub fn meet(&mut self, connection: ConnectionId) {
+    pub fn attach(&mut self, connection: ConnectionId) {
         self.connection = Some(connection);
         self.text.clear();
     }
 
-    pub fn say(&self, word: &impl Serialize, driver: &mut dyn ConnectionDriver) {
+    pub fn send(&self, word: &impl Serialize, driver: &mut dyn ConnectionDriver) {
         let Some(connection) = self.connection else { return };
         let Ok(mut line) = serde_json::to_vec(word) else { return };
         line.push(b'\n');
@@ -186,14 +191,14 @@
 }
 
 impl ConnectionHandler for HandoverPeer {
-    fn up(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
+    fn connected(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 
-    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
+    fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
         self.text.append(input);
         let mut read = 0;
         while let Some(length) = self.text[read..].iter().position(|byte| *byte == b'\n') {
             match serde_json::from_slice(&self.text[read..read + length]) {
-                Ok(word) => self.heard.push(word),
+                Ok(word) => self.incoming.push(word),
                 // Of another version, perhaps: what can be read goes on being heard.
                 Err(error) => log!("handover-unread", "reason={:?}", error.to_string()),
             }
@@ -206,7 +211,7 @@
         }
     }
 
-    fn ended(
+    fn closed(
         &mut self,
         connection: ConnectionId,
         end: CloseReason,
--- a/node/src/lifecycle/migrate.rs
+++ b/node/src/lifecycle/migrate.rs
@@ -25,7 +25,7 @@
     pub text: String,
     /// What is otherwise than it was, and what could not be carried over.
     pub changed: Vec<String>,
-    pub left: Vec<String>,
+    pub not_carried_over: Vec<String>,
 }
 
 /// Settings that every dispatcher of the new shape has.
@@ -104,7 +104,7 @@
     }
     let text = serde_json::to_string_pretty(&json).map_err(|error| error.to_string())? + "\n";
     config::decode(&text).map_err(|fault| format!("the result could not be served: {fault}"))?;
-    Ok(Migration { text, changed, left })
+    Ok(Migration { text, changed, not_carried_over: left })
 }
 
 /// Sets one setting by its path, with what lies between made where it is missing.
--- a/node/src/lifecycle/signals.rs
+++ b/node/src/lifecycle/signals.rs
@@ -21,7 +21,7 @@
     ///
     /// The pipe or the handler is not to be had.
     pub fn new(signal: i32) -> io::Result<Signal> {
-        let (wakes, writes) = retry_while(|error| errno::open(error).passes(), UnixStream::pair)?;
+        let (wakes, writes) = retry_while(|error| errno::open(error).is_transient(), UnixStream::pair)?;
         wakes.set_nonblocking(true)?;
         let raised = Arc::new(AtomicBool::new(false));
         // Handlers run in this order: who is woken finds the flag.
--- a/node/src/lifecycle/start.rs
+++ b/node/src/lifecycle/start.rs
@@ -18,8 +18,10 @@
 use crate::net::connection::{ConnectionDriver, ConnectionRole};
 use crate::net::errno;
 use crate::net::log::log;
-use crate::net::reactor::{LISTENERS, Listener, PEERS, RELOAD, Reactor, SIGNAL, SUCCESSOR};
-use crate::net::sockets::{listen, talk};
+use crate::net::reactor::{
+    FIRST_LISTENER_KEY, Listener, PEERS_KEY, RELOAD_KEY, Reactor, SUCCESSOR_KEY, TERMINATE_KEY,
+};
+use crate::net::sockets::{bind_datagram_socket, listen};
 use crate::request_table::RequestTable;
 
 /// How long a process that ends waits for its disk.
@@ -37,7 +39,7 @@
         return Err(fault(io::Error::new(io::ErrorKind::NotADirectory, "no such folder")));
     }
     let locked = retry_while(
-        |error| errno::file(error).passes(),
+        |error| errno::file(error).is_transient(),
         || {
             let mut disk = open_disk(&store.folder)?;
             disk.lock().map(|()| disk)
@@ -46,7 +48,7 @@
     match locked {
         Ok(disk) => Ok(Some(disk)),
         // The store opens it later.
-        Err(error) if !store.require && errno::file(&error).passes() => Ok(None),
+        Err(error) if !store.require && errno::file(&error).is_transient() => Ok(None),
         Err(error) => Err(fault(error)),
     }
 }
@@ -70,16 +72,16 @@
         let socket = given
             .unwrap_or_else(|| retry_while(opens_later, || listen(address)))
             .map_err(|error| format!("listen {address}: {error}"))?;
-        listeners.push(Listener { socket, role, key: LISTENERS + listeners.len() });
+        listeners.push(Listener { socket, role, key: FIRST_LISTENER_KEY + listeners.len() });
     }
     let mut reactor = retry_while(opens_later, Reactor::new).map_err(fault("poller"))?;
     // SAFETY: all outlive the poller's use of them: they are dropped after the loop has ended.
     unsafe {
         let mut added = reactor
             .poller
-            .add_with_mode(terminate.wakes(), Event::readable(SIGNAL), PollMode::Oneshot)
+            .add_with_mode(terminate.wakes(), Event::readable(TERMINATE_KEY), PollMode::Oneshot)
             .and_then(|()| {
-                reactor.poller.add_with_mode(reload.wakes(), Event::readable(RELOAD), PollMode::Level)
+                reactor.poller.add_with_mode(reload.wakes(), Event::readable(RELOAD_KEY), PollMode::Level)
             });
         for listener in &listeners {
             let event = Event::readable(listener.key);
@@ -89,11 +91,11 @@
         added.map_err(fault("poller"))?;
     }
     if let Some(peers) = &told.peers {
-        let socket = retry_while(opens_later, || talk(peers.listen))
+        let socket = retry_while(opens_later, || bind_datagram_socket(peers.listen))
             .map_err(|error| format!("peers.listen {}: {error}", peers.listen))?;
         // SAFETY: it is kept beside the poller and never closed before it.
         unsafe {
-            let added = reactor.poller.add_with_mode(&socket, Event::readable(PEERS), PollMode::Level);
+            let added = reactor.poller.add_with_mode(&socket, Event::readable(PEERS_KEY), PollMode::Level);
             added.map_err(fault("poller"))?;
         }
         reactor.datagrams = Some(socket);
@@ -102,14 +104,15 @@
     let (listen, discovery) = (told.listen, told.discovery);
     log!("serving", "name={} listen={listen} discovery={discovery} admin={admin}", told.name);
     // Only now: whoever served until now has been asked.
-    let successor = handover::place(listen).and_then(|place| {
-        let offered = handover::offer(&place);
+    let successor = handover::socket_path(listen).and_then(|place| {
+        let offered = handover::bind_successor_socket(&place);
         offered.inspect_err(|error| log!("handover-failed", "reason={:?}", error.to_string())).ok()
     });
     if let Some(successor) = &successor {
         // SAFETY: as above.
         unsafe {
-            let added = reactor.poller.add_with_mode(successor, Event::readable(SUCCESSOR), PollMode::Level);
+            let added =
+                reactor.poller.add_with_mode(successor, Event::readable(SUCCESSOR_KEY), PollMode::Level);
             added.map_err(fault("poller"))?;
         }
     }
@@ -127,7 +130,7 @@
     let (other, state) = given.map(|given| ((given.stream, given.since), given.state)).unzip();
     let mut table = RequestTable::new(told, state, store_thread, &mut reactor);
     if let Some((stream, since)) = other {
-        let connection = reactor.meet(stream, listen);
+        let connection = reactor.add_peer_connection(stream, listen);
         table.takes_over(connection, since, &mut reactor);
     }
     let run = reactor.run(&mut table, &listeners, successor.as_ref(), (&terminate, &reload, path));
@@ -137,13 +140,13 @@
     if let Some(why) = fatal {
         return Err(why);
     }
-    log!("ended", "connections={}", reactor.connections());
+    log!("ended", "connections={}", reactor.connection_count());
     Ok(())
 }
 
 /// Whether what could not be opened may be a moment later.
 fn opens_later(error: &io::Error) -> bool {
-    errno::open(error).passes()
+    errno::open(error).is_transient()
 }
 
 /// The configuration, and what a process that serves at this address hands over. A file that is no good now
@@ -151,7 +154,7 @@
 fn begin(path: &str) -> Result<(config::Configuration, Option<handover::Inherited>), String> {
     let told = retry_while(LoadError::passes, || config::load(path));
     let listen = told.as_ref().map_or_else(|_| config::listen(), |told| Some(told.listen));
-    let given = listen.and_then(handover::place).and_then(|place| handover::ask(&place));
+    let given = listen.and_then(handover::socket_path).and_then(|place| handover::request_handover(&place));
     let given = given.filter(|given| given.listener.local_addr().ok() == listen);
     let told = match (told, &given) {
         (Err(fault), Some(given)) => {
--- a/node/src/lifecycle/store_report.rs
+++ b/node/src/lifecycle/store_report.rs
@@ -14,7 +14,7 @@
 /// What is said, and whether all is well.
 pub struct StoreReport {
     pub text: String,
-    pub well: bool,
+    pub is_intact: bool,
 }
 
 fn value(record: &Record) -> Value {
@@ -95,13 +95,13 @@
             "files": inspection.files.iter().map(|(name, bytes)| json!({"name": name, "bytes": bytes})).collect::<Vec<_>>(),
             "records": records.collect::<Vec<_>>(),
         });
-        return Ok(StoreReport { text: format!("{whole:#}\n"), well });
+        return Ok(StoreReport { text: format!("{whole:#}\n"), is_intact: well });
     }
     let mut text = String::new();
     let mut line = |name: &str, value: &dyn std::fmt::Display| _ = writeln!(text, "{name:<9} {value}");
     if found.fresh {
         line("state", &"empty: no dispatcher has kept anything here");
-        return Ok(StoreReport { text, well });
+        return Ok(StoreReport { text, is_intact: well });
     }
     line("owner", &inspection.owner.as_deref().unwrap_or("not known"));
     line("boot", &found.boot);
@@ -124,7 +124,7 @@
             let _ = writeln!(text, "{table:<9} {key:<20} {:>5} {at:>17} {short}", record.boot);
         }
     }
-    Ok(StoreReport { text, well })
+    Ok(StoreReport { text, is_intact: well })
 }
 
 #[cfg(test)]
--- a/node/src/lifecycle/store_report/tests.rs
+++ b/node/src/lifecycle/store_report/tests.rs
@@ -25,7 +25,7 @@
 fn a_folder_is_told_whole_and_spoilt() {
     let folder = folder();
     let whole = report_store(folder.path(), true, false).unwrap();
-    assert!(whole.well);
+    assert!(whole.is_intact);
     expect![[r#"
             owner     d0
             boot      1
@@ -45,7 +45,7 @@
     bytes[30] ^= 1;
     std::fs::write(&log, &bytes).unwrap();
     let spoilt = report_store(folder.path(), false, false).unwrap();
-    assert!(!spoilt.well && spoilt.text.contains("doubt     spoilt in 1 places"), "{}", spoilt.text);
+    assert!(!spoilt.is_intact && spoilt.text.contains("doubt     spoilt in 1 places"), "{}", spoilt.text);
     assert_eq!(std::fs::read(&log).unwrap(), bytes, "nothing was changed");
 }
 
--- a/node/src/lifecycle/store_thread.rs
+++ b/node/src/lifecycle/store_thread.rs
@@ -51,9 +51,9 @@
 pub struct LoadedStore {
     pub found: LoadSummary,
     pub boot: Option<u64>,
-    pub list: Option<StoredRoster>,
-    pub hands: Vec<(String, StoredOverride)>,
-    pub spent: Option<StoredSlowStartUsage>,
+    pub roster: Option<StoredRoster>,
+    pub admin_overrides: Vec<(String, StoredOverride)>,
+    pub slow_start_usage: Option<StoredSlowStartUsage>,
     pub settings: Option<StoredSettings>,
 }
 
@@ -61,7 +61,7 @@
 pub enum StoreEvent {
     Opened(Box<LoadedStore>),
     /// There is no store to be had, and why.
-    Unopened(String),
+    OpenFailed(String),
     /// All that was asked before this number is on the disk, or why it is not.
     Synced(u64, Result<(), String>),
     /// The disk works again, or has failed; with this life's number.
@@ -122,7 +122,7 @@
     }
 
     /// The same, and a number under which it is told when this is on the disk.
-    pub fn keep_now<T: Storable>(&mut self, key: &str, kept: Option<&T>) -> u64 {
+    pub fn keep_and_sync<T: Storable>(&mut self, key: &str, kept: Option<&T>) -> u64 {
         let (key, value) = (key.to_owned(), kept.map(bytes));
         self.tickets += 1;
         let put = self.ask(StoreRequest::Put { table: T::TABLE, key, form: T::FORMAT, value });
@@ -132,7 +132,7 @@
         self.tickets
     }
 
-    pub fn above(&mut self, heard: u64) {
+    pub fn raise_boot_above(&mut self, heard: u64) {
         self.ask(StoreRequest::Above(heard));
     }
 
@@ -145,7 +145,7 @@
         self.ask(StoreRequest::Open);
     }
 
-    pub fn heard(&mut self) -> Vec<StoreEvent> {
+    pub fn incoming(&mut self) -> Vec<StoreEvent> {
         let refused =
             self.refused.drain(..).map(|ticket| StoreEvent::Synced(ticket, Err("too much waits".into())));
         refused.chain(self.from.try_iter()).collect()
@@ -306,12 +306,14 @@
                     let records = store.records();
                     let left = LoadedStore {
                         boot: store.boot(),
-                        list: all::<StoredRoster>(records).pop().map(|(_, list, _)| list),
-                        hands: all::<StoredOverride>(records)
+                        roster: all::<StoredRoster>(records).pop().map(|(_, list, _)| list),
+                        admin_overrides: all::<StoredOverride>(records)
                             .into_iter()
                             .map(|(key, hand, _)| (key.to_owned(), hand))
                             .collect(),
-                        spent: all::<StoredSlowStartUsage>(records).pop().map(|(_, spent, _)| spent),
+                        slow_start_usage: all::<StoredSlowStartUsage>(records)
+                            .pop()
+                            .map(|(_, spent, _)| spent),
                         settings: all::<StoredSettings>(records).pop().map(|(_, settings, _)| settings),
                         found,
                     };
@@ -321,7 +323,7 @@
                 Ok(Err(_)) => thread::sleep(LOCK_AGAIN),
                 Err(why) => {
                     self.well = false;
-                    break StoreEvent::Unopened(why);
+                    break StoreEvent::OpenFailed(why);
                 }
             }
         };
--- a/node/src/lifecycle/store_thread/tests.rs
+++ b/node/src/lifecycle/store_thread/tests.rs
@@ -25,18 +25,18 @@
     let (under, faults) = Default::default();
     let mut first = store_thread(&under, &faults);
     assert!(matches!(next(&mut first), StoreEvent::Opened(left) if left.found.fresh && left.boot == Some(1)));
-    let ticket = first.keep_now("r1", Some(&out()));
+    let ticket = first.keep_and_sync("r1", Some(&out()));
     assert!(matches!(next(&mut first), StoreEvent::Synced(t, Ok(())) if t == ticket));
     // The process is killed: its thread is left where it is, and the disk as it is now.
     let mut second = store_thread(&under, &faults);
     let StoreEvent::Opened(left) = next(&mut second) else { panic!() };
     assert_eq!(
-        (left.boot, left.hands.as_slice(), left.found.clean),
+        (left.boot, left.admin_overrides.as_slice(), left.found.clean),
         (Some(2), &[("r1".to_owned(), out())][..], false)
     );
     assert!(second.finish(Duration::from_secs(30)));
     let StoreEvent::Opened(left) = next(&mut store_thread(&under, &faults)) else { panic!() };
-    assert!(left.found.clean && left.hands.len() == 1);
+    assert!(left.found.clean && left.admin_overrides.len() == 1);
 }
 
 #[test]
@@ -45,15 +45,15 @@
     let mut store_thread = store_thread(&under, &faults);
     next(&mut store_thread);
     faults.lock().unwrap().full = true;
-    let ticket = store_thread.keep_now("r1", Some(&out()));
+    let ticket = store_thread.keep_and_sync("r1", Some(&out()));
     assert!(matches!(next(&mut store_thread), StoreEvent::Health(Err(why)) if why.contains("no storage")));
     assert!(matches!(next(&mut store_thread), StoreEvent::Synced(t, Err(_)) if t == ticket));
     // While it is known to be bad nobody waits for it.
-    let ticket = store_thread.keep_now("r2", Some(&out()));
+    let ticket = store_thread.keep_and_sync("r2", Some(&out()));
     assert!(matches!(next(&mut store_thread), StoreEvent::Synced(t, Err(_)) if t == ticket));
     faults.lock().unwrap().full = false;
     assert!(matches!(next(&mut store_thread), StoreEvent::Health(Ok(Some(1)))));
-    let ticket = store_thread.keep_now("r3", Some(&out()));
+    let ticket = store_thread.keep_and_sync("r3", Some(&out()));
     assert!(matches!(next(&mut store_thread), StoreEvent::Synced(t, Ok(())) if t == ticket));
 }
 
@@ -67,7 +67,7 @@
     faults.lock().unwrap().full = true;
     let mut second = store_thread(&under, &faults);
     assert!(
-        matches!(next(&mut second), StoreEvent::Opened(left) if left.boot.is_none() && left.hands.len() == 1)
+        matches!(next(&mut second), StoreEvent::Opened(left) if left.boot.is_none() && left.admin_overrides.len() == 1)
     );
     faults.lock().unwrap().full = false;
     assert!(matches!(next(&mut second), StoreEvent::Health(Ok(Some(2)))));
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -87,7 +87,7 @@
             ("skipped_runners", now.skipped_runners as u64),
             ("loads", self.loads),
             ("load_errors", self.load_errors),
-            ("log_lines_lost", log::lost()),
+            ("log_lines_lost", log::lost_lines()),
         ];
         for (name, value) in plain {
             let _ = writeln!(text, "{PREFIX}.{name}={value}");
--- a/node/src/net/connection.rs
+++ b/node/src/net/connection.rs
@@ -11,7 +11,7 @@
 use topazsail::{Id, Micros};
 
 use crate::net::errno;
-use crate::net::http::MESSAGE_MOST;
+use crate::net::http::MAX_MESSAGE_BYTES;
 use crate::net::receive_times::ReceiveTimes;
 
 /// A connection's number; none is used twice.
@@ -109,46 +109,46 @@
     /// A connection that is being finished has had its time.
     Finish(ConnectionId),
     /// An invocation's client gives up.
-    Inv(Id),
+    Invocation(Id),
     /// A cancel is to be tried again.
     Cancel(Id, u32),
     /// The brain's one timer.
-    Tick,
+    RoutingPolicy,
     /// The configuration, which the host could not read, is read again.
     Reload,
     /// What the poller could not be told of a connection is told again.
-    Watch(ConnectionId),
+    Register(ConnectionId),
     /// A dial that the host kept from beginning is made again.
-    Dial(ConnectionId),
+    Redial(ConnectionId),
     /// Accepting, after it could not go on, those who come to this side.
-    Accept(ConnectionRole),
+    ResumeAccepting(ConnectionRole),
     /// A step of going down.
-    Down,
+    Shutdown,
     /// Cold runners may have rested for long enough.
-    Rested,
+    ColdRunnerPause,
     /// The lease on the list may have lapsed.
     Lease,
     /// A start has waited for discovery for long enough.
-    Ready,
+    ReadinessTimeout,
     /// A stage of recovery has had its time.
-    Recovery,
+    RecoveryStage,
     /// A round of the other dispatchers.
-    Peers,
+    PeerRound,
     /// What has changed is to be kept.
-    Keep,
+    Persist,
     /// The disk has had its time to keep what an operator was told of.
-    Kept(u64),
+    PersistTimeout(u64),
 }
 
 /// What the owner of connections is called back for.
 pub trait ConnectionHandler {
     /// A dialled connection is up.
-    fn up(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver);
+    fn connected(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver);
     /// Bytes have come; what is understood is taken out of `input`, the rest stays there.
-    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver);
+    fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver);
     /// The other side has ended it, or it never came up: `unsent` says that not all was written, `input`
     /// holds what was not taken out. An end of the owner's own making is not told.
-    fn ended(
+    fn closed(
         &mut self,
         connection: ConnectionId,
         end: CloseReason,
@@ -195,17 +195,17 @@
         self.now()
     }
     /// Since when the first byte that the owner of this connection has not taken may have been there.
-    fn arrived(&self, _connection: ConnectionId) -> Micros {
+    fn received_since(&self, _connection: ConnectionId) -> Micros {
         self.readable_since()
     }
     /// How many connections there are, of all sides.
-    fn connections(&self) -> usize;
+    fn connection_count(&self) -> usize;
     /// Ends the oldest client's connection that only waits for the other side's end, its last answer written.
-    fn end_lingering(&mut self) -> bool;
+    fn close_oldest_lingering(&mut self) -> bool;
     /// A new connection, not yet up.
     fn dial(&mut self, to: SocketAddr, role: ConnectionRole) -> ConnectionId;
     /// Whether the host has kept a dial from beginning so far: nothing is known of the other end.
-    fn postponed(&self, _connection: ConnectionId) -> bool {
+    fn is_dial_postponed(&self, _connection: ConnectionId) -> bool {
         false
     }
     fn send(&mut self, connection: ConnectionId, bytes: &[u8]);
@@ -216,7 +216,7 @@
         false
     }
     /// Whether something sent has not yet been written.
-    fn unsent(&self, connection: ConnectionId) -> bool;
+    fn has_unsent(&self, connection: ConnectionId) -> bool;
     /// Whether so much has come that some of it was thrown away: what follows makes no sense.
     fn has_overflowed(&self, _connection: ConnectionId) -> bool {
         false
@@ -228,11 +228,11 @@
     fn abort(&mut self, connection: ConnectionId, end: CloseReason);
     fn set_timer(&mut self, due: Timer, at: Micros);
     /// To another dispatcher; it may get lost.
-    fn datagram(&mut self, _to: SocketAddr, _bytes: &[u8]) {}
+    fn send_datagram(&mut self, _to: SocketAddr, _bytes: &[u8]) {}
 }
 
 /// Why a connection never came up. Only a refusal says that no process listens there.
-pub fn never_up(error: &io::Error) -> CloseReason {
+pub fn connect_failure(error: &io::Error) -> CloseReason {
     match error.kind() {
         ErrorKind::ConnectionRefused => CloseReason::Refused,
         ErrorKind::TimedOut => CloseReason::DialTimeout,
@@ -311,15 +311,15 @@
 
     pub fn wants(&self) -> (bool, bool) {
         // A client is read on whatever it sends, or its end would not be seen: what is beyond the bound is thrown away.
-        let room = self.input.len() < MESSAGE_MOST || self.role == ConnectionRole::Client;
-        (!self.dialling && (self.lingering || room), self.dialling || self.unsent())
+        let room = self.input.len() < MAX_MESSAGE_BYTES || self.role == ConnectionRole::Client;
+        (!self.dialling && (self.lingering || room), self.dialling || self.has_unsent())
     }
 
     pub fn has_overflowed(&self) -> bool {
         self.spilt
     }
 
-    pub fn unsent(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         self.written < self.output.len()
     }
 
@@ -329,16 +329,16 @@
 
     /// Writes what the socket takes.
     pub fn flush(&mut self) -> Result<(), CloseReason> {
-        while self.unsent() && !self.dialling {
+        while self.has_unsent() && !self.dialling {
             match self.stream.write(&self.output[self.written..]) {
                 Ok(0) => return Err(CloseReason::Reset),
                 Ok(written) => self.written += written,
                 // The poller tells when it may be tried again.
-                Err(error) if errno::transfer(&error).passes() => return Ok(()),
+                Err(error) if errno::transfer(&error).is_transient() => return Ok(()),
                 Err(error) => return Err(broken(&error)),
             }
         }
-        if !self.unsent() {
+        if !self.has_unsent() {
             self.output.clear();
             self.output.shrink_to(4 << 10);
             self.written = 0;
@@ -350,8 +350,9 @@
     /// more. Says how much there was.
     pub fn read(&mut self, scratch: &mut [u8], since: Micros) -> Result<usize, CloseReason> {
         let read = self.stream.read(scratch);
-        let passes =
-            |error: &io::Error| error.kind() != ErrorKind::WouldBlock && errno::transfer(error).passes();
+        let passes = |error: &io::Error| {
+            error.kind() != ErrorKind::WouldBlock && errno::transfer(error).is_transient()
+        };
         let failed = read.as_ref().is_err_and(passes);
         self.failed_reads += u64::from(failed);
         // What the host fails to read now has been there since then.
@@ -360,7 +361,7 @@
         match read {
             Ok(0) => Err(CloseReason::PeerClosed),
             Ok(read) if self.lingering => Ok(read),
-            Ok(read) if self.input.len() >= MESSAGE_MOST => {
+            Ok(read) if self.input.len() >= MAX_MESSAGE_BYTES => {
                 self.spilt = true;
                 Ok(read)
             }
@@ -369,7 +370,7 @@
                 self.receive_times.note(read, since);
                 Ok(read)
             }
-            Err(error) if errno::transfer(&error).passes() => Ok(0),
+            Err(error) if errno::transfer(&error).is_transient() => Ok(0),
             Err(error) => Err(broken(&error)),
         }
     }
@@ -378,7 +379,7 @@
     pub fn dialled(&self) -> Result<(), CloseReason> {
         match self.stream.take_error() {
             Ok(None) => Ok(()),
-            Ok(Some(error)) | Err(error) => Err(never_up(&error)),
+            Ok(Some(error)) | Err(error) => Err(connect_failure(&error)),
         }
     }
 
@@ -399,7 +400,7 @@
                 Ok(0) => return Peeked::Ended,
                 Ok(_) => return Peeked::Bytes,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Peeked::Nothing,
-                Err(error) if !errno::transfer(&error).passes() => return Peeked::Ended,
+                Err(error) if !errno::transfer(&error).is_transient() => return Peeked::Ended,
                 Err(_) => {}
             }
         }
--- a/node/src/net/errno.rs
+++ b/node/src/net/errno.rs
@@ -18,7 +18,7 @@
 
 impl Scope {
     /// Whether the call may succeed when it is made again.
-    pub fn passes(self) -> bool {
+    pub fn is_transient(self) -> bool {
         self != Scope::Connection
     }
 }
--- a/node/src/net/http.rs
+++ b/node/src/net/http.rs
@@ -5,11 +5,11 @@
 
 use std::str;
 
-pub const BODY_MOST: usize = 64 << 10;
-const HEAD_MOST: usize = 16 << 10;
-const HEADERS_MOST: usize = 64;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_HEADERS: usize = 64;
 /// The longest message on a connection, with some room for the framing of chunks.
-pub const MESSAGE_MOST: usize = HEAD_MOST + BODY_MOST + HEAD_MOST;
+pub const MAX_MESSAGE_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + MAX_HEAD_BYTES;
 
 /// Why bytes are no message: the status to answer with, and a code for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     pub headers: Vec<(&'b str, &'b [u8])>,
     pub body: Vec<u8>,
     /// Whether the connection is to be kept.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 #[derive(Debug)]
@@ -31,12 +31,12 @@
     pub status: u16,
     pub headers: Vec<(&'b str, &'b [u8])>,
     pub body: Vec<u8>,
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl<'b> Request<'b> {
     /// The one value of a header; a second value is a fault.
-    pub fn only(&self, name: &str) -> Result<Option<&'b str>, HttpError> {
+    pub fn single_header(&self, name: &str) -> Result<Option<&'b str>, HttpError> {
         only(&self.headers, name)
     }
 
@@ -104,31 +104,31 @@
 /// The body that begins `input`, with the bytes that it takes there; `None` while it is not whole.
 fn body(input: &[u8], framing: Framing, ended: bool) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
     let whole = match framing {
-        Framing::Length(length) if length > BODY_MOST => return Err(HttpError(413, "body_too_large")),
+        Framing::Length(length) if length > MAX_BODY_BYTES => return Err(HttpError(413, "body_too_large")),
         Framing::Length(length) => input.get(..length).map(|body| (body.to_vec(), length)),
         Framing::UntilEnd => ended.then(|| (input.to_vec(), input.len())),
         Framing::Chunked => {
             let (mut chunks, mut body) = (Chunks::default(), Vec::new());
             let used = chunks.feed(input, &mut body)?;
-            if body.len() > BODY_MOST {
+            if body.len() > MAX_BODY_BYTES {
                 return Err(HttpError(413, "body_too_large"));
             }
             chunks.done().then_some((body, used))
         }
     };
-    if whole.as_ref().is_some_and(|(body, _)| body.len() > BODY_MOST) {
+    if whole.as_ref().is_some_and(|(body, _)| body.len() > MAX_BODY_BYTES) {
         return Err(HttpError(413, "body_too_large"));
     }
     Ok(whole)
 }
 
 /// The request that begins `input` and how many bytes it takes there; `None` while it is not whole.
-pub fn request(input: &[u8]) -> Result<Option<(Request<'_>, usize)>, HttpError> {
-    let mut room = [httparse::EMPTY_HEADER; HEADERS_MOST];
+pub fn parse_request(input: &[u8]) -> Result<Option<(Request<'_>, usize)>, HttpError> {
+    let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut room);
-    let head = match parsed.parse(&input[..input.len().min(HEAD_MOST)]).map_err(malformed)? {
+    let head = match parsed.parse(&input[..input.len().min(MAX_HEAD_BYTES)]).map_err(malformed)? {
         httparse::Status::Complete(head) => head,
-        httparse::Status::Partial if input.len() >= HEAD_MOST => {
+        httparse::Status::Partial if input.len() >= MAX_HEAD_BYTES => {
             return Err(HttpError(431, "head_too_large"));
         }
         httparse::Status::Partial => return Ok(None),
@@ -138,18 +138,18 @@
     let Some((body, used)) = body(&input[head..], framing, false)? else { return Ok(None) };
     let keep = keeps(&headers, parsed.version.unwrap_or(1));
     let (method, target) = (parsed.method.unwrap_or_default(), parsed.path.unwrap_or_default());
-    Ok(Some((Request { method, target, headers, body, keep }, head + used)))
+    Ok(Some((Request { method, target, headers, body, keep_alive: keep }, head + used)))
 }
 
 /// The head of the answer that begins `input`, passing over those that only say that one will come.
-pub fn answer_head(mut input: &[u8]) -> Result<Option<(Response<'_>, Framing, usize)>, HttpError> {
+pub fn parse_response_head(mut input: &[u8]) -> Result<Option<(Response<'_>, Framing, usize)>, HttpError> {
     let mut passed = 0;
     loop {
-        let mut room = [httparse::EMPTY_HEADER; HEADERS_MOST];
+        let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut room);
-        let head = match parsed.parse(&input[..input.len().min(HEAD_MOST)]).map_err(malformed)? {
+        let head = match parsed.parse(&input[..input.len().min(MAX_HEAD_BYTES)]).map_err(malformed)? {
             httparse::Status::Complete(head) => head,
-            httparse::Status::Partial if input.len() >= HEAD_MOST => {
+            httparse::Status::Partial if input.len() >= MAX_HEAD_BYTES => {
                 return Err(HttpError(431, "head_too_large"));
             }
             httparse::Status::Partial => return Ok(None),
@@ -166,13 +166,13 @@
             _ => framing(&headers, Framing::UntilEnd)?,
         };
         let keep = framing != Framing::UntilEnd && keeps(&headers, parsed.version.unwrap_or(1));
-        return Ok(Some((Response { status, headers, body: Vec::new(), keep }, framing, passed)));
+        return Ok(Some((Response { status, headers, body: Vec::new(), keep_alive: keep }, framing, passed)));
     }
 }
 
 /// The answer that begins `input` and how many bytes it takes there; `ended` says that no more will come.
-pub fn answer(input: &[u8], ended: bool) -> Result<Option<(Response<'_>, usize)>, HttpError> {
-    let Some((mut answer, framing, head)) = answer_head(input)? else { return Ok(None) };
+pub fn parse_response(input: &[u8], ended: bool) -> Result<Option<(Response<'_>, usize)>, HttpError> {
+    let Some((mut answer, framing, head)) = parse_response_head(input)? else { return Ok(None) };
     let Some((body, used)) = body(&input[head..], framing, ended)? else { return Ok(None) };
     answer.body = body;
     Ok(Some((answer, head + used)))
@@ -213,7 +213,7 @@
                         used += taken;
                         self.state = if size == 0 { Chunk::Trailer } else { Chunk::Data(size) };
                     }
-                    Ok(httparse::Status::Partial) if rest.len() < HEAD_MOST => return Ok(used),
+                    Ok(httparse::Status::Partial) if rest.len() < MAX_HEAD_BYTES => return Ok(used),
                     _ => return Err(bad),
                 },
                 Chunk::Data(left) => {
@@ -241,7 +241,7 @@
                             self.state = Chunk::Done;
                         }
                     }
-                    None if rest.len() < HEAD_MOST => return Ok(used),
+                    None if rest.len() < MAX_HEAD_BYTES => return Ok(used),
                     None => return Err(bad),
                 },
             }
@@ -250,7 +250,7 @@
 }
 
 /// An answer, whole; `more` are header lines, each with its end.
-pub fn encode_answer(status: u16, more: &str, body: &[u8], keep: bool) -> Vec<u8> {
+pub fn encode_response(status: u16, more: &str, body: &[u8], keep: bool) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -271,7 +271,7 @@
 }
 
 /// A request without a body.
-pub fn encode_bare(method: &str, target: &str, host: impl std::fmt::Display) -> Vec<u8> {
+pub fn encode_bodiless_request(method: &str, target: &str, host: impl std::fmt::Display) -> Vec<u8> {
     let length = if method == "GET" { "" } else { "Content-Length: 0\r\n" };
     format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n{length}\r\n").into_bytes()
 }
--- a/node/src/net/log.rs
+++ b/node/src/net/log.rs
@@ -23,7 +23,7 @@
 }
 
 /// Whether one more line of this code may be written, and how many were held back in its last full second.
-pub fn may(code: &'static str) -> (bool, u32) {
+pub fn admit(code: &'static str) -> (bool, u32) {
     SECONDS.with_borrow_mut(|seconds| {
         let now = Instant::now();
         let second = seconds.entry(code).or_insert(Second { began: now, lines: 0 });
@@ -49,17 +49,17 @@
 }
 
 /// How many lines could not be written since the start.
-pub fn lost() -> u64 {
+pub fn lost_lines() -> u64 {
     LOST.load(Ordering::Relaxed)
 }
 
 macro_rules! log {
     ($code:expr, $($about:tt)*) => {{
-        let (may, held_back) = $crate::net::log::may($code);
+        let (is_admitted, held_back) = $crate::net::log::admit($code);
         if held_back > 0 {
             $crate::net::log::write(format_args!("held-back code={} lines={held_back}", $code));
         }
-        if may {
+        if is_admitted {
             $crate::net::log::write(format_args!("{} {}", $code, format_args!($($about)*)));
         }
     }};
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -18,21 +18,22 @@
 use crate::lifecycle::handover;
 use crate::lifecycle::signals::Signal;
 use crate::net::connection::{
-    CloseReason, Connection, ConnectionDriver, ConnectionId, ConnectionRole, HostFailures, Timer, never_up,
+    CloseReason, Connection, ConnectionDriver, ConnectionId, ConnectionRole, HostFailures, Timer,
+    connect_failure,
 };
 use crate::net::dials::{self, DIAL_AGAIN, Dial, Dialled, Dials};
 use crate::net::errno::{self, Scope};
 use crate::net::log::log;
 use crate::request_table::RequestTable;
 
-pub const SIGNAL: usize = 0;
-pub const RELOAD: usize = 1;
+pub const TERMINATE_KEY: usize = 0;
+pub const RELOAD_KEY: usize = 1;
 /// A successor asks for what this process has.
-pub const SUCCESSOR: usize = 2;
+pub const SUCCESSOR_KEY: usize = 2;
 /// A datagram has come from another dispatcher.
-pub const PEERS: usize = 3;
+pub const PEERS_KEY: usize = 3;
 /// The keys of the listeners, in their order.
-pub const LISTENERS: usize = 4;
+pub const FIRST_LISTENER_KEY: usize = 4;
 const FIRST_LINK: ConnectionId = 6;
 /// Buffers read from one client in a turn, while they come full: its end may be behind them.
 const READS_ON: usize = 16;
@@ -194,10 +195,10 @@
             for event in clients.into_iter().chain(others) {
                 match event.key {
                     // Their flags are looked at in each turn.
-                    SIGNAL => terminate.drain(),
-                    RELOAD => reload.drain(),
-                    PEERS => self.hear(table),
-                    SUCCESSOR => self.hand_over(table, successor, listeners),
+                    TERMINATE_KEY => terminate.drain(),
+                    RELOAD_KEY => reload.drain(),
+                    PEERS_KEY => self.hear(table),
+                    SUCCESSOR_KEY => self.hand_over(table, successor, listeners),
                     key => match listeners.iter().find(|listener| listener.key == key) {
                         Some(listener) => self.accept(table, listener),
                         None => self.ready(key as ConnectionId, event, table),
@@ -274,7 +275,7 @@
     fn all_told(&self) -> bool {
         self.conns.values().all(|connection| {
             !matches!(connection.role, ConnectionRole::Client | ConnectionRole::Operator)
-                || !connection.unsent()
+                || !connection.has_unsent()
         })
     }
 
@@ -301,16 +302,16 @@
                 }
             }
             Timer::Reload => self.read_configuration(table, path),
-            Timer::Dial(id) => {
+            Timer::Redial(id) => {
                 if let Some(dial) = self.dials.take(id) {
                     // Why was told the first time.
                     let _ = self.begin_dial(id, dial);
                 }
             }
-            Timer::Accept(role) => {
+            Timer::ResumeAccepting(role) => {
                 self.open(listener_of(listeners, role), role != ConnectionRole::Client || self.accepting);
             }
-            Timer::Watch(id) => self.watch(id),
+            Timer::Register(id) => self.watch(id),
             due => table.timer_fired(due, self),
         }
     }
@@ -321,12 +322,12 @@
         let event = if open { Event::readable(*key) } else { Event::none(*key) };
         if let Err(error) = self.poller.modify_with_mode(socket, event, PollMode::Level) {
             log!("poller", "listener={} reason={error}", role.code());
-            self.set_timer(Timer::Accept(*role), self.now + WATCH_AGAIN);
+            self.set_timer(Timer::ResumeAccepting(*role), self.now + WATCH_AGAIN);
         }
     }
 
     /// A connection to another process of this dispatcher.
-    pub fn meet(&mut self, stream: UnixStream, listen: SocketAddr) -> ConnectionId {
+    pub fn add_peer_connection(&mut self, stream: UnixStream, listen: SocketAddr) -> ConnectionId {
         self.add_new(Connection::new(stream.into(), ConnectionRole::Peer, listen, false, self.now))
     }
 
@@ -341,10 +342,11 @@
         if !table.may_hand_over() {
             return log!("handover-failed", "reason=\"going down, or at it already\"");
         }
-        let given = handover::give(&stream, &listener.socket).and_then(|()| listener.socket.local_addr());
+        let given =
+            handover::send_listener(&stream, &listener.socket).and_then(|()| listener.socket.local_addr());
         match given {
             Ok(listen) => {
-                let id = self.meet(stream, listen);
+                let id = self.add_peer_connection(stream, listen);
                 table.hand_over(id, self);
                 // From now on the others talk to the new process.
                 if let Some(socket) = self.datagrams.take() {
@@ -403,7 +405,7 @@
 
     fn pause(&mut self, listener: &Listener, again: Micros) {
         self.queued.entry(listener.key).or_insert(self.now);
-        self.set_timer(Timer::Accept(listener.role), self.now + again);
+        self.set_timer(Timer::ResumeAccepting(listener.role), self.now + again);
         self.open(Some(listener), false);
     }
 
@@ -429,7 +431,7 @@
         connection.queue(&dial.output);
         self.add(id, connection);
         if let Some(error) = failed {
-            self.broken.push((id, never_up(&error)));
+            self.broken.push((id, connect_failure(&error)));
         }
         Ok(())
     }
@@ -437,7 +439,7 @@
     fn postpone(&mut self, id: ConnectionId, dial: Dial, error: io::Error) -> io::Error {
         self.short |= errno::is_shortage(&error);
         self.dials.postpone(id, dial);
-        self.set_timer(Timer::Dial(id), self.now + DIAL_AGAIN);
+        self.set_timer(Timer::Redial(id), self.now + DIAL_AGAIN);
         error
     }
 
@@ -461,7 +463,7 @@
         self.failed.reads += connection.failed_reads;
         let (role, peer, ms) =
             (connection.role.code(), connection.peer, (self.now - connection.since) / 1000);
-        let unsent = u8::from(connection.unsent());
+        let unsent = u8::from(connection.has_unsent());
         log!("connection", "link={id} side={role} peer={peer} reason={} ms={ms} unsent={unsent}", end.code());
     }
 
@@ -482,7 +484,7 @@
             Ok(()) => connection.watched = Some(wants),
             Err(error) => {
                 log!("poller", "link={id} reason={error}");
-                self.set_timer(Timer::Watch(id), self.now + WATCH_AGAIN);
+                self.set_timer(Timer::Register(id), self.now + WATCH_AGAIN);
             }
         }
     }
@@ -500,7 +502,7 @@
             }
             connection.dialling = false;
             let flushed = connection.flush();
-            table.callbacks(role).up(id, self);
+            table.callbacks(role).connected(id, self);
             if let Err(end) = flushed {
                 self.broken.push((id, end));
             }
@@ -511,7 +513,7 @@
                 return self.lost(id, end, table);
             }
             // What came meanwhile has waited for this.
-            if !connection.unsent() && !connection.input.is_empty() {
+            if !connection.has_unsent() && !connection.input.is_empty() {
                 self.revisits.push(id);
             }
         }
@@ -548,7 +550,7 @@
         };
         let (role, mut input) = (connection.role, std::mem::take(&mut connection.input));
         let had = input.len();
-        table.callbacks(role).bytes(id, &mut input, self);
+        table.callbacks(role).received(id, &mut input, self);
         table.collect_events(self);
         if let Some(connection) = self.conns.get_mut(&id).filter(|connection| !connection.lingering) {
             connection.receive_times.take(had - input.len());
@@ -565,16 +567,16 @@
             return self.remove(id, end);
         }
         let (role, unsent, input) =
-            (connection.role, connection.unsent(), std::mem::take(&mut connection.input));
+            (connection.role, connection.has_unsent(), std::mem::take(&mut connection.input));
         self.remove(id, end);
-        table.callbacks(role).ended(id, end, unsent, &input, self);
+        table.callbacks(role).closed(id, end, unsent, &input, self);
         table.collect_events(self);
     }
 
     /// Shuts our side of a connection that was to end once all is written.
     fn finished(&mut self, id: ConnectionId) {
         let Some(connection) = self.conns.get_mut(&id) else { return };
-        if connection.finishing.is_some() && !connection.lingering && !connection.unsent() {
+        if connection.finishing.is_some() && !connection.lingering && !connection.has_unsent() {
             connection.linger();
         }
     }
@@ -610,16 +612,16 @@
         HostFailures { dials: self.dials.count, reads: self.failed.reads + open, ..self.failed }
     }
 
-    fn arrived(&self, id: ConnectionId) -> Micros {
+    fn received_since(&self, id: ConnectionId) -> Micros {
         let first = self.conns.get(&id).and_then(|connection| connection.receive_times.first());
         first.unwrap_or_else(|| self.readable_since())
     }
 
-    fn connections(&self) -> usize {
+    fn connection_count(&self) -> usize {
         self.conns.len()
     }
 
-    fn end_lingering(&mut self) -> bool {
+    fn close_oldest_lingering(&mut self) -> bool {
         let lingering = self
             .conns
             .iter()
@@ -637,7 +639,7 @@
         id
     }
 
-    fn postponed(&self, id: ConnectionId) -> bool {
+    fn is_dial_postponed(&self, id: ConnectionId) -> bool {
         self.dials.get(id).is_some()
     }
 
@@ -662,8 +664,8 @@
         self.conns.get(&id).is_none_or(Connection::peer_has_closed)
     }
 
-    fn unsent(&self, id: ConnectionId) -> bool {
-        self.conns.get(&id).is_some_and(Connection::unsent)
+    fn has_unsent(&self, id: ConnectionId) -> bool {
+        self.conns.get(&id).is_some_and(Connection::has_unsent)
     }
 
     fn has_overflowed(&self, id: ConnectionId) -> bool {
@@ -686,7 +688,7 @@
         self.remove(id, end);
     }
 
-    fn datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
+    fn send_datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = &self.datagrams {
             // What cannot be sent now is as good as lost on its way.
             let _ = socket.send_to(bytes, to);
--- a/node/src/net/sockets.rs
+++ b/node/src/net/sockets.rs
@@ -20,7 +20,7 @@
 }
 
 /// The socket to other dispatchers. In an upgrade the other process may still have its own there for a moment.
-pub fn talk(address: SocketAddr) -> io::Result<UdpSocket> {
+pub fn bind_datagram_socket(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -250,7 +250,7 @@
         if handed.is_none() && store_thread.is_none() {
             table.starting = true;
             table.clients.ready(false);
-            driver.set_timer(Timer::Ready, began + READY_BY);
+            driver.set_timer(Timer::ReadinessTimeout, began + READY_BY);
         }
         let persistence = |store_thread, file| Persistence::new(store_thread, (require, peers), file, began);
         if handed.is_none()
@@ -298,10 +298,10 @@
             self.members.inherit(id, None, Some((*from, *until)));
         }
         handed.ids.into_iter().for_each(|id| self.remember(id.into()));
-        let spent = handed.spent.into_iter().map(|(id, work)| (id.into(), work)).collect();
+        let spent = handed.slow_start_usage.into_iter().map(|(id, work)| (id.into(), work)).collect();
         let discovery = self.roster.discovery();
         let listed =
-            (handed.discovery == discovery.to_string()).then(|| RosterSnapshot::from_value(handed.list));
+            (handed.discovery == discovery.to_string()).then(|| RosterSnapshot::from_value(handed.roster));
         match listed {
             Some(Ok(listed)) => {
                 // One that does not say has its list from the watch all the same.
@@ -322,15 +322,15 @@
         mut since: Vec<u8>,
         driver: &mut dyn ConnectionDriver,
     ) {
-        self.peer.meet(connection);
-        self.peer.bytes(connection, &mut since, driver);
+        self.peer.attach(connection);
+        self.peer.received(connection, &mut since, driver);
         self.overlap = Some(Overlap::Predecessor);
         self.limit();
     }
 
     /// Whether a successor would be handed what this process has.
     pub fn may_hand_over(&self) -> bool {
-        !self.peer.is_there() && self.down_since.is_none()
+        !self.peer.is_connected() && self.down_since.is_none()
     }
 
     /// Another process takes over: newcomers are its own from now on, and it is told what it must know.
@@ -340,20 +340,20 @@
         let spent = self.policy.slow_start_usage(driver.now());
         let state = HandoverState {
             discovery: discovery.to_string(),
-            list: self.as_listed().map(|(_, list)| list).unwrap_or_default(),
+            roster: self.as_listed().map(|(_, list)| list).unwrap_or_default(),
             sure_at: self.roster.sure_at(),
-            connections: driver.connections(),
+            connections: driver.connection_count(),
             gone: self.members.gone(),
             out: self.members.out(),
             was_out: self.members.was_out(),
             ids: self.closed.0.iter().chain(self.invs.keys()).map(|id| id.to_string()).collect(),
             configuration: self.file.to_string(),
-            spent: spent.into_iter().map(|(id, work)| (id.to_string(), work)).collect(),
+            slow_start_usage: spent.into_iter().map(|(id, work)| (id.to_string(), work)).collect(),
         };
         log!("handing-over", "open={} out={}", self.invs.len(), state.out.len());
         self.release(true);
-        self.peer.meet(connection);
-        self.peer.say(&state, driver);
+        self.peer.attach(connection);
+        self.peer.send(&state, driver);
         self.overlap = Some(Overlap::Successor);
         self.clients.hand_over(true);
         self.limit();
@@ -387,7 +387,7 @@
             self.release(self.down_since.is_some());
             self.clients.hand_over(self.down_since.is_some());
             self.rest(driver.now() + self.tip_after, driver);
-            driver.set_timer(Timer::Rested, driver.now() + self.tip_after);
+            driver.set_timer(Timer::ColdRunnerPause, driver.now() + self.tip_after);
         }
     }
 
@@ -453,7 +453,7 @@
         (self.tip_after, self.open_cap) = (decoded.settings.overload_window, decoded.open_cap);
         self.longest_timeout = decoded.longest_timeout;
         if self.down_since.is_some() {
-            driver.set_timer(Timer::Down, driver.now());
+            driver.set_timer(Timer::Shutdown, driver.now());
         }
         self.dispatchers = decoded.settings.dispatchers as usize;
         self.account();
@@ -508,7 +508,7 @@
         log!("going-down", "open={} runner_connections={}", self.invs.len(), self.runners.open());
         self.down_since = Some(now);
         self.clients.ready(false);
-        driver.set_timer(Timer::Down, now + self.down_spans().0);
+        driver.set_timer(Timer::Shutdown, now + self.down_spans().0);
     }
 
     /// After being told to end: for how long clients keep their connections, as the dispatcher that was restarted
@@ -547,27 +547,29 @@
 
     pub fn timer_fired(&mut self, due: Timer, driver: &mut dyn ConnectionDriver) {
         match due {
-            Timer::Tick => self.happened.push(Event::TimerFired),
-            Timer::Inv(id) => self.overdue(&id, driver),
+            Timer::RoutingPolicy => self.happened.push(Event::TimerFired),
+            Timer::Invocation(id) => self.overdue(&id, driver),
             Timer::Cancel(id, number) => self.cancel(&id, number, driver),
-            Timer::Down => self.step_down(driver),
-            Timer::Rested if self.overlap != Some(Overlap::Successor) => self.rest(Micros::MIN, driver),
-            Timer::Rested => {}
-            Timer::Ready => self.is_ready(),
+            Timer::Shutdown => self.step_down(driver),
+            Timer::ColdRunnerPause if self.overlap != Some(Overlap::Successor) => {
+                self.rest(Micros::MIN, driver)
+            }
+            Timer::ColdRunnerPause => {}
+            Timer::ReadinessTimeout => self.is_ready(),
             Timer::Lease => {
                 self.renew(driver);
                 let at = (self.roster.sure_at() + TOLD_WITHIN).max(driver.now() + LEASE_AGAIN);
                 driver.set_timer(Timer::Lease, at);
             }
-            Timer::Recovery => self.recovery_due(driver),
-            Timer::Keep => self.keep_list(),
-            Timer::Peers => self.round(driver),
-            Timer::Kept(ticket) => self.not_kept_in_time(ticket, driver),
+            Timer::RecoveryStage => self.recovery_due(driver),
+            Timer::Persist => self.keep_list(),
+            Timer::PeerRound => self.round(driver),
+            Timer::PersistTimeout(ticket) => self.not_kept_in_time(ticket, driver),
             Timer::Connection(_)
             | Timer::Finish(_)
-            | Timer::Accept(_)
-            | Timer::Dial(_)
-            | Timer::Watch(_)
+            | Timer::ResumeAccepting(_)
+            | Timer::Redial(_)
+            | Timer::Register(_)
             | Timer::Reload => {}
         }
     }
@@ -576,11 +578,11 @@
         let (Some(since), now) = (self.down_since, driver.now()) else { return };
         let (kept, all) = self.down_spans();
         if now < since + kept {
-            return driver.set_timer(Timer::Down, since + kept);
+            return driver.set_timer(Timer::Shutdown, since + kept);
         }
         self.clients.let_go(driver);
         if now < since + all {
-            return driver.set_timer(Timer::Down, (now + DOWN_STEP).min(since + all));
+            return driver.set_timer(Timer::Shutdown, (now + DOWN_STEP).min(since + all));
         }
         for id in self.invs.keys().cloned().collect::<Vec<Id>>() {
             self.overdue(&id, driver);
@@ -596,12 +598,12 @@
     /// one idle connection makes room for the next try.
     pub fn out_of_descriptors(&mut self, driver: &mut dyn ConnectionDriver) {
         let made_room = self.clients.make_room(driver) || self.runners.make_room(driver);
-        log!("descriptors-short", "connections={} made_room={made_room}", driver.connections());
+        log!("descriptors-short", "connections={} made_room={made_room}", driver.connection_count());
     }
 
     /// Against idle connections that leave none for the watch, for dials and for operators.
     fn keep_room(&mut self, driver: &mut dyn ConnectionDriver) {
-        while driver.connections() > self.room_for
+        while driver.connection_count() > self.room_for
             && (self.clients.make_room(driver) || self.runners.make_room(driver))
         {}
     }
@@ -633,7 +635,7 @@
             Action::Error { invocation: inv } => self.answer(&inv, ERRORED, None, b"", driver),
             Action::Probe { runner: tgt } => self.runners.probe(&tgt, driver),
             Action::Subscribe => self.roster.follow(driver),
-            Action::SetTimer { after } => driver.set_timer(Timer::Tick, driver.now() + after),
+            Action::SetTimer { after } => driver.set_timer(Timer::RoutingPolicy, driver.now() + after),
             Action::Log(text) => log!("brain", "{}", text.escape_debug()),
         }
     }
@@ -760,7 +762,7 @@
             return self.error(inv, driver);
         }
         self.happened.push(Event::AnswerNow { invocation: inv.clone() });
-        driver.set_timer(Timer::Inv(inv.clone()), driver.now() + OVERDUE);
+        driver.set_timer(Timer::Invocation(inv.clone()), driver.now() + OVERDUE);
     }
 
     /// Ends the forward that is out, if one is.
@@ -802,16 +804,16 @@
                 clients::ClientEvent::Gone(connection, id) => self.gone(connection, id, driver),
             }
         }
-        for word in std::mem::take(&mut self.peer.heard) {
+        for word in std::mem::take(&mut self.peer.incoming) {
             match word {
-                HandoverMessage::Told(told, hash) => self.called_back(told, hash, false, driver),
+                HandoverMessage::Callback(told, hash) => self.called_back(told, hash, false, driver),
                 // Where it was never listed here, the other process has said so.
-                HandoverMessage::Hand { id, out } => {
+                HandoverMessage::AdminOverride { id, out } => {
                     if self.maintain(&id, out, driver).is_ok() {
                         self.keep_hand(&id, None, driver);
                     }
                 }
-                HandoverMessage::Taken(id) => self.remember(id.into()),
+                HandoverMessage::InvocationTaken(id) => self.remember(id.into()),
             }
         }
         if std::mem::take(&mut self.peer.ended) {
@@ -890,7 +892,7 @@
             Call::Maintain { id, out } => match self.maintain(&id, out, driver) {
                 Ok(()) => {
                     self.tell_hand(&id, driver);
-                    self.peer.say(&HandoverMessage::Hand { id: id.clone(), out }, driver);
+                    self.peer.send(&HandoverMessage::AdminOverride { id: id.clone(), out }, driver);
                     match self.persistence {
                         None => "YES\n".to_owned(),
                         Some(_) if self.overlap == Some(Overlap::Successor) => {
@@ -1011,9 +1013,9 @@
             self.metrics.ended(operation, FinalStatus::of(NO_ROOM));
             return self.clients.answer(told.connection, NO_ROOM, come_back, b"", driver);
         }
-        self.peer.say(&HandoverMessage::Taken(told.id.to_string()), driver);
+        self.peer.send(&HandoverMessage::InvocationTaken(told.id.to_string()), driver);
         self.held += size;
-        driver.set_timer(Timer::Inv(told.id.clone()), told.expires_at);
+        driver.set_timer(Timer::Invocation(told.id.clone()), told.expires_at);
         let (inv, operation, slots, key) = (told.id.clone(), told.operation, told.slots, told.key);
         let (expires_in, hint) = (told.expires_at - now, told.hint);
         self.happened.push(Event::Arrival(Arrival {
@@ -1053,7 +1055,7 @@
         let report = told.load.as_ref().map(|load| self.runners.read_report(load)).unwrap_or_default();
         let Some((inv, open)) = self.invs.get_key_value(told.id.as_str()) else {
             if direct {
-                self.peer.say(&HandoverMessage::Told(told, hash), driver);
+                self.peer.send(&HandoverMessage::Callback(told, hash), driver);
             }
             return;
         };
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -75,7 +75,7 @@
     ) {
         let now = driver.now();
         let Some(peer_exchange) = &mut self.peer_exchange else { return };
-        let left = left.map(|left| left.hands.as_slice()).unwrap_or_default();
+        let left = left.map(|left| left.admin_overrides.as_slice()).unwrap_or_default();
         let of_left = |(runner, hand): &(String, store::StoredOverride)| topazsail_peers::AdminOverride {
             runner: runner.clone(),
             // One that was said before there were peers is older than whatever they say.
@@ -142,7 +142,7 @@
         let due = core.due();
         if peer_exchange.due != Some(due) {
             peer_exchange.due = Some(due);
-            driver.set_timer(Timer::Peers, due);
+            driver.set_timer(Timer::PeerRound, due);
         }
         // Before anything else is decided: a promise may begin in this round.
         self.portions(now);
@@ -182,7 +182,7 @@
     fn act_on_peers(&mut self, actions: Vec<Action>, driver: &mut dyn ConnectionDriver) {
         for action in actions {
             match action {
-                Action::Send { to, bytes } => driver.datagram(to, &bytes),
+                Action::Send { to, bytes } => driver.send_datagram(to, &bytes),
                 Action::PeerEvent(PeerEvent::Peer { name, life, boot }) => {
                     log!("peer", "name={name} life={} boot={boot}", life.code());
                 }
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -217,7 +217,7 @@
         // One that is asked for already, and comes in time, will ask for the next.
         if persistence.armed <= now || at < persistence.armed {
             persistence.armed = at;
-            driver.set_timer(Timer::Recovery, at);
+            driver.set_timer(Timer::RecoveryStage, at);
         }
     }
 
@@ -246,7 +246,7 @@
     pub(super) fn keep_above(&mut self, heard: u64) {
         if let Some(persistence) = &mut self.persistence {
             persistence.boot = None;
-            persistence.store_thread.above(heard);
+            persistence.store_thread.raise_boot_above(heard);
         }
     }
 
@@ -259,7 +259,7 @@
         let Some(persistence) = &mut self.persistence else { return };
         let (file, began) = (persistence.file.take().unwrap_or_default(), persistence.began);
         let discovery = self.roster.discovery().to_string();
-        let stored = left.as_ref().and_then(|left| left.list.as_ref());
+        let stored = left.as_ref().and_then(|left| left.roster.as_ref());
         let listed =
             stored.and_then(|list| Some((list, serde_json::from_str::<RosterSnapshot>(&list.json).ok()?)));
         let known = |discovery, listed: &RosterSnapshot| KnownRoster {
@@ -286,7 +286,7 @@
             let entries = self.members.rest(now + rest, began, now);
             debug_assert!(entries.is_empty(), "nothing is listed yet");
             log!("trusts", "item=spent belief=dropped rest_ms={}", rest / 1000);
-            driver.set_timer(Timer::Rested, now + rest);
+            driver.set_timer(Timer::ColdRunnerPause, now + rest);
         }
         self.list(
             roster::RosterEvent {
@@ -298,7 +298,7 @@
         );
         if let Some(left) = left {
             let (belief, why) = recovery::trust_slow_start_usage(&left.found);
-            if let Some(spent) = left.spent.filter(|_| belief == Trust::Trusted) {
+            if let Some(spent) = left.slow_start_usage.filter(|_| belief == Trust::Trusted) {
                 log!("trusts", "item=spent belief=trusted reason={why:?} runners={}", spent.runners.len());
                 // It is told as how long before the life's end; that it is over for longer only helps.
                 let end = now - left.found.away;
@@ -313,9 +313,9 @@
     /// Who was out by hand is out, whatever else is in doubt.
     fn take_hands(&mut self, left: &LoadedStore, driver: &mut dyn ConnectionDriver) {
         let (belief, why) = recovery::trust_admin_overrides(&left.found);
-        let out = left.hands.iter().filter(|(_, hand)| hand.out_since.is_some()).count();
+        let out = left.admin_overrides.iter().filter(|(_, hand)| hand.out_since.is_some()).count();
         log!("trusts", "item=hands belief={belief:?} out={out} reason={why:?}");
-        for (id, hand) in &left.hands {
+        for (id, hand) in &left.admin_overrides {
             // What has been said since the start goes first.
             if self.members.hand(id) == (None, None) {
                 self.members.inherit(id, hand.out_since, hand.was_out);
@@ -327,7 +327,7 @@
     /// What the keeper has to say.
     pub(super) fn heard_of_disk(&mut self, driver: &mut dyn ConnectionDriver) {
         let Some(persistence) = &mut self.persistence else { return };
-        for told in persistence.store_thread.heard() {
+        for told in persistence.store_thread.incoming() {
             let Some(persistence) = &mut self.persistence else { return };
             match told {
                 StoreEvent::Opened(left) => {
@@ -351,7 +351,7 @@
                         self.keep_all(driver);
                     }
                 }
-                StoreEvent::Unopened(why) => {
+                StoreEvent::OpenFailed(why) => {
                     log!("store", "state=refused reason={why:?}");
                     persistence.without(&why);
                     let event = recovery::Event::Unopened { why: &why };
@@ -385,7 +385,7 @@
         let actions = persistence.recovery.handle(driver.now(), event);
         if fresh && !std::mem::replace(&mut persistence.list_due, true) {
             let more = (persistence.list_length / LIST_BYTES) as Micros * LIST_AFTER;
-            driver.set_timer(Timer::Keep, driver.now() + LIST_AFTER + more);
+            driver.set_timer(Timer::Persist, driver.now() + LIST_AFTER + more);
         }
         self.enter(actions, driver);
     }
@@ -435,9 +435,9 @@
         match call {
             None => persistence.store_thread.keep(id, Some(&hand)),
             Some(call) => {
-                let ticket = persistence.store_thread.keep_now(id, Some(&hand));
+                let ticket = persistence.store_thread.keep_and_sync(id, Some(&hand));
                 persistence.calls.insert(ticket, call);
-                driver.set_timer(Timer::Kept(ticket), driver.now() + KEPT_WITHIN);
+                driver.set_timer(Timer::PersistTimeout(ticket), driver.now() + KEPT_WITHIN);
             }
         }
     }
--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -12,7 +12,7 @@
 use crate::net::connection::{
     CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, ConnectionRole, Timer,
 };
-use crate::net::http::{self, Chunks, Framing, encode_bare};
+use crate::net::http::{self, Chunks, Framing, encode_bodiless_request};
 use crate::net::log::log;
 use crate::upstream::membership::TOLD_WITHIN;
 
@@ -319,7 +319,7 @@
             Some(generation) => format!("/v1/servers?follow=1&since={generation}"),
             None => "/v1/servers".to_owned(),
         };
-        driver.send(connection, &encode_bare("GET", &target, self.discovery));
+        driver.send(connection, &encode_bodiless_request("GET", &target, self.discovery));
         let call = Call::new(connection, up, driver.now());
         self.unheard_since.get_or_insert(call.asked_at);
         driver.set_timer(Timer::Connection(connection), call.due(self.pushed));
@@ -402,14 +402,15 @@
         let framing = match call.framing {
             Some(framing) => framing,
             None => {
-                let Some((answer, framing, head)) = http::answer_head(input).map_err(|_| "bad_answer")?
+                let Some((answer, framing, head)) =
+                    http::parse_response_head(input).map_err(|_| "bad_answer")?
                 else {
                     return Ok(());
                 };
                 if answer.status != 200 {
                     return Err("bad_status");
                 }
-                (call.keep, call.framing) = (answer.keep, Some(framing));
+                (call.keep, call.framing) = (answer.keep_alive, Some(framing));
                 drop(input.drain(..head));
                 framing
             }
@@ -510,13 +511,13 @@
 }
 
 impl ConnectionHandler for Roster {
-    fn up(&mut self, connection: ConnectionId, _: &mut dyn ConnectionDriver) {
+    fn connected(&mut self, connection: ConnectionId, _: &mut dyn ConnectionDriver) {
         if let Some(call) = self.on(connection) {
             call.up = true;
         }
     }
 
-    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
+    fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
         let read = self.read(connection, input, driver);
         if let Some((why, at)) = read.err().zip(self.nth(connection)) {
             driver.abort(connection, CloseReason::BadAnswer);
@@ -524,7 +525,7 @@
         }
     }
 
-    fn ended(
+    fn closed(
         &mut self,
         connection: ConnectionId,
         end: CloseReason,
@@ -563,7 +564,7 @@
             driver.set_timer(Timer::Connection(connection), call.due(self.pushed));
             return self.lost("silent");
         }
-        if driver.postponed(connection) {
+        if driver.is_dial_postponed(connection) {
             // That it never left is no fault of discovery's: something may have been missed all the same.
             driver.abort(connection, CloseReason::WatchSilent);
             self.calls.remove(at);
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -13,7 +13,7 @@
 use crate::net::connection::{
     CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, ConnectionRole, Timer,
 };
-use crate::net::http::{self, MESSAGE_MOST, Response, encode_bare};
+use crate::net::http::{self, MAX_MESSAGE_BYTES, Response, encode_bodiless_request};
 use crate::net::log::log;
 
 /// A cancel that gets no answer by then has failed: the runner is cut off or stands still.
@@ -279,7 +279,7 @@
 
     fn probe_message(&self, tgt: &Id) -> Vec<u8> {
         let target = if self.report_fields.is_empty() { "/healthz" } else { "/load" };
-        self.by_id.get(tgt).map(|r| encode_bare("GET", target, r.address)).unwrap_or_default()
+        self.by_id.get(tgt).map(|r| encode_bodiless_request("GET", target, r.address)).unwrap_or_default()
     }
 
     pub fn probe(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
@@ -296,7 +296,7 @@
         if line.phase == Phase::Dialling {
             line.task = None;
             line.message.clear();
-        } else if driver.unsent(connection) {
+        } else if driver.has_unsent(connection) {
             self.written -= 1;
             self.end_line(connection, CloseReason::GivenUp, driver);
         } else {
@@ -330,7 +330,7 @@
         let Some(runner) = self.by_id.get(tgt).filter(|_| self.may_cancel) else {
             return self.heard.push(RunnerEvent::NotDropped { inv: inv.clone(), number });
         };
-        let message = encode_bare("DELETE", &format!("/jobs/{inv}"), runner.address);
+        let message = encode_bodiless_request("DELETE", &format!("/jobs/{inv}"), runner.address);
         let due = driver.now() + CANCEL_WITHIN;
         let task = Task::Cancel { inv: inv.clone(), number };
         self.ask(tgt, Asked { task, message, due, waits: None }, driver);
@@ -414,7 +414,7 @@
         line.task = Some(task);
         driver.send(connection, &message);
         driver.set_timer(Timer::Connection(connection), due);
-        if forward && driver.unsent(connection) {
+        if forward && driver.has_unsent(connection) {
             driver.set_timer(Timer::Connection(connection), driver.now() + LEAVES_WITHIN);
         }
     }
@@ -426,7 +426,7 @@
             let forward = matches!(line.task, Some(Task::Forward { .. }));
             forward && line.phase == Phase::Busy && driver.now() >= line.since + LEAVES_WITHIN
         };
-        if !self.lines.get(&connection).is_some_and(late) || !driver.unsent(connection) {
+        if !self.lines.get(&connection).is_some_and(late) || !driver.has_unsent(connection) {
             return;
         }
         let Some(Line { tgt, task: Some(task), .. }) = self.drop_line(connection) else { return };
@@ -568,7 +568,7 @@
 }
 
 impl ConnectionHandler for Runners {
-    fn up(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+    fn connected(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         self.lapse(connection, driver);
         let Some(line) = self.lines.get_mut(&connection) else { return };
         match line.take_waiting(driver.now()) {
@@ -577,7 +577,7 @@
         }
     }
 
-    fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
+    fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
         let Some(line) = self.lines.get_mut(&connection) else { return };
         if line.phase != Phase::Busy {
             return self.end_line(connection, CloseReason::Stale, driver);
@@ -590,11 +590,11 @@
             Some(Task::Probe) | None => true,
         };
         let doubted = |answer: &Response| hasty && !harmless(answer.status);
-        let (keep, used) = match http::answer(input, false) {
+        let (keep, used) = match http::parse_response(input, false) {
             Ok(Some((answer, _))) if doubted(&answer) => {
                 return self.unread(connection, "perhaps_anothers", driver);
             }
-            Ok(None) if input.len() < MESSAGE_MOST => return,
+            Ok(None) if input.len() < MAX_MESSAGE_BYTES => return,
             Ok(Some((answer, used))) => {
                 // Late word on a probe says nothing any more; that a job is deleted still holds.
                 let counts = |task: &Task| !line.overdue || matches!(task, Task::Cancel { .. });
@@ -603,7 +603,7 @@
                 if let Some(task) = task {
                     self.answered(&tgt, task, &answer);
                 }
-                (answer.keep, used)
+                (answer.keep_alive, used)
             }
             unread => {
                 let why = unread.err().map_or("too_long", |fault| fault.1);
@@ -622,7 +622,7 @@
         }
     }
 
-    fn ended(
+    fn closed(
         &mut self,
         connection: ConnectionId,
         end: CloseReason,
@@ -644,7 +644,7 @@
             self.written -= u64::from(begun);
             return self.unanswered(&line.tgt, task, ForwardResult::Unreachable, end == CloseReason::Refused);
         }
-        match (http::answer(input, true), task) {
+        match (http::parse_response(input, true), task) {
             (Ok(Some((answer, _))), task) => self.answered(&line.tgt, task, &answer),
             // Its runner knows nothing of that and may go on: another forward would be a second copy.
             (_, Task::Forward { inv, number }) if end == CloseReason::PathLost && self.may_cancel => {
@@ -663,7 +663,7 @@
             Phase::Dialling if now >= line.since + self.dial_timeout => {
                 let (tgt, task) = (line.tgt.clone(), line.task.take());
                 // One that never began says nothing of its runner.
-                let ending = if driver.postponed(connection) {
+                let ending = if driver.is_dial_postponed(connection) {
                     ForwardResult::Void
                 } else {
                     ForwardResult::Unreachable
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -66,11 +66,11 @@
         self.now - self.behind
     }
 
-    fn connections(&self) -> usize {
+    fn connection_count(&self) -> usize {
         self.sides.len()
     }
 
-    fn end_lingering(&mut self) -> bool {
+    fn close_oldest_lingering(&mut self) -> bool {
         let ended = self.lingering.pop().inspect(|connection| self.abort(*connection, CloseReason::BadInput));
         ended.is_some()
     }
@@ -98,7 +98,7 @@
         self.left.contains(&connection)
     }
 
-    fn unsent(&self, connection: ConnectionId) -> bool {
+    fn has_unsent(&self, connection: ConnectionId) -> bool {
         self.stuck.contains(&connection)
     }
 
@@ -261,22 +261,22 @@
         let Some(role) = self.stage.sides.get(&connection).copied() else { return };
         let mut input = self.stage.inputs.remove(&connection).unwrap_or_default();
         input.extend_from_slice(text.as_bytes());
-        self.table.callbacks(role).bytes(connection, &mut input, &mut self.stage);
+        self.table.callbacks(role).received(connection, &mut input, &mut self.stage);
         self.stage.inputs.insert(connection, input);
         self.settle();
     }
 
     fn up(&mut self, connection: ConnectionId) {
         let role = self.stage.sides[&connection];
-        self.table.callbacks(role).up(connection, &mut self.stage);
+        self.table.callbacks(role).connected(connection, &mut self.stage);
         self.settle();
     }
 
     /// The other side ends a connection.
     fn end(&mut self, connection: ConnectionId, end: CloseReason) {
         let role = self.stage.sides.remove(&connection).unwrap();
-        let (unsent, input) = (self.stage.unsent(connection), self.stage.inputs[&connection].clone());
-        self.table.callbacks(role).ended(connection, end, unsent, &input, &mut self.stage);
+        let (unsent, input) = (self.stage.has_unsent(connection), self.stage.inputs[&connection].clone());
+        self.table.callbacks(role).closed(connection, end, unsent, &input, &mut self.stage);
         self.settle();
     }
 
@@ -397,13 +397,13 @@
     let tgt = Id::from("s-a");
     runners.note(&tgt, true, Some("127.0.0.1:3001".parse().unwrap()), &mut stage);
     runners.probe(&tgt, &mut stage);
-    runners.up(1, &mut stage);
+    runners.connected(1, &mut stage);
     let mut answer = b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"x0\":1,\"inflight\":0} ".to_vec();
-    runners.bytes(1, &mut answer, &mut stage);
+    runners.received(1, &mut answer, &mut stage);
     runners.probe(&tgt, &mut stage);
-    runners.ended(1, CloseReason::Reset, false, b"", &mut stage);
-    runners.up(2, &mut stage);
-    runners.ended(2, CloseReason::Reset, false, b"", &mut stage);
+    runners.closed(1, CloseReason::Reset, false, b"", &mut stage);
+    runners.connected(2, &mut stage);
+    runners.closed(2, CloseReason::Reset, false, b"", &mut stage);
     for heard in runners.heard {
         stage.say(&format!("{heard:?}"));
     }
@@ -1777,10 +1777,10 @@
         clients.operations.set(told.operations.into_iter().zip(told.settings.operations).collect(), START);
         clients.accepted(7, &mut stage);
         let mut input = request.as_bytes()[..cut].to_vec();
-        clients.bytes(7, &mut input, &mut stage);
+        clients.received(7, &mut input, &mut stage);
         assert!(clients.heard.is_empty());
         input.extend_from_slice(&request.as_bytes()[cut..]);
-        clients.bytes(7, &mut input, &mut stage);
+        clients.received(7, &mut input, &mut stage);
         let Some(ClientEvent::Invocation(told)) = clients.heard.pop() else {
             panic!("nothing heard, cut at {cut}")
         };
@@ -1789,9 +1789,9 @@
     }
     let answer = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
     for cut in 1..answer.len() {
-        assert!(http::answer(&answer.as_bytes()[..cut], false).unwrap().is_none());
+        assert!(http::parse_response(&answer.as_bytes()[..cut], false).unwrap().is_none());
     }
-    let (whole, used) = http::answer(answer.as_bytes(), false).unwrap().unwrap();
+    let (whole, used) = http::parse_response(answer.as_bytes(), false).unwrap().unwrap();
     assert_eq!((whole.status, whole.body.as_slice(), used), (200, b"body".as_slice(), answer.len()));
     let watch = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
         2e\r\n{\"generation\":7,\"reset\":true,\"instances\":[]}\n\n\r\n\
@@ -1801,14 +1801,14 @@
         let mut roster = Roster::new("127.0.0.1:1".parse().unwrap(), 0, false);
         roster.follow(&mut stage);
         let mut input = watch.as_bytes()[..cut].to_vec();
-        roster.bytes(1, &mut input, &mut stage);
+        roster.received(1, &mut input, &mut stage);
         input.extend_from_slice(&watch.as_bytes()[cut..]);
-        roster.bytes(1, &mut input, &mut stage);
+        roster.received(1, &mut input, &mut stage);
         let heard: Vec<_> = roster.heard.iter().map(|heard| (heard.listing, heard.entries.len())).collect();
         assert_eq!(format!("{heard:?}"), "[(All, 0), (Changes, 0)]", "cut at {cut}");
     }
     assert_eq!(
-        http::request(b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n").unwrap_err(),
+        http::parse_request(b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n").unwrap_err(),
         HttpError(400, "bad_length")
     );
     assert!(serde_json::from_str::<State>("\"lost\"").is_ok());
@@ -2244,37 +2244,37 @@
     let folder = std::env::temp_dir().join(format!("topazsail-handover-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let place = folder.join("one.sock");
-    assert!(handover::ask(&place).is_none());
-    drop(handover::offer(&place).unwrap());
-    assert!(handover::ask(&place).is_none());
+    assert!(handover::request_handover(&place).is_none());
+    drop(handover::bind_successor_socket(&place).unwrap());
+    assert!(handover::request_handover(&place).is_none());
     // What was left there gives way; whoever asks and is not let in waits for a second at most.
-    let silent = handover::offer(&place).unwrap();
+    let silent = handover::bind_successor_socket(&place).unwrap();
     let before = std::time::Instant::now();
-    assert!(handover::ask(&place).is_none());
+    assert!(handover::request_handover(&place).is_none());
     assert!(before.elapsed() < std::time::Duration::from_secs(20));
     let _ = silent.accept().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let asks = {
         let place = place.clone();
-        std::thread::spawn(move || handover::ask(&place).is_none())
+        std::thread::spawn(move || handover::request_handover(&place).is_none())
     };
     silent.set_nonblocking(false).unwrap();
     let (mut stream, _) = silent.accept().unwrap();
-    handover::give(&stream, &listener).unwrap();
+    handover::send_listener(&stream, &listener).unwrap();
     std::io::Write::write_all(&mut stream, b"{\"discovery\":7}\n").unwrap();
     assert!(asks.join().unwrap());
     // Whoever has handed over goes on speaking at once.
     let asks = {
         let place = place.clone();
-        std::thread::spawn(move || handover::ask(&place).unwrap().since)
+        std::thread::spawn(move || handover::request_handover(&place).unwrap().since)
     };
     let (mut stream, _) = silent.accept().unwrap();
-    handover::give(&stream, &listener).unwrap();
+    handover::send_listener(&stream, &listener).unwrap();
     let state = serde_json::to_string(&handover::HandoverState::default()).unwrap();
     std::io::Write::write_all(&mut stream, format!("{state}\n{{\"taken\":\"i1\"}}\n").as_bytes()).unwrap();
     assert!(b"{\"taken\":\"i1\"}\n".starts_with(&asks.join().unwrap()));
     // A folder whose name is too long for a socket's.
-    assert!(handover::offer(&folder.join("x".repeat(120))).is_err());
+    assert!(handover::bind_successor_socket(&folder.join("x".repeat(120))).is_err());
     std::fs::remove_dir_all(folder).unwrap();
 }
 
