--- a/node/src/net/connection.rs
+++ b/node/src/net/connection.rs
@@ -1,7 +1,7 @@
-//! One connection: its socket, its buffers, and the reason why it ended.
+//! One connection: its socket, its buffers and the reason why it was closed.
 //!
-//! It owns reading, writing and their bounds. It must never look into the bytes; what they mean is for the
-//! owner, who is called back through [`ConnectionHandler`] and acts through [`ConnectionDriver`].
+//! This module reads and writes within limits and never interprets the bytes. The owner of a connection does:
+//! it is called back through [`ConnectionHandler`] and acts through [`ConnectionDriver`].
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::mem::MaybeUninit;
@@ -14,22 +14,26 @@
 use crate::net::http::MAX_MESSAGE_BYTES;
 use crate::net::receive_times::ReceiveTimes;
 
-/// A connection's number; none is used twice.
+/// The number of a connection; numbers are not reused within a process.
 pub type ConnectionId = u64;
 
-/// Whose connection it is.
+/// What is at the other end of a connection, which also selects its handler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionRole {
+    /// A client that sends invocations.
     Client,
+    /// A runner that receives forwards, probes and cancels.
     Runner,
+    /// Discovery, which sends the list of runners.
     Roster,
-    /// Staff, who call where they may.
+    /// A staff member or tool on the admin listener.
     Operator,
-    /// The other process of an upgrade.
+    /// The other process of an upgrade, on a Unix socket.
     Peer,
 }
 
 impl ConnectionRole {
+    /// The name in log lines.
     pub fn code(self) -> &'static str {
         match self {
             ConnectionRole::Client => "client",
@@ -41,40 +45,53 @@
     }
 }
 
-/// Why a connection ended; each has its code in the log.
+/// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
+    /// The other end has closed it.
     PeerClosed,
+    /// The connection was reset, or failed in another way.
     Reset,
-    /// The network has lost it: the other end may be well, and know nothing of that.
+    /// The network path failed: the other end may be healthy and unaware of it.
     PathLost,
+    /// The dial was refused: no process listens at that address.
     Refused,
+    /// The dial was not completed in time.
     DialTimeout,
-    /// Has come, and asks nothing.
+    /// Accepted, but no request came.
     Silent,
-    /// Idle for longer than it is worth its descriptor.
+    /// Idle for longer than is worth a descriptor.
     Idle,
-    /// The longest idle, ended for a newcomer.
+    /// The longest idle connection, closed to make room for a new one.
     MadeRoom,
-    /// Ended after its answer, as either side had said.
+    /// Closed after its response, as either end had announced.
     AnsweredLast,
+    /// The other end sent something that is not a valid message.
     BadInput,
+    /// A request did not arrive whole in time.
     SlowRequest,
+    /// The other end did not read what was sent to it in time.
     SlowReader,
     /// A forward was given up before its 202.
     GivenUp,
+    /// No response came in time.
     NoAnswer,
+    /// The response was not valid.
     BadAnswer,
-    /// Found ended, or with bytes that nobody asked for, when it was to be used again.
+    /// Found closed, or holding bytes that belong to no request, when it was to be reused.
     Stale,
-    /// The runner is gone or has another address.
+    /// The runner is no longer listed, or has another address.
     Unlisted,
+    /// The subscription to discovery was silent for too long.
     WatchSilent,
+    /// The subscription to discovery was replaced by a new one.
     WatchReplaced,
+    /// Closed because this process is shutting down.
     Terminated,
 }
 
 impl CloseReason {
+    /// The reason in log lines.
     pub fn code(self) -> &'static str {
         match self {
             CloseReason::PeerClosed => "peer_closed",
@@ -101,53 +118,55 @@
     }
 }
 
-/// What a due time is for.
+/// What to do when a timer fires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The owner of a connection wants to look at it.
+    /// Call [`ConnectionHandler::timer_fired`] of the connection's owner.
     Connection(ConnectionId),
-    /// A connection that is being finished has had its time.
+    /// Close a connection that was to be finished, whatever is still unsent.
     Finish(ConnectionId),
-    /// An invocation's client gives up.
+    /// Answer an invocation whose client stops waiting now.
     Invocation(Id),
-    /// A cancel is to be tried again.
+    /// Retry the cancel of an invocation, with the number of that cancel.
     Cancel(Id, u32),
-    /// The brain's one timer.
+    /// The one timer of the decision module.
     RoutingPolicy,
-    /// The configuration, which the host could not read, is read again.
+    /// Retry reading the configuration after the host failed to.
     Reload,
-    /// What the poller could not be told of a connection is told again.
+    /// Retry registering a connection with the poller.
     Register(ConnectionId),
-    /// A dial that the host kept from beginning is made again.
+    /// Retry a dial that the host could not start.
     Redial(ConnectionId),
-    /// Accepting, after it could not go on, those who come to this side.
+    /// Resume accepting on the listener of this role.
     ResumeAccepting(ConnectionRole),
-    /// A step of going down.
+    /// The next step of a shutdown.
     Shutdown,
-    /// Cold runners may have rested for long enough.
+    /// Check whether the pause of cold runners is over.
     ColdRunnerPause,
-    /// The lease on the list may have lapsed.
+    /// Check whether the lease on the list of runners has expired.
     Lease,
-    /// A start has waited for discovery for long enough.
+    /// Report ready, even if discovery has not answered since the start.
     ReadinessTimeout,
-    /// A stage of recovery has had its time.
+    /// End a stage of recovery that has used up its time.
     RecoveryStage,
-    /// A round of the other dispatchers.
+    /// Start a round of messages to the other dispatchers.
     PeerRound,
-    /// What has changed is to be kept.
+    /// Store the list of runners, which has changed.
     Persist,
-    /// The disk has had its time to keep what an operator was told of.
+    /// Answer an operator whose call the disk has not stored in time, by the number of that write.
     PersistTimeout(u64),
 }
 
-/// What the owner of connections is called back for.
+/// Callbacks to the owner of connections.
 pub trait ConnectionHandler {
-    /// A dialled connection is up.
+    /// A dialled connection is established.
     fn connected(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver);
-    /// Bytes have come; what is understood is taken out of `input`, the rest stays there.
+    /// Bytes were received. The handler removes from `input` what it has processed; the rest is passed again
+    /// later.
     fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver);
-    /// The other side has ended it, or it never came up: `unsent` says that not all was written, `input`
-    /// holds what was not taken out. An end of the owner's own making is not told.
+    /// The other end has closed the connection, or it was never established. `unsent` says that some of the
+    /// output was not written; `input` holds what was not processed. Not called when the owner itself closes
+    /// the connection.
     fn closed(
         &mut self,
         connection: ConnectionId,
@@ -156,20 +175,23 @@
         input: &[u8],
         driver: &mut dyn ConnectionDriver,
     );
-    /// A time asked for by [`ConnectionDriver::set_timer`] has come.
+    /// A [`Timer::Connection`] set by [`ConnectionDriver::set_timer`] has fired.
     fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver);
 }
 
-/// System calls that the host failed for a reason that passes, since the start; each was made again.
+/// Counts of system calls that the host failed transiently since the start; each call was retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostFailures {
+    /// Failed accepts.
     pub accepts: u64,
+    /// Dials that could not be started.
     pub dials: u64,
+    /// Failed reads from connections.
     pub reads: u64,
 }
 
 impl HostFailures {
-    /// By their names among the figures.
+    /// The counts with their metric names.
     pub fn metrics(self) -> [(&'static str, u64); 3] {
         [
             ("host_failed_accepts", self.accepts),
@@ -179,59 +201,69 @@
     }
 }
 
-/// What owners of connections may do.
+/// What owners of connections can do with the event loop.
 pub trait ConnectionDriver {
+    /// The time at which this iteration of the loop began, in microseconds of Unix time.
     fn now(&self) -> Micros;
-    /// The time at this very moment, where [`ConnectionDriver::now`] is the time at which this turn of the loop began.
+    /// The current time, read from the clock now; [`ConnectionDriver::now`] stays the same within an
+    /// iteration.
     fn clock(&self) -> Micros {
         self.now()
     }
-    /// What the host has failed since the start.
+    /// Transient failures of system calls since the start.
     fn host_failures(&self) -> HostFailures {
         HostFailures::default()
     }
-    /// Since when what is read now may have been there: long, where this process was not let run meanwhile.
+    /// The earliest time at which bytes that are read now may have arrived. That is well before
+    /// [`ConnectionDriver::now`] if this process was not scheduled for a while.
     fn readable_since(&self) -> Micros {
         self.now()
     }
-    /// Since when the first byte that the owner of this connection has not taken may have been there.
+    /// The earliest time at which the first unprocessed byte of this connection may have arrived.
     fn received_since(&self, _connection: ConnectionId) -> Micros {
         self.readable_since()
     }
-    /// How many connections there are, of all sides.
+    /// The number of open connections of all roles.
     fn connection_count(&self) -> usize;
-    /// Ends the oldest client's connection that only waits for the other side's end, its last answer written.
+    /// Closes the oldest lingering client connection (its last response is written, and only the client's
+    /// close is still awaited). False if there is none.
     fn close_oldest_lingering(&mut self) -> bool;
-    /// A new connection, not yet up.
+    /// Starts to open a connection; [`ConnectionHandler::connected`] or [`ConnectionHandler::closed`]
+    /// follows.
     fn dial(&mut self, to: SocketAddr, role: ConnectionRole) -> ConnectionId;
-    /// Whether the host has kept a dial from beginning so far: nothing is known of the other end.
+    /// Whether the host has not yet been able to start this dial, so that nothing is known about the other
+    /// end.
     fn is_dial_postponed(&self, _connection: ConnectionId) -> bool {
         false
     }
+    /// Queues bytes and writes as many of them as the socket takes now. Before the connection is established
+    /// they wait.
     fn send(&mut self, connection: ConnectionId, bytes: &[u8]);
-    /// Whether a connection at rest can be used: not ended, and with nothing to read.
+    /// Whether an idle connection can be reused: it is open and nothing was received on it.
     fn is_reusable(&mut self, connection: ConnectionId) -> bool;
-    /// Whether the other side has ended it, though that has not been read yet.
+    /// Whether the other end has closed it, though its end has not been read yet.
     fn peer_has_closed(&self, _connection: ConnectionId) -> bool {
         false
     }
-    /// Whether something sent has not yet been written.
+    /// Whether some queued bytes have not been written yet.
     fn has_unsent(&self, connection: ConnectionId) -> bool;
-    /// Whether so much has come that some of it was thrown away: what follows makes no sense.
+    /// Whether input beyond the limit was discarded, so that what follows cannot be parsed.
     fn has_overflowed(&self, _connection: ConnectionId) -> bool {
         false
     }
-    /// Calls the owner back with what has been read, even if nothing more comes.
+    /// Calls [`ConnectionHandler::received`] again with the unprocessed input, even if no more bytes arrive.
     fn process_again(&mut self, connection: ConnectionId);
-    /// Ends it as soon as all is written.
+    /// Closes the connection as soon as all queued bytes are written.
     fn finish(&mut self, connection: ConnectionId, end: CloseReason);
+    /// Closes the connection now and drops unsent bytes; also gives up a dial.
     fn abort(&mut self, connection: ConnectionId, end: CloseReason);
+    /// Has a timer fire at `at` (Unix time in microseconds). Timers cannot be withdrawn.
     fn set_timer(&mut self, due: Timer, at: Micros);
-    /// To another dispatcher; it may get lost.
+    /// Sends a datagram to another dispatcher; it may be lost.
     fn send_datagram(&mut self, _to: SocketAddr, _bytes: &[u8]) {}
 }
 
-/// Why a connection never came up. Only a refusal says that no process listens there.
+/// The close reason of a failed dial. Only a refusal proves that no process listens at the address.
 pub fn connect_failure(error: &io::Error) -> CloseReason {
     match error.kind() {
         ErrorKind::ConnectionRefused => CloseReason::Refused,
@@ -240,49 +272,61 @@
     }
 }
 
-/// How a connection that was up has broken.
-fn broken(error: &io::Error) -> CloseReason {
+/// The close reason of an established connection on which a read or write failed.
+fn failure_reason(error: &io::Error) -> CloseReason {
     if errno::is_path_lost(error) { CloseReason::PathLost } else { CloseReason::Reset }
 }
 
-/// Tries to see what the next read would find, while the host fails them.
-const PEEKS: usize = 16;
+/// The most attempts at one peek while the host fails it transiently.
+const MAX_PEEK_ATTEMPTS: usize = 16;
 
+/// What the next read would return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Peeked {
     Nothing,
     Bytes,
     Ended,
-    /// The host has failed every try.
+    /// The host failed every attempt.
     Unknown,
 }
 
+/// A socket with its buffers and state.
 pub struct Connection {
+    /// The non-blocking socket.
     pub stream: Socket,
+    /// What is at the other end.
     pub role: ConnectionRole,
+    /// The address of the other end.
     pub peer: SocketAddr,
+    /// The dial has not been completed.
     pub dialling: bool,
-    /// Why it ends once all is written.
+    /// Set once the connection is to be closed after all output is written: the reason for it.
     pub finishing: Option<CloseReason>,
-    /// Our side is shut; only the other side's end is waited for, so that the last answer is not reset away.
+    /// Our direction is shut down and only the other end's close is awaited. Closing at once could make the
+    /// kernel send a reset, by which the other end would lose the last response.
     pub lingering: bool,
+    /// When the connection was accepted or dialled.
     pub since: Micros,
+    /// Bytes received and not yet processed by the owner.
     pub input: Vec<u8>,
-    /// How often the host has failed to read.
+    /// How often the host failed to read, transiently.
     pub failed_reads: u64,
-    /// Since when reading has failed, if the last try did.
+    /// The earliest time at which bytes may have arrived that the host has failed to read, if the last read
+    /// failed.
     unread_since: Option<Micros>,
-    /// When what is in `input` came.
+    /// When the bytes in `input` may have arrived.
     pub receive_times: ReceiveTimes,
     output: Vec<u8>,
+    /// How much of `output` has been written.
     written: usize,
-    /// Bytes were thrown away, as nobody took those before them.
-    spilt: bool,
-    /// What the poller watches it for: reading, writing; nothing yet where the host has failed that.
+    /// Bytes were discarded because `input` was full of unprocessed ones.
+    has_overflowed: bool,
+    /// The registration with the poller: for reading, for writing. `None` until a registration has succeeded.
     pub watched: Option<(bool, bool)>,
 }
 
 impl Connection {
+    /// A connection with empty buffers, not yet registered with the poller.
     pub fn new(
         stream: Socket,
         role: ConnectionRole,
@@ -304,38 +348,47 @@
             receive_times: ReceiveTimes::default(),
             output: Vec::new(),
             written: 0,
-            spilt: false,
+            has_overflowed: false,
             watched: None,
         }
     }
 
-    pub fn wants(&self) -> (bool, bool) {
-        // A client is read on whatever it sends, or its end would not be seen: what is beyond the bound is thrown away.
+    /// What the poller is to watch the connection for: reading, writing.
+    pub fn interest(&self) -> (bool, bool) {
+        // Clients are read without limit, or their close would not be noticed; input beyond the limit is
+        // discarded.
         let room = self.input.len() < MAX_MESSAGE_BYTES || self.role == ConnectionRole::Client;
         (!self.dialling && (self.lingering || room), self.dialling || self.has_unsent())
     }
 
+    /// Whether input was discarded.
     pub fn has_overflowed(&self) -> bool {
-        self.spilt
+        self.has_overflowed
     }
 
+    /// Whether some output has not been written.
     pub fn has_unsent(&self) -> bool {
         self.written < self.output.len()
     }
 
+    /// Appends to the output.
     pub fn queue(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Writes what the socket takes.
+    /// Writes as much output as the socket takes.
+    ///
+    /// # Errors
+    ///
+    /// The connection has failed.
     pub fn flush(&mut self) -> Result<(), CloseReason> {
         while self.has_unsent() && !self.dialling {
             match self.stream.write(&self.output[self.written..]) {
                 Ok(0) => return Err(CloseReason::Reset),
                 Ok(written) => self.written += written,
-                // The poller tells when it may be tried again.
+                // The poller reports when the socket is writable again.
                 Err(error) if errno::transfer(&error).is_transient() => return Ok(()),
-                Err(error) => return Err(broken(&error)),
+                Err(error) => return Err(failure_reason(&error)),
             }
         }
         if !self.has_unsent() {
@@ -346,23 +399,28 @@
         Ok(())
     }
 
-    /// Reads what there is, up to one buffer's worth, which may have been there since then; the poller tells if there is
-    /// more. Says how much there was.
+    /// Reads up to one buffer of input, which may have arrived as early as `since`, and returns the number of
+    /// bytes. The poller reports again if there is more.
+    ///
+    /// # Errors
+    ///
+    /// The other end has closed the connection, or the connection has failed.
     pub fn read(&mut self, scratch: &mut [u8], since: Micros) -> Result<usize, CloseReason> {
         let read = self.stream.read(scratch);
-        let passes = |error: &io::Error| {
+        let is_transient = |error: &io::Error| {
             error.kind() != ErrorKind::WouldBlock && errno::transfer(error).is_transient()
         };
-        let failed = read.as_ref().is_err_and(passes);
+        let failed = read.as_ref().is_err_and(is_transient);
         self.failed_reads += u64::from(failed);
-        // What the host fails to read now has been there since then.
+        // Bytes that the host fails to read now may have arrived at `since`; the next successful read returns
+        // them.
         let since = self.unread_since.map_or(since, |unread| unread.min(since));
         self.unread_since = failed.then_some(since);
         match read {
             Ok(0) => Err(CloseReason::PeerClosed),
             Ok(read) if self.lingering => Ok(read),
             Ok(read) if self.input.len() >= MAX_MESSAGE_BYTES => {
-                self.spilt = true;
+                self.has_overflowed = true;
                 Ok(read)
             }
             Ok(read) => {
@@ -371,31 +429,35 @@
                 Ok(read)
             }
             Err(error) if errno::transfer(&error).is_transient() => Ok(0),
-            Err(error) => Err(broken(&error)),
+            Err(error) => Err(failure_reason(&error)),
         }
     }
 
-    /// Whether a dial has come to its end, and how.
-    pub fn dialled(&self) -> Result<(), CloseReason> {
+    /// The result of a dial of which the poller has reported completion.
+    ///
+    /// # Errors
+    ///
+    /// The dial has failed.
+    pub fn dial_result(&self) -> Result<(), CloseReason> {
         match self.stream.take_error() {
             Ok(None) => Ok(()),
             Ok(Some(error)) | Err(error) => Err(connect_failure(&error)),
         }
     }
 
-    /// Whether nothing has been read or waits to be read, and the other side has not ended it.
+    /// Whether there is no input, read or unread, and the other end has not closed the connection.
     pub fn is_reusable(&self) -> bool {
         self.input.is_empty() && self.peek() == Peeked::Nothing
     }
 
-    /// Whether the other side has ended it. Behind bytes that have not been read its end does not show.
+    /// Whether the other end has closed the connection. A close behind unread bytes is not visible.
     pub fn peer_has_closed(&self) -> bool {
         self.peek() == Peeked::Ended
     }
 
-    /// What the next read would find.
+    /// What the next read would return.
     fn peek(&self) -> Peeked {
-        for _ in 0..PEEKS {
+        for _ in 0..MAX_PEEK_ATTEMPTS {
             match self.stream.peek(&mut [MaybeUninit::uninit()]) {
                 Ok(0) => return Peeked::Ended,
                 Ok(_) => return Peeked::Bytes,
@@ -407,10 +469,12 @@
         Peeked::Unknown
     }
 
+    /// Shuts down our direction and drops the input; what still arrives is discarded until the other end
+    /// closes.
     pub fn linger(&mut self) {
         self.lingering = true;
         self.input = Vec::new();
-        // An error here means that the other side is gone, which reading will tell.
+        // An error here means that the other end is gone, which the next read reports.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -470,7 +470,7 @@
     /// Has the poller watch a connection for what it now wants; what the host fails is tried again.
     fn watch(&mut self, id: ConnectionId) {
         let Some(connection) = self.conns.get_mut(&id) else { return };
-        let wants = connection.wants();
+        let wants = connection.interest();
         if connection.watched == Some(wants) {
             return;
         }
@@ -497,7 +497,7 @@
             if !event.writable {
                 return;
             }
-            if let Err(end) = connection.dialled() {
+            if let Err(end) = connection.dial_result() {
                 return self.lost(id, end, table);
             }
             connection.dialling = false;
