--- a/node/src/net/connection.rs
+++ b/node/src/net/connection.rs
@@ -258,7 +258,7 @@
     /// Closes the connection now and drops unsent bytes; also gives up a dial.
     fn abort(&mut self, connection: ConnectionId, end: CloseReason);
     /// Has a timer fire at `at` (Unix time in microseconds). Timers cannot be withdrawn.
-    fn set_timer(&mut self, due: Timer, at: Micros);
+    fn set_timer(&mut self, timer: Timer, at: Micros);
     /// Sends a datagram to another dispatcher; it may be lost.
     fn send_datagram(&mut self, _to: SocketAddr, _bytes: &[u8]) {}
 }
@@ -425,7 +425,7 @@
             }
             Ok(read) => {
                 self.input.extend_from_slice(&scratch[..read]);
-                self.receive_times.note(read, since);
+                self.receive_times.record(read, since);
                 Ok(read)
             }
             Err(error) if errno::transfer(&error).is_transient() => Ok(0),
--- a/node/src/net/dials.rs
+++ b/node/src/net/dials.rs
@@ -1,7 +1,7 @@
-//! Dials that the host keeps from beginning: no descriptor, port or route of our own just now.
+//! Dials that the host cannot start at the moment, for lack of a descriptor, a local port or a route.
 //!
-//! Nothing has been heard of the other end, so nothing is told of it: the dial is made again until it has begun or its
-//! owner gives it up.
+//! Such a failure says nothing about the other end, so the owner is not notified: the dial is retried until
+//! it has started or its owner gives it up.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,28 +13,31 @@
 use crate::net::connection::{ConnectionId, ConnectionRole};
 use crate::net::errno::{self, Scope};
 
-/// How long until a dial is made again.
-pub const DIAL_AGAIN: Micros = 10_000;
+/// Microseconds until a postponed dial is retried.
+pub const REDIAL_INTERVAL: Micros = 10_000;
 
-/// Where a connection is to lead, for whom, and what is to be sent on it.
+/// A connection to open.
 #[derive(Debug)]
 pub struct Dial {
+    /// The address of the other end.
     pub to: SocketAddr,
+    /// What is at the other end.
     pub role: ConnectionRole,
+    /// What to send once the connection is established.
     pub output: Vec<u8>,
 }
 
-/// What has become of a dial.
+/// The result of starting a dial.
 pub enum Dialled {
-    /// It is under way, or has come to its end: the socket tells.
-    Begun(Socket),
-    /// The other end cannot be had.
+    /// Started, and possibly completed; the socket reports the result.
+    Started(Socket),
+    /// The other end cannot be reached.
     Failed(Socket, io::Error),
-    /// The host has kept it from beginning.
+    /// The host could not start it.
     Postponed(io::Error),
 }
 
-/// The dials that are to be made again.
+/// The postponed dials, by connection id.
 #[derive(Default)]
 pub struct Dials {
     postponed: BTreeMap<ConnectionId, Dial>,
@@ -43,22 +46,23 @@
 }
 
 impl Dials {
+    /// Keeps a dial to be retried.
     pub fn postpone(&mut self, id: ConnectionId, dial: Dial) {
         self.count += 1;
         self.postponed.insert(id, dial);
     }
 
-    /// The dial of this connection, which is to be made now or has been given up.
+    /// Removes the postponed dial of this connection, to retry it or to give it up.
     pub fn take(&mut self, id: ConnectionId) -> Option<Dial> {
         self.postponed.remove(&id)
     }
 
-    /// A dial that is to be made again.
+    /// The postponed dial of this connection.
     pub fn get(&self, id: ConnectionId) -> Option<&Dial> {
         self.postponed.get(&id)
     }
 
-    /// The same, to add to what is to be sent.
+    /// The postponed dial of this connection, for adding output.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Dial> {
         self.postponed.get_mut(&id)
     }
@@ -71,16 +75,16 @@
     Ok(socket)
 }
 
-/// Begins a connection.
+/// Starts to open a connection, without waiting for the result.
 pub fn dial(to: SocketAddr) -> Dialled {
     let socket = match socket(to) {
         Ok(socket) => socket,
         Err(error) => return Dialled::Postponed(error),
     };
     match socket.connect(&to.into()) {
-        Ok(()) => Dialled::Begun(socket),
+        Ok(()) => Dialled::Started(socket),
         Err(error) => match errno::connect(&error) {
-            Scope::Call => Dialled::Begun(socket),
+            Scope::Call => Dialled::Started(socket),
             Scope::Host => Dialled::Postponed(error),
             Scope::Connection => Dialled::Failed(socket, error),
         },
--- a/node/src/net/http.rs
+++ b/node/src/net/http.rs
@@ -1,56 +1,75 @@
-//! HTTP/1.1 messages: bytes to requests and answers by httparse, answers and requests to bytes.
+//! HTTP/1.1 messages: parses requests and responses with httparse, and encodes them.
 //!
-//! It owns framing: lengths, chunks, what ends a message, how large one may be. It must never know what a
-//! message is about, and never keep bytes between calls but in [`Chunks`].
+//! This module owns framing: lengths, chunks, the end of a message and the size limits. It does not know what
+//! a message is about and keeps no state between calls except in [`Chunks`].
 
 use std::str;
 
+/// The largest accepted body.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// The largest accepted start line with headers; also the largest chunk size line and trailer line.
 const MAX_HEAD_BYTES: usize = 16 << 10;
+/// The most headers of a message.
 const MAX_HEADERS: usize = 64;
-/// The longest message on a connection, with some room for the framing of chunks.
+/// The longest message on a connection, with an allowance for the framing of chunks.
 pub const MAX_MESSAGE_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + MAX_HEAD_BYTES;
 
-/// Why bytes are no message: the status to answer with, and a code for the log.
+/// Why bytes are not a valid message: the status to respond with, and a code for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpError(pub u16, pub &'static str);
 
+/// A parsed request.
 #[derive(Debug)]
 pub struct Request<'b> {
+    /// The method, as sent.
     pub method: &'b str,
-    /// Path with query, as it came.
+    /// Path with query, as sent.
     pub target: &'b str,
+    /// Names and values in the order in which they were sent.
     pub headers: Vec<(&'b str, &'b [u8])>,
+    /// The body without framing.
     pub body: Vec<u8>,
-    /// Whether the connection is to be kept.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
 }
 
+/// A parsed response.
 #[derive(Debug)]
 pub struct Response<'b> {
+    /// The status code.
     pub status: u16,
+    /// Names and values in the order in which they were sent.
     pub headers: Vec<(&'b str, &'b [u8])>,
+    /// The body without framing.
     pub body: Vec<u8>,
+    /// Whether the connection stays open after this response.
     pub keep_alive: bool,
 }
 
 impl<'b> Request<'b> {
-    /// The one value of a header; a second value is a fault.
+    /// The trimmed value of a header.
+    ///
+    /// # Errors
+    ///
+    /// `repeated_header` if the header occurs twice, `bad_header` if its value is not UTF-8.
     pub fn single_header(&self, name: &str) -> Result<Option<&'b str>, HttpError> {
         only(&self.headers, name)
     }
 
+    /// The target without query and fragment.
     pub fn path(&self) -> &'b str {
         self.target.split(['?', '#']).next().unwrap_or_default()
     }
 }
 
 impl<'b> Response<'b> {
+    /// The trimmed value of a header, if it occurs exactly once.
     pub fn header(&self, name: &str) -> Option<&'b str> {
         only(&self.headers, name).ok().flatten()
     }
 }
 
+/// The trimmed value of the header of this name, if it occurs.
 fn only<'b>(headers: &[(&'b str, &'b [u8])], name: &str) -> Result<Option<&'b str>, HttpError> {
     let mut values = headers.iter().filter(|(known, _)| known.eq_ignore_ascii_case(name));
     let Some((_, value)) = values.next() else { return Ok(None) };
@@ -60,14 +79,18 @@
     str::from_utf8(value).map(|value| Some(value.trim())).map_err(|_| HttpError(400, "bad_header"))
 }
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// By its length in bytes.
     Length(usize),
+    /// By the last chunk.
     Chunked,
+    /// By the close of the connection.
     UntilEnd,
 }
 
+/// The framing that the headers declare, or `absent` if they declare none.
 fn framing(headers: &[(&str, &[u8])], absent: Framing) -> Result<Framing, HttpError> {
     let length = only(headers, "content-length").map_err(|_| HttpError(400, "bad_length"))?;
     let coding = only(headers, "transfer-encoding").map_err(|_| HttpError(400, "bad_coding"))?;
@@ -76,7 +99,7 @@
         (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
         (None, Some(_)) => Err(HttpError(400, "bad_coding")),
         (Some(length), None) if !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit()) => {
-            // All digits, so that what does not parse is merely too long.
+            // All digits, so that a value that does not parse is too large.
             Ok(Framing::Length(length.parse().unwrap_or(usize::MAX)))
         }
         (Some(_), None) => Err(HttpError(400, "bad_length")),
@@ -84,14 +107,15 @@
     }
 }
 
-fn keeps(headers: &[(&str, &[u8])], version: u8) -> bool {
-    let says = |word: &str| {
+/// Whether the connection stays open: the default depends on the minor version of HTTP.
+fn keeps_alive(headers: &[(&str, &[u8])], version: u8) -> bool {
+    let lists = |word: &str| {
         let values = headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("connection"));
         values
             .flat_map(|(_, value)| value.split(|byte| *byte == b','))
             .any(|value| value.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     };
-    if version == 0 { says("keep-alive") } else { !says("close") }
+    if version == 0 { lists("keep-alive") } else { !lists("close") }
 }
 
 fn malformed(error: httparse::Error) -> HttpError {
@@ -101,9 +125,10 @@
     }
 }
 
-/// The body that begins `input`, with the bytes that it takes there; `None` while it is not whole.
+/// The body at the start of `input` and the number of bytes that it takes there; `None` while it is
+/// incomplete. `ended` says that no more bytes will come.
 fn body(input: &[u8], framing: Framing, ended: bool) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
-    let whole = match framing {
+    let complete = match framing {
         Framing::Length(length) if length > MAX_BODY_BYTES => return Err(HttpError(413, "body_too_large")),
         Framing::Length(length) => input.get(..length).map(|body| (body.to_vec(), length)),
         Framing::UntilEnd => ended.then(|| (input.to_vec(), input.len())),
@@ -116,13 +141,18 @@
             chunks.done().then_some((body, used))
         }
     };
-    if whole.as_ref().is_some_and(|(body, _)| body.len() > MAX_BODY_BYTES) {
+    if complete.as_ref().is_some_and(|(body, _)| body.len() > MAX_BODY_BYTES) {
         return Err(HttpError(413, "body_too_large"));
     }
-    Ok(whole)
+    Ok(complete)
 }
 
-/// The request that begins `input` and how many bytes it takes there; `None` while it is not whole.
+/// The request at the start of `input` and the number of bytes that it takes there; `None` while it is
+/// incomplete.
+///
+/// # Errors
+///
+/// The bytes are not a valid request, or exceed a limit.
 pub fn parse_request(input: &[u8]) -> Result<Option<(Request<'_>, usize)>, HttpError> {
     let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut room);
@@ -136,14 +166,19 @@
     let headers: Vec<_> = parsed.headers.iter().map(|header| (header.name, header.value)).collect();
     let framing = framing(&headers, Framing::Length(0))?;
     let Some((body, used)) = body(&input[head..], framing, false)? else { return Ok(None) };
-    let keep = keeps(&headers, parsed.version.unwrap_or(1));
+    let keep_alive = keeps_alive(&headers, parsed.version.unwrap_or(1));
     let (method, target) = (parsed.method.unwrap_or_default(), parsed.path.unwrap_or_default());
-    Ok(Some((Request { method, target, headers, body, keep_alive: keep }, head + used)))
+    Ok(Some((Request { method, target, headers, body, keep_alive }, head + used)))
 }
 
-/// The head of the answer that begins `input`, passing over those that only say that one will come.
+/// The head of the response at the start of `input`, the framing of its body and the number of bytes that the
+/// head takes there; `None` while it is incomplete. Interim responses (1xx) are skipped.
+///
+/// # Errors
+///
+/// The bytes are not a valid response, or exceed a limit.
 pub fn parse_response_head(mut input: &[u8]) -> Result<Option<(Response<'_>, Framing, usize)>, HttpError> {
-    let mut passed = 0;
+    let mut used = 0;
     loop {
         let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut room);
@@ -155,7 +190,7 @@
             httparse::Status::Partial => return Ok(None),
         };
         let status = parsed.code.unwrap_or(0);
-        passed += head;
+        used += head;
         if (100..200).contains(&status) {
             input = &input[head..];
             continue;
@@ -165,58 +200,71 @@
             204 | 304 => Framing::Length(0),
             _ => framing(&headers, Framing::UntilEnd)?,
         };
-        let keep = framing != Framing::UntilEnd && keeps(&headers, parsed.version.unwrap_or(1));
-        return Ok(Some((Response { status, headers, body: Vec::new(), keep_alive: keep }, framing, passed)));
+        let keep_alive = framing != Framing::UntilEnd && keeps_alive(&headers, parsed.version.unwrap_or(1));
+        return Ok(Some((Response { status, headers, body: Vec::new(), keep_alive }, framing, used)));
     }
 }
 
-/// The answer that begins `input` and how many bytes it takes there; `ended` says that no more will come.
+/// The response at the start of `input` and the number of bytes that it takes there; `None` while it is
+/// incomplete. `ended` says that no more bytes will come.
+///
+/// # Errors
+///
+/// The bytes are not a valid response, or exceed a limit.
 pub fn parse_response(input: &[u8], ended: bool) -> Result<Option<(Response<'_>, usize)>, HttpError> {
-    let Some((mut answer, framing, head)) = parse_response_head(input)? else { return Ok(None) };
+    let Some((mut response, framing, head)) = parse_response_head(input)? else { return Ok(None) };
     let Some((body, used)) = body(&input[head..], framing, ended)? else { return Ok(None) };
-    answer.body = body;
-    Ok(Some((answer, head + used)))
+    response.body = body;
+    Ok(Some((response, head + used)))
 }
 
-/// A body in chunks, fed as it comes.
+/// A decoder of chunked bodies, fed with bytes as they arrive.
 #[derive(Debug, Default)]
 pub struct Chunks {
-    state: Chunk,
+    state: ChunkState,
 }
 
+/// What comes next in a chunked body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Chunk {
+enum ChunkState {
     #[default]
     Size,
+    /// So many bytes are left of the chunk.
     Data(u64),
-    /// The line's end after a chunk.
-    After,
+    /// The line end after a chunk.
+    DataEnd,
     Trailer,
     Done,
 }
 
 impl Chunks {
+    /// Whether the last chunk and the trailer have been read.
     pub fn done(&self) -> bool {
-        self.state == Chunk::Done
+        self.state == ChunkState::Done
     }
 
-    /// Takes what it can of `input`, appends what was in the chunks, and returns how much was taken.
+    /// Decodes as much of `input` as possible, appends the data of the chunks to `out`, and returns the
+    /// number of bytes of `input` that were used.
+    ///
+    /// # Errors
+    ///
+    /// `bad_chunk` if the bytes are not a valid chunked body.
     pub fn feed(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, HttpError> {
         let bad = HttpError(400, "bad_chunk");
         let mut used = 0;
         loop {
             let rest = &input[used..];
             match self.state {
-                Chunk::Done => return Ok(used),
-                Chunk::Size => match httparse::parse_chunk_size(rest) {
+                ChunkState::Done => return Ok(used),
+                ChunkState::Size => match httparse::parse_chunk_size(rest) {
                     Ok(httparse::Status::Complete((taken, size))) => {
                         used += taken;
-                        self.state = if size == 0 { Chunk::Trailer } else { Chunk::Data(size) };
+                        self.state = if size == 0 { ChunkState::Trailer } else { ChunkState::Data(size) };
                     }
                     Ok(httparse::Status::Partial) if rest.len() < MAX_HEAD_BYTES => return Ok(used),
                     _ => return Err(bad),
                 },
-                Chunk::Data(left) => {
+                ChunkState::Data(left) => {
                     let taken = rest.len().min(usize::try_from(left).unwrap_or(usize::MAX));
                     if taken == 0 {
                         return Ok(used);
@@ -224,21 +272,21 @@
                     out.extend_from_slice(&rest[..taken]);
                     used += taken;
                     let left = left - taken as u64;
-                    self.state = if left == 0 { Chunk::After } else { Chunk::Data(left) };
+                    self.state = if left == 0 { ChunkState::DataEnd } else { ChunkState::Data(left) };
                 }
-                Chunk::After => match rest {
+                ChunkState::DataEnd => match rest {
                     [b'\r', b'\n', ..] => {
                         used += 2;
-                        self.state = Chunk::Size;
+                        self.state = ChunkState::Size;
                     }
                     [] | [b'\r'] => return Ok(used),
                     _ => return Err(bad),
                 },
-                Chunk::Trailer => match rest.iter().position(|byte| *byte == b'\n') {
+                ChunkState::Trailer => match rest.iter().position(|byte| *byte == b'\n') {
                     Some(end) => {
                         used += end + 1;
                         if rest[..end].trim_ascii().is_empty() {
-                            self.state = Chunk::Done;
+                            self.state = ChunkState::Done;
                         }
                     }
                     None if rest.len() < MAX_HEAD_BYTES => return Ok(used),
@@ -249,8 +297,9 @@
     }
 }
 
-/// An answer, whole; `more` are header lines, each with its end.
-pub fn encode_response(status: u16, more: &str, body: &[u8], keep: bool) -> Vec<u8> {
+/// Encodes a response. `more` holds further header lines, each with its line end; `keep_alive` says whether
+/// the connection stays open.
+pub fn encode_response(status: u16, more: &str, body: &[u8], keep_alive: bool) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -262,7 +311,7 @@
         503 => "Service Unavailable",
         _ => "Bad Gateway",
     };
-    let close = if keep { "" } else { "Connection: close\r\n" };
+    let close = if keep_alive { "" } else { "Connection: close\r\n" };
     let length = body.len();
     let mut out =
         format!("HTTP/1.1 {status} {reason}\r\n{more}{close}Content-Length: {length}\r\n\r\n").into_bytes();
@@ -270,7 +319,7 @@
     out
 }
 
-/// A request without a body.
+/// Encodes a request without a body.
 pub fn encode_bodiless_request(method: &str, target: &str, host: impl std::fmt::Display) -> Vec<u8> {
     let length = if method == "GET" { "" } else { "Content-Length: 0\r\n" };
     format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n{length}\r\n").into_bytes()
--- a/node/src/net/log.rs
+++ b/node/src/net/log.rs
@@ -1,7 +1,7 @@
-//! The one way to write a log line: `log!(code, ...)`, a code first and `name=value` pairs after it.
+//! Writes log lines: `log!(code, ...)` writes a code followed by `name=value` pairs.
 //!
-//! It owns how many lines of a code may be written in a second. It must never fail, block on a lock held
-//! elsewhere, or print what a client sent unescaped.
+//! Limits the lines of each code per second. Logging never fails and never blocks on a lock held elsewhere;
+//! callers must not pass what a client sent unescaped.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,49 +10,54 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Lines of one code in a second: a flood of bad input is not to fill the disk of whoever keeps the log.
-const MOST: u32 = 100;
+/// The most lines of one code per second, so that a flood of bad input does not fill the disk that holds the
+/// log.
+const MAX_LINES_PER_SECOND: u32 = 100;
 
-struct Second {
-    began: Instant,
+/// The lines of one code in the current second, including those that were held back.
+struct LineCount {
+    second_began: Instant,
     lines: u32,
 }
 
 thread_local! {
-    static SECONDS: RefCell<BTreeMap<&'static str, Second>> = const { RefCell::new(BTreeMap::new()) };
+    static LINE_COUNTS: RefCell<BTreeMap<&'static str, LineCount>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Whether one more line of this code may be written, and how many were held back in its last full second.
+/// Whether one more line of this code may be written, and how many lines of it were held back in the second
+/// that has just ended (0 while a second is still running).
 pub fn admit(code: &'static str) -> (bool, u32) {
-    SECONDS.with_borrow_mut(|seconds| {
+    LINE_COUNTS.with_borrow_mut(|counts| {
         let now = Instant::now();
-        let second = seconds.entry(code).or_insert(Second { began: now, lines: 0 });
+        let count = counts.entry(code).or_insert(LineCount { second_began: now, lines: 0 });
         let mut held_back = 0;
-        if now.duration_since(second.began) >= Duration::from_secs(1) {
-            held_back = second.lines.saturating_sub(MOST);
-            *second = Second { began: now, lines: 0 };
+        if now.duration_since(count.second_began) >= Duration::from_secs(1) {
+            held_back = count.lines.saturating_sub(MAX_LINES_PER_SECOND);
+            *count = LineCount { second_began: now, lines: 0 };
         }
-        second.lines += 1;
-        (second.lines <= MOST, held_back)
+        count.lines += 1;
+        (count.lines <= MAX_LINES_PER_SECOND, held_back)
     })
 }
 
-/// Lines that could not be written since the start.
-static LOST: AtomicU64 = AtomicU64::new(0);
+/// The number of lines that could not be written since the start.
+static LOST_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Writes one line to standard error, in one piece. A log that cannot be written is counted and stops nothing.
+/// Writes one line to standard error in a single write. A line that cannot be written is counted and
+/// otherwise ignored.
 pub fn write(line: fmt::Arguments) {
     let line = format!("{line}\n");
     if io::stderr().write_all(line.as_bytes()).is_err() {
-        LOST.fetch_add(1, Ordering::Relaxed);
+        LOST_LINES.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// How many lines could not be written since the start.
+/// The number of lines that could not be written since the start.
 pub fn lost_lines() -> u64 {
-    LOST.load(Ordering::Relaxed)
+    LOST_LINES.load(Ordering::Relaxed)
 }
 
+/// Writes a log line: a code, then `name=value` pairs in the syntax of `format!`.
 macro_rules! log {
     ($code:expr, $($about:tt)*) => {{
         let (is_admitted, held_back) = $crate::net::log::admit($code);
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The one loop, its connections and what goes over them as HTTP.
+//! The event loop, its sockets and connections, HTTP messages, and the log.
 
 pub mod connection;
 pub mod dials;
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -1,7 +1,8 @@
-//! The one loop: waits on all sockets, calls their owners back, and lets the desk settle each turn.
+//! The event loop: waits on all sockets, calls the owners of connections back, and has the request table
+//! decide once per iteration.
 //!
-//! It owns the poller, the listener, every connection, every due time, the clock and the signals. It must
-//! never know what a connection is for beyond whose it is, and never wait for anything but the poller.
+//! It owns the poller, the listeners, all connections, all timers, the clock and the signals. It knows only
+//! the role of a connection, not what is done over it, and blocks nowhere but in the poller.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -21,49 +22,58 @@
     CloseReason, Connection, ConnectionDriver, ConnectionId, ConnectionRole, HostFailures, Timer,
     connect_failure,
 };
-use crate::net::dials::{self, DIAL_AGAIN, Dial, Dialled, Dials};
+use crate::net::dials::{self, Dial, Dialled, Dials, REDIAL_INTERVAL};
 use crate::net::errno::{self, Scope};
 use crate::net::log::log;
 use crate::request_table::RequestTable;
 
+/// The poller key of SIGTERM.
 pub const TERMINATE_KEY: usize = 0;
+/// The poller key of SIGHUP.
 pub const RELOAD_KEY: usize = 1;
-/// A successor asks for what this process has.
+/// The poller key of the Unix listener on which a successor requests the hand-over.
 pub const SUCCESSOR_KEY: usize = 2;
-/// A datagram has come from another dispatcher.
+/// The poller key of the socket for datagrams of other dispatchers.
 pub const PEERS_KEY: usize = 3;
-/// The keys of the listeners, in their order.
+/// The poller key of the first listener; the others follow it in order.
 pub const FIRST_LISTENER_KEY: usize = 4;
-const FIRST_LINK: ConnectionId = 6;
-/// Buffers read from one client in a turn, while they come full: its end may be behind them.
-const READS_ON: usize = 16;
-/// Datagrams read in one turn: clients come first.
-const DATAGRAMS: usize = 256;
-/// Newcomers in one turn: those who are already here come first.
-const ACCEPTS: usize = 64;
-/// What the poller could not be told is told again after this.
-const WATCH_AGAIN: Micros = 10_000;
-/// Accepting rests for so long where there is no room, and where the host cannot give what it takes.
-const ROOM_AGAIN: Micros = 50_000;
-const ACCEPT_AGAIN: Micros = 10_000;
-/// The loop looks up at least so often, so that it can tell having been idle from not having been let run.
-const LOOKS_UP: Duration = Duration::from_millis(250);
-/// How long the last look before the end waits for something to come.
-const LAST_LOOK: Duration = Duration::from_millis(1);
-/// Later than it was to look up by this much, the process stood still: frozen, starved, or swapped out. Half of the 0.1 s
-/// after which nothing may begin for a client that has left, and of what each time limit is longer on sockets.
-const STOOD_STILL: Micros = 50_000;
-/// How long it may then take to read what had come meanwhile. That a client has left is not left to this: it is looked
-/// at when its forward leaves.
-const CATCHES_UP: Micros = 100_000;
-/// A configuration that the host cannot read is read again after so long, for so long.
-const RELOAD_AGAIN: Micros = 50_000;
-const RELOAD_WITHIN: Micros = 30_000_000;
-/// How long the other side may take to read a last answer and to end.
-const FINISH_WITHIN: Micros = 2_000_000;
-
-/// Unix time at the start, and from then on only what the monotonic clock adds: steps of the system's clock
-/// do no harm.
+/// Above all other poller keys, as connection ids are poller keys too.
+const FIRST_CONNECTION_ID: ConnectionId = 6;
+/// The most buffers read from one client per event while each comes full: the client's close may be behind
+/// the bytes.
+const MAX_READS_PER_EVENT: usize = 16;
+/// The most datagrams read per iteration, so that clients are served first.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 256;
+/// The most connections accepted per iteration, so that existing connections are served first.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+/// Microseconds until a failed registration with the poller is retried.
+const REGISTER_RETRY_INTERVAL: Micros = 10_000;
+/// Microseconds for which accepting pauses while there is no room for more connections.
+const NO_ROOM_RETRY_INTERVAL: Micros = 50_000;
+/// Microseconds for which accepting pauses while the host cannot accept, being short of descriptors or
+/// memory.
+const ACCEPT_RETRY_INTERVAL: Micros = 10_000;
+/// The longest wait of the poller. A bound is needed to tell an idle loop from a process that was not
+/// scheduled.
+const MAX_WAIT: Duration = Duration::from_millis(250);
+/// The wait of the last iteration before the process ends.
+const FINAL_WAIT: Duration = Duration::from_millis(1);
+/// A wait that ends this many microseconds late means that the process was stalled: frozen, starved or
+/// swapped out. This is half of 0.1 s, which is the time after which no work may start for a client that has
+/// left, and the tolerance of each time limit when measured over sockets.
+const STALL_THRESHOLD: Micros = 50_000;
+/// Microseconds that reading what arrived during a stall may take. Whether a client has left does not depend
+/// on this: it is checked again when its forward is sent.
+const CATCH_UP_WINDOW: Micros = 100_000;
+/// Microseconds until the configuration is read again after the host failed to.
+const RELOAD_RETRY_INTERVAL: Micros = 50_000;
+/// Microseconds after a SIGHUP for which that is retried.
+const RELOAD_RETRY_WINDOW: Micros = 30_000_000;
+/// Microseconds in which the other end must read its last response and close.
+const FINISH_TIMEOUT: Micros = 2_000_000;
+
+/// Unix time at the start, advanced by the monotonic clock only, so that steps of the system clock have no
+/// effect.
 struct Clock {
     started: Instant,
     unix: Micros,
@@ -80,11 +90,13 @@
     }
 }
 
-/// Where connections come in, and whose they are.
+/// A listening socket and the role of the connections accepted on it.
 pub struct Listener {
+    /// The listening socket.
     pub socket: TcpListener,
+    /// The role of its connections.
     pub role: ConnectionRole,
-    /// What the poller knows it by.
+    /// Its key in the poller.
     pub key: usize,
 }
 
@@ -92,37 +104,51 @@
     listeners.iter().find(|listener| listener.role == role)
 }
 
+/// The state of the event loop.
 pub struct Reactor {
+    /// Shared with threads that wake the loop.
     pub poller: Arc<Poller>,
-    /// Where other dispatchers are heard, if anywhere.
+    /// The socket for datagrams of other dispatchers, if peers are configured and no successor has taken
+    /// over.
     pub datagrams: Option<UdpSocket>,
     clock: Clock,
+    /// The time at which this iteration began.
     now: Micros,
-    /// While it catches up after having stood still: since when, and until when.
-    behind: Option<(Micros, Micros)>,
-    /// Listeners at which newcomers may be waiting to be accepted, by their keys, and since when.
-    queued: BTreeMap<usize, Micros>,
-    /// While a newcomer that has waited at its listener is read: since when it may have.
-    queued_since: Option<Micros>,
-    conns: HashMap<ConnectionId, Connection>,
-    next: ConnectionId,
-    dues: BTreeMap<(Micros, u64), Timer>,
-    serial: u64,
-    /// Connections that broke under a write: their owners are called back in the next turn.
-    broken: Vec<(ConnectionId, CloseReason)>,
-    revisits: Vec<ConnectionId>,
-    scratch: Vec<u8>,
+    /// While catching up after a stall: when the stall began, and until when catching up may take.
+    catching_up: Option<(Micros, Micros)>,
+    /// Listeners whose accept queues may hold connections, by poller key, with the time since when they may.
+    accept_queues: BTreeMap<usize, Micros>,
+    /// While a connection that waited in an accept queue is read for the first time: since when it may have
+    /// waited.
+    accept_queued_since: Option<Micros>,
+    /// All connections except those whose dial is postponed.
+    connections: HashMap<ConnectionId, Connection>,
+    next_id: ConnectionId,
+    /// By the time at which they fire; timers of the same time fire in the order in which they were set.
+    timers: BTreeMap<(Micros, u64), Timer>,
+    timer_serial: u64,
+    /// Connections on which a write failed; their owners are called back in this or the next iteration.
+    broken_connections: Vec<(ConnectionId, CloseReason)>,
+    /// Connections whose input is passed to their owners again in this or the next iteration.
+    to_process: Vec<ConnectionId>,
+    read_buffer: Vec<u8>,
     dials: Dials,
-    failed: HostFailures,
-    /// Until when a configuration that the host cannot read is read again.
-    reload_until: Micros,
-    /// Whether newcomers are being let in.
+    /// Failures of the host, except for those counted by `dials` and by open connections.
+    host_failures: HostFailures,
+    /// Until when a configuration that the host fails to read is retried.
+    reload_deadline: Micros,
+    /// Whether the client listener accepts connections.
     accepting: bool,
-    /// The system has given no descriptor since the last turn.
-    short: bool,
+    /// The host was short of descriptors or memory in this iteration.
+    short_of_descriptors: bool,
 }
 
 impl Reactor {
+    /// An event loop without listeners.
+    ///
+    /// # Errors
+    ///
+    /// The poller cannot be created.
     pub fn new() -> io::Result<Reactor> {
         let clock = Clock::new();
         Ok(Reactor {
@@ -130,24 +156,29 @@
             datagrams: None,
             now: clock.now(),
             clock,
-            behind: None,
-            queued: BTreeMap::new(),
-            queued_since: None,
-            conns: HashMap::new(),
-            next: FIRST_LINK,
-            dues: BTreeMap::new(),
-            serial: 0,
-            broken: Vec::new(),
-            revisits: Vec::new(),
-            scratch: vec![0; 64 << 10],
+            catching_up: None,
+            accept_queues: BTreeMap::new(),
+            accept_queued_since: None,
+            connections: HashMap::new(),
+            next_id: FIRST_CONNECTION_ID,
+            timers: BTreeMap::new(),
+            timer_serial: 0,
+            broken_connections: Vec::new(),
+            to_process: Vec::new(),
+            read_buffer: vec![0; 64 << 10],
             dials: Dials::default(),
-            failed: HostFailures::default(),
-            reload_until: 0,
+            host_failures: HostFailures::default(),
+            reload_deadline: 0,
             accepting: true,
-            short: false,
+            short_of_descriptors: false,
         })
     }
 
+    /// Runs the loop until the process has shut down or the request table reports a fatal error.
+    ///
+    /// # Errors
+    ///
+    /// The poller fails.
     pub fn run(
         &mut self,
         table: &mut RequestTable,
@@ -156,140 +187,143 @@
         (terminate, reload, path): (&Signal, &Signal, &str),
     ) -> io::Result<()> {
         let mut events = Events::new();
-        // What the start took is no standing still.
+        // The time that the start took is not a stall.
         self.now = self.clock.now();
         table.decide(self);
         loop {
-            // The last look before the end: what has come meanwhile has been taken, and is still answered.
-            let last = (table.is_down(self.now) || table.must_end(self.now)) && self.all_told();
-            let patience = if last { Some(LAST_LOOK) } else { self.patience(table) };
+            // The last iteration: everything that arrived is accepted, and still answered.
+            let last = (table.is_down(self.now) || table.must_end(self.now)) && self.all_responses_written();
+            let timeout = if last { Some(FINAL_WAIT) } else { self.wait_timeout(table) };
             events.clear();
-            let interrupted = match self.poller.wait(&mut events, patience) {
+            let interrupted = match self.poller.wait(&mut events, timeout) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => true,
                 waited => waited.map(|_| false)?,
             };
-            self.look_up(patience);
+            self.update_time(timeout);
             if terminate.take() {
                 table.go_down(self);
             }
             if reload.take() {
-                self.reload_until = self.now + RELOAD_WITHIN;
+                self.reload_deadline = self.now + RELOAD_RETRY_WINDOW;
                 self.read_configuration(table, path);
             }
             if table.fatal().is_some() {
                 return Ok(());
             }
-            // A wait that a signal has cut short has not looked.
+            // A wait that was interrupted by a signal has not checked the sockets.
             let quiet = last && !interrupted && events.is_empty();
-            if quiet && (table.must_end(self.now) || self.nobody_queues(table, listeners)) {
+            if quiet && (table.must_end(self.now) || self.accept_queue_is_empty(table, listeners)) {
                 return Ok(());
             }
-            // Clients first: what waits for a connection to its runner is not written once its client has left, though
-            // both are heard of in one turn.
+            // Clients first: a forward that waits for a connection to its runner must not be sent if its
+            // client's close is reported in the same iteration.
             let of_client = |event: &Event| {
-                self.conns
+                self.connections
                     .get(&(event.key as ConnectionId))
                     .is_some_and(|connection| connection.role == ConnectionRole::Client)
             };
             let (clients, others): (Vec<Event>, Vec<Event>) = events.iter().partition(of_client);
             for event in clients.into_iter().chain(others) {
                 match event.key {
-                    // Their flags are looked at in each turn.
+                    // The flags of the signals are checked in every iteration.
                     TERMINATE_KEY => terminate.drain(),
                     RELOAD_KEY => reload.drain(),
-                    PEERS_KEY => self.hear(table),
+                    PEERS_KEY => self.receive_datagrams(table),
                     SUCCESSOR_KEY => self.hand_over(table, successor, listeners),
                     key => match listeners.iter().find(|listener| listener.key == key) {
                         Some(listener) => self.accept(table, listener),
-                        None => self.ready(key as ConnectionId, event, table),
+                        None => self.handle_event(key as ConnectionId, event, table),
                     },
                 }
             }
-            self.call_back(table);
-            while let Some(entry) = self.dues.first_entry().filter(|entry| entry.key().0 <= self.now) {
-                let due = entry.remove();
-                self.fall_due(due, table, (listeners, path));
+            self.run_deferred(table);
+            while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= self.now) {
+                let timer = entry.remove();
+                self.fire(timer, table, (listeners, path));
             }
-            if std::mem::take(&mut self.short) {
+            if std::mem::take(&mut self.short_of_descriptors) {
                 table.out_of_descriptors(self);
             }
             table.decide(self);
             if table.accepts() != self.accepting {
                 self.accepting = table.accepts();
-                self.open(listener_of(listeners, ConnectionRole::Client), self.accepting);
+                self.set_accepting(listener_of(listeners, ConnectionRole::Client), self.accepting);
             }
         }
     }
 
-    /// Whether no newcomer waits to be accepted, as the listener ends with this process; whoever does is accepted now.
-    fn nobody_queues(&mut self, table: &mut RequestTable, listeners: &[Listener]) -> bool {
+    /// Whether no connection waits in the accept queue of clients, where it would be lost when the process
+    /// ends. Those that wait are accepted.
+    fn accept_queue_is_empty(&mut self, table: &mut RequestTable, listeners: &[Listener]) -> bool {
         let listener = listener_of(listeners, ConnectionRole::Client).filter(|_| self.accepting);
         let Some(listener) = listener else { return true };
-        let before = self.next;
+        let before = self.next_id;
         self.accept(table, listener);
-        self.next == before && !self.queued.contains_key(&listener.key)
+        self.next_id == before && !self.accept_queues.contains_key(&listener.key)
     }
 
-    /// Takes the time. Where far more has passed than the poller was to wait, whatever is read now may have come at
-    /// any time since the last look: a request that is given its whole time from here on would be answered when its
-    /// client has long left.
-    fn look_up(&mut self, patience: Option<Duration>) {
+    /// Updates the current time and detects a stall. If far more time has passed than the poller was to wait,
+    /// what is read now may have arrived at any time since the previous iteration. Counting a request's time
+    /// limit from now on instead would mean serving a client that has long left.
+    fn update_time(&mut self, timeout: Option<Duration>) {
         let before = std::mem::replace(&mut self.now, self.clock.now());
-        let waits = patience.map_or(0, |patience| patience.as_micros() as Micros);
-        if self.now - before > waits + STOOD_STILL {
+        let waited = timeout.map_or(0, |timeout| timeout.as_micros() as Micros);
+        if self.now - before > waited + STALL_THRESHOLD {
             log!("stood-still", "ms={}", (self.now - before) / 1000);
-            let since = self.behind.filter(|(_, until)| before < *until).map_or(before, |(since, _)| since);
-            self.behind = Some((since, self.now + CATCHES_UP));
+            let since =
+                self.catching_up.filter(|(_, until)| before < *until).map_or(before, |(since, _)| since);
+            self.catching_up = Some((since, self.now + CATCH_UP_WINDOW));
         }
-        self.behind = self.behind.filter(|(_, until)| self.now < *until);
+        self.catching_up = self.catching_up.filter(|(_, until)| self.now < *until);
     }
 
-    /// SIGHUP: the configuration is read, and again while the host fails that for a moment. What is running goes on
-    /// whatever the file holds; a signal that comes after this has it read once more.
+    /// Reads the configuration, as SIGHUP demands, and schedules a retry if the host fails that transiently.
+    /// The settings in force stay if the file cannot be used. Each later SIGHUP has the file read again.
     fn read_configuration(&mut self, table: &mut RequestTable, path: &str) {
         match config::load(path) {
-            Ok(told) => table.reload(told, self),
-            Err(error) if error.passes() && self.now < self.reload_until => {
+            Ok(configuration) => table.reload(configuration, self),
+            Err(error) if error.passes() && self.now < self.reload_deadline => {
                 log!("configuration-delayed", "reason={:?}", error.to_string());
-                self.set_timer(Timer::Reload, self.now + RELOAD_AGAIN);
+                self.set_timer(Timer::Reload, self.now + RELOAD_RETRY_INTERVAL);
             }
             Err(error) => table.turn_down(&error.to_string()),
         }
     }
 
-    /// Datagrams of other dispatchers, some at a time.
-    fn hear(&mut self, table: &mut RequestTable) {
+    /// Receives a limited number of datagrams from other dispatchers.
+    fn receive_datagrams(&mut self, table: &mut RequestTable) {
         let mut bytes = [0; 2 * PACKET_MOST];
-        for _ in 0..DATAGRAMS {
-            let heard = self.datagrams.as_ref().map(|socket| socket.recv_from(&mut bytes));
-            match heard {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
+            let received = self.datagrams.as_ref().map(|socket| socket.recv_from(&mut bytes));
+            match received {
                 Some(Ok((length, from))) => table.datagram(from, &bytes[..length], self),
-                // One of ours was refused: nobody is there yet.
+                // An earlier datagram of ours was refused: no process listens there yet.
                 Some(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 _ => return,
             }
         }
     }
 
-    /// Whether all answers to clients and operators have been written.
-    fn all_told(&self) -> bool {
-        self.conns.values().all(|connection| {
+    /// Whether all responses to clients and operators have been written.
+    fn all_responses_written(&self) -> bool {
+        self.connections.values().all(|connection| {
             !matches!(connection.role, ConnectionRole::Client | ConnectionRole::Operator)
                 || !connection.has_unsent()
         })
     }
 
-    /// How long the poller may wait: until the next due time, not at all where something is left to do.
-    fn patience(&self, table: &RequestTable) -> Option<Duration> {
-        if table.pending() || !self.broken.is_empty() || !self.revisits.is_empty() {
+    /// How long the poller may wait: until the next timer, or not at all if work is pending.
+    fn wait_timeout(&self, table: &RequestTable) -> Option<Duration> {
+        if table.pending() || !self.broken_connections.is_empty() || !self.to_process.is_empty() {
             return Some(Duration::ZERO);
         }
-        let Some(((at, _), _)) = self.dues.first_key_value() else { return Some(LOOKS_UP) };
-        Some(Duration::from_micros((at - self.clock.now()).max(0) as u64).min(LOOKS_UP))
+        let Some(((at, _), _)) = self.timers.first_key_value() else { return Some(MAX_WAIT) };
+        Some(Duration::from_micros((at - self.clock.now()).max(0) as u64).min(MAX_WAIT))
     }
 
-    fn fall_due(&mut self, due: Timer, table: &mut RequestTable, (listeners, path): (&[Listener], &str)) {
-        match due {
+    /// Handles a timer that has fired.
+    fn fire(&mut self, timer: Timer, table: &mut RequestTable, (listeners, path): (&[Listener], &str)) {
+        match timer {
             Timer::Connection(id) => {
                 if let Some(role) = self.role(id) {
                     table.callbacks(role).timer_fired(id, self);
@@ -297,40 +331,45 @@
                 }
             }
             Timer::Finish(id) => {
-                if let Some(end) = self.conns.get(&id).and_then(|connection| connection.finishing) {
+                if let Some(end) = self.connections.get(&id).and_then(|connection| connection.finishing) {
                     self.remove(id, end);
                 }
             }
             Timer::Reload => self.read_configuration(table, path),
             Timer::Redial(id) => {
                 if let Some(dial) = self.dials.take(id) {
-                    // Why was told the first time.
-                    let _ = self.begin_dial(id, dial);
+                    // The reason was logged at the first attempt.
+                    let _ = self.start_dial(id, dial);
                 }
             }
             Timer::ResumeAccepting(role) => {
-                self.open(listener_of(listeners, role), role != ConnectionRole::Client || self.accepting);
+                self.set_accepting(
+                    listener_of(listeners, role),
+                    role != ConnectionRole::Client || self.accepting,
+                );
             }
-            Timer::Register(id) => self.watch(id),
-            due => table.timer_fired(due, self),
+            Timer::Register(id) => self.update_registration(id),
+            timer => table.timer_fired(timer, self),
         }
     }
 
-    /// Lets newcomers in at a listener, or leaves them waiting.
-    fn open(&mut self, listener: Option<&Listener>, open: bool) {
+    /// Starts or stops accepting on a listener; while stopped, connections wait in its queue.
+    fn set_accepting(&mut self, listener: Option<&Listener>, accepting: bool) {
         let Some(Listener { socket, key, role }) = listener else { return };
-        let event = if open { Event::readable(*key) } else { Event::none(*key) };
+        let event = if accepting { Event::readable(*key) } else { Event::none(*key) };
         if let Err(error) = self.poller.modify_with_mode(socket, event, PollMode::Level) {
             log!("poller", "listener={} reason={error}", role.code());
-            self.set_timer(Timer::ResumeAccepting(*role), self.now + WATCH_AGAIN);
+            self.set_timer(Timer::ResumeAccepting(*role), self.now + REGISTER_RETRY_INTERVAL);
         }
     }
 
-    /// A connection to another process of this dispatcher.
+    /// Adds the connection to the other process of an upgrade.
     pub fn add_peer_connection(&mut self, stream: UnixStream, listen: SocketAddr) -> ConnectionId {
         self.add_new(Connection::new(stream.into(), ConnectionRole::Peer, listen, false, self.now))
     }
 
+    /// Passes the client listener to a successor that has connected, and has the request table send its
+    /// state.
     fn hand_over(
         &mut self,
         table: &mut RequestTable,
@@ -340,15 +379,15 @@
         let Some(Ok((stream, _))) = successor.map(UnixListener::accept) else { return };
         let Some(listener) = listener_of(listeners, ConnectionRole::Client) else { return };
         if !table.may_hand_over() {
-            return log!("handover-failed", "reason=\"going down, or at it already\"");
+            return log!("handover-failed", "reason=\"shutting down, or already handing over\"");
         }
-        let given =
+        let sent =
             handover::send_listener(&stream, &listener.socket).and_then(|()| listener.socket.local_addr());
-        match given {
+        match sent {
             Ok(listen) => {
                 let id = self.add_peer_connection(stream, listen);
                 table.hand_over(id, self);
-                // From now on the others talk to the new process.
+                // From now on the other dispatchers talk to the new process.
                 if let Some(socket) = self.datagrams.take() {
                     let _ = self.poller.delete(&socket);
                 }
@@ -357,73 +396,77 @@
         }
     }
 
+    /// Accepts a limited number of connections from a listener.
     fn accept(&mut self, table: &mut RequestTable, listener: &Listener) {
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             if !table.room(listener.role, self) {
-                log!("accept-paused", "connections={} reason=no_room", self.conns.len());
-                return self.pause(listener, ROOM_AGAIN);
+                log!("accept-paused", "connections={} reason=no_room", self.connections.len());
+                return self.pause_accepting(listener, NO_ROOM_RETRY_INTERVAL);
             }
             match listener.socket.accept() {
                 Ok((stream, peer)) => {
-                    // A stream that blocks would hold up all others.
+                    // A blocking stream would block the whole loop.
                     if let Err(error) = stream.set_nonblocking(true) {
                         log!("accept-failed", "reason={error}");
                         continue;
                     }
-                    // Without it answers come later, and that is all.
+                    // Without TCP_NODELAY responses are only slower.
                     let _ = stream.set_nodelay(true);
                     let id =
                         self.add_new(Connection::new(stream.into(), listener.role, peer, false, self.now));
                     table.accepted(listener.role, id, self);
-                    self.read_queued(id, listener, table);
+                    self.read_accepted(id, listener, table);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    self.queued.remove(&listener.key);
+                    self.accept_queues.remove(&listener.key);
                     return;
                 }
                 Err(error) if errno::accept(&error) == Scope::Host => {
-                    log!("accept-paused", "connections={} reason={error}", self.conns.len());
-                    self.short = true;
-                    self.failed.accepts += 1;
-                    return self.pause(listener, ACCEPT_AGAIN);
+                    log!("accept-paused", "connections={} reason={error}", self.connections.len());
+                    self.short_of_descriptors = true;
+                    self.host_failures.accepts += 1;
+                    return self.pause_accepting(listener, ACCEPT_RETRY_INTERVAL);
                 }
-                // The newcomer has left again, or was interrupted: the next one may be well.
+                // The new connection was already closed, or the call was interrupted: the next one may
+                // succeed.
                 Err(error) => log!("accept-failed", "reason={error}"),
             }
         }
-        self.queued.entry(listener.key).or_insert(self.now);
+        self.accept_queues.entry(listener.key).or_insert(self.now);
     }
 
-    /// Reads at once what a newcomer has brought that had to wait to be accepted: its time runs from then on. What comes
-    /// later has not waited.
-    fn read_queued(&mut self, id: ConnectionId, listener: &Listener, table: &mut RequestTable) {
-        let Some(since) = self.queued.get(&listener.key).copied() else { return };
-        self.queued_since = Some(since);
-        self.ready(id, Event::readable(id as usize), table);
-        self.queued_since = None;
+    /// Reads at once what arrived on a connection while it waited in the accept queue: its time limits count
+    /// from the start of that wait. Bytes that arrive later did not wait.
+    fn read_accepted(&mut self, id: ConnectionId, listener: &Listener, table: &mut RequestTable) {
+        let Some(since) = self.accept_queues.get(&listener.key).copied() else { return };
+        self.accept_queued_since = Some(since);
+        self.handle_event(id, Event::readable(id as usize), table);
+        self.accept_queued_since = None;
     }
 
-    fn pause(&mut self, listener: &Listener, again: Micros) {
-        self.queued.entry(listener.key).or_insert(self.now);
-        self.set_timer(Timer::ResumeAccepting(listener.role), self.now + again);
-        self.open(Some(listener), false);
+    /// Stops accepting on a listener and sets a timer to resume.
+    fn pause_accepting(&mut self, listener: &Listener, retry_after: Micros) {
+        self.accept_queues.entry(listener.key).or_insert(self.now);
+        self.set_timer(Timer::ResumeAccepting(listener.role), self.now + retry_after);
+        self.set_accepting(Some(listener), false);
     }
 
-    /// Whose a connection is, also while its dial has not begun.
+    /// The role of a connection, also of one whose dial is postponed.
     fn role(&self, id: ConnectionId) -> Option<ConnectionRole> {
-        let connection = self.conns.get(&id).map(|connection| connection.role);
+        let connection = self.connections.get(&id).map(|connection| connection.role);
         connection.or_else(|| self.dials.get(id).map(|dial| dial.role))
     }
 
-    fn next_link(&mut self) -> ConnectionId {
-        self.next += 1;
-        self.next - 1
+    /// A connection id that has not been used.
+    fn allocate_id(&mut self) -> ConnectionId {
+        self.next_id += 1;
+        self.next_id - 1
     }
 
-    /// Makes a dial, or has it made again soon where the host keeps it from beginning, and says why it does.
-    fn begin_dial(&mut self, id: ConnectionId, dial: Dial) -> io::Result<()> {
+    /// Starts a dial. If the host cannot start it, schedules a retry and returns the host's error.
+    fn start_dial(&mut self, id: ConnectionId, dial: Dial) -> io::Result<()> {
         let (socket, failed) = match dials::dial(dial.to) {
-            Dialled::Begun(socket) => (socket, None),
+            Dialled::Started(socket) => (socket, None),
             Dialled::Failed(socket, error) => (socket, Some(error)),
             Dialled::Postponed(error) => return Err(self.postpone(id, dial, error)),
         };
@@ -431,120 +474,124 @@
         connection.queue(&dial.output);
         self.add(id, connection);
         if let Some(error) = failed {
-            self.broken.push((id, connect_failure(&error)));
+            self.broken_connections.push((id, connect_failure(&error)));
         }
         Ok(())
     }
 
+    /// Keeps a dial that the host could not start and schedules a retry.
     fn postpone(&mut self, id: ConnectionId, dial: Dial, error: io::Error) -> io::Error {
-        self.short |= errno::is_shortage(&error);
+        self.short_of_descriptors |= errno::is_shortage(&error);
         self.dials.postpone(id, dial);
-        self.set_timer(Timer::Redial(id), self.now + DIAL_AGAIN);
+        self.set_timer(Timer::Redial(id), self.now + REDIAL_INTERVAL);
         error
     }
 
     fn add(&mut self, id: ConnectionId, connection: Connection) {
-        self.conns.insert(id, connection);
-        self.watch(id);
+        self.connections.insert(id, connection);
+        self.update_registration(id);
     }
 
     fn add_new(&mut self, connection: Connection) -> ConnectionId {
-        let id = self.next_link();
+        let id = self.allocate_id();
         self.add(id, connection);
         id
     }
 
+    /// Closes a connection or gives up a postponed dial, and logs it.
     fn remove(&mut self, id: ConnectionId, end: CloseReason) {
         if let Some(Dial { to, role, .. }) = self.dials.take(id) {
             log!("dial-given-up", "link={id} side={} peer={to} reason={}", role.code(), end.code());
         }
-        let Some(connection) = self.conns.remove(&id) else { return };
+        let Some(connection) = self.connections.remove(&id) else { return };
         let _ = self.poller.delete(&connection.stream);
-        self.failed.reads += connection.failed_reads;
+        self.host_failures.reads += connection.failed_reads;
         let (role, peer, ms) =
             (connection.role.code(), connection.peer, (self.now - connection.since) / 1000);
         let unsent = u8::from(connection.has_unsent());
         log!("connection", "link={id} side={role} peer={peer} reason={} ms={ms} unsent={unsent}", end.code());
     }
 
-    /// Has the poller watch a connection for what it now wants; what the host fails is tried again.
-    fn watch(&mut self, id: ConnectionId) {
-        let Some(connection) = self.conns.get_mut(&id) else { return };
-        let wants = connection.interest();
-        if connection.watched == Some(wants) {
+    /// Registers a connection with the poller for its current interest, and schedules a retry if that fails.
+    fn update_registration(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let interest = connection.interest();
+        if connection.watched == Some(interest) {
             return;
         }
-        let event = Event::new(id as usize, wants.0, wants.1);
+        let event = Event::new(id as usize, interest.0, interest.1);
         let watched = match connection.watched {
-            // SAFETY: `remove` takes the socket out of the poller before it is closed.
+            // SAFETY: `remove` deletes the socket from the poller before it is closed.
             None => unsafe { self.poller.add_with_mode(&connection.stream, event, PollMode::Level) },
             Some(_) => self.poller.modify_with_mode(&connection.stream, event, PollMode::Level),
         };
         match watched {
-            Ok(()) => connection.watched = Some(wants),
+            Ok(()) => connection.watched = Some(interest),
             Err(error) => {
                 log!("poller", "link={id} reason={error}");
-                self.set_timer(Timer::Register(id), self.now + WATCH_AGAIN);
+                self.set_timer(Timer::Register(id), self.now + REGISTER_RETRY_INTERVAL);
             }
         }
     }
 
-    fn ready(&mut self, id: ConnectionId, event: Event, table: &mut RequestTable) {
+    /// Handles an event of the poller for a connection: completes its dial, writes, and reads.
+    fn handle_event(&mut self, id: ConnectionId, event: Event, table: &mut RequestTable) {
         let since = self.readable_since();
-        let Some(connection) = self.conns.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
         let role = connection.role;
         if connection.dialling {
             if !event.writable {
                 return;
             }
             if let Err(end) = connection.dial_result() {
-                return self.lost(id, end, table);
+                return self.connection_lost(id, end, table);
             }
             connection.dialling = false;
             let flushed = connection.flush();
             table.callbacks(role).connected(id, self);
             if let Err(end) = flushed {
-                self.broken.push((id, end));
+                self.broken_connections.push((id, end));
             }
-            return self.watch(id);
+            return self.update_registration(id);
         }
         if event.writable {
             if let Err(end) = connection.flush() {
-                return self.lost(id, end, table);
+                return self.connection_lost(id, end, table);
             }
-            // What came meanwhile has waited for this.
+            // Input that arrived meanwhile is processed only when the output is written.
             if !connection.has_unsent() && !connection.input.is_empty() {
-                self.revisits.push(id);
+                self.to_process.push(id);
             }
         }
         let mut end = None;
         if event.readable {
             let had = connection.input.len();
-            let mut read = connection.read(&mut self.scratch, since);
-            // A client may have asked and left again: both are to be known before it is served.
-            let full = Ok(self.scratch.len());
-            for _ in 1..READS_ON {
-                let on = read == full || self.behind.is_some() && read != Ok(0);
-                if role != ConnectionRole::Client || read.is_err() || !on {
+            let mut read = connection.read(&mut self.read_buffer, since);
+            // A client may have sent a request and left: both must be known before it is served.
+            let full = Ok(self.read_buffer.len());
+            for _ in 1..MAX_READS_PER_EVENT {
+                let has_more = read == full || self.catching_up.is_some() && read != Ok(0);
+                if role != ConnectionRole::Client || read.is_err() || !has_more {
                     break;
                 }
-                read = connection.read(&mut self.scratch, since);
+                read = connection.read(&mut self.read_buffer, since);
             }
             end = read.err();
             if connection.input.len() > had {
-                self.tell(id, table);
+                self.deliver(id, table);
             }
         }
         if let Some(end) = end {
-            return self.lost(id, end, table);
+            return self.connection_lost(id, end, table);
         }
-        self.finished(id);
-        self.watch(id);
+        self.linger_if_written(id);
+        self.update_registration(id);
     }
 
-    /// Gives the owner what has been read.
-    fn tell(&mut self, id: ConnectionId, table: &mut RequestTable) {
-        let Some(connection) = self.conns.get_mut(&id).filter(|connection| connection.finishing.is_none())
+    /// Passes the unprocessed input to the owner.
+    fn deliver(&mut self, id: ConnectionId, table: &mut RequestTable) {
+        let Some(connection) =
+            self.connections.get_mut(&id).filter(|connection| connection.finishing.is_none())
         else {
             return;
         };
@@ -552,17 +599,17 @@
         let had = input.len();
         table.callbacks(role).received(id, &mut input, self);
         table.collect_events(self);
-        if let Some(connection) = self.conns.get_mut(&id).filter(|connection| !connection.lingering) {
-            connection.receive_times.take(had - input.len());
+        if let Some(connection) = self.connections.get_mut(&id).filter(|connection| !connection.lingering) {
+            connection.receive_times.consume(had - input.len());
             input.shrink_to(if input.is_empty() { 4 << 10 } else { usize::MAX });
             connection.input = input;
         }
-        self.watch(id);
+        self.update_registration(id);
     }
 
-    /// The other side has ended a connection, or it never came up.
-    fn lost(&mut self, id: ConnectionId, end: CloseReason, table: &mut RequestTable) {
-        let Some(connection) = self.conns.get_mut(&id) else { return };
+    /// Handles a connection that the other end has closed, that failed, or that was never established.
+    fn connection_lost(&mut self, id: ConnectionId, end: CloseReason, table: &mut RequestTable) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
         if let Some(end) = connection.finishing {
             return self.remove(id, end);
         }
@@ -573,21 +620,22 @@
         table.collect_events(self);
     }
 
-    /// Shuts our side of a connection that was to end once all is written.
-    fn finished(&mut self, id: ConnectionId) {
-        let Some(connection) = self.conns.get_mut(&id) else { return };
+    /// Shuts down our direction of a connection that is to be closed once all output is written.
+    fn linger_if_written(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.finishing.is_some() && !connection.lingering && !connection.has_unsent() {
             connection.linger();
         }
     }
 
-    fn call_back(&mut self, table: &mut RequestTable) {
-        for (id, end) in std::mem::take(&mut self.broken) {
-            self.lost(id, end, table);
+    /// Calls back the owners of broken connections and those that requested their input again.
+    fn run_deferred(&mut self, table: &mut RequestTable) {
+        for (id, end) in std::mem::take(&mut self.broken_connections) {
+            self.connection_lost(id, end, table);
         }
-        for id in std::mem::take(&mut self.revisits) {
-            if self.conns.get(&id).is_some_and(|connection| !connection.input.is_empty()) {
-                self.tell(id, table);
+        for id in std::mem::take(&mut self.to_process) {
+            if self.connections.get(&id).is_some_and(|connection| !connection.input.is_empty()) {
+                self.deliver(id, table);
             }
         }
     }
@@ -603,27 +651,27 @@
     }
 
     fn readable_since(&self) -> Micros {
-        let behind = self.behind.map_or(self.now, |(since, _)| since);
-        self.queued_since.map_or(behind, |since| since.min(behind))
+        let catching_up = self.catching_up.map_or(self.now, |(since, _)| since);
+        self.accept_queued_since.map_or(catching_up, |since| since.min(catching_up))
     }
 
     fn host_failures(&self) -> HostFailures {
-        let open: u64 = self.conns.values().map(|connection| connection.failed_reads).sum();
-        HostFailures { dials: self.dials.count, reads: self.failed.reads + open, ..self.failed }
+        let open: u64 = self.connections.values().map(|connection| connection.failed_reads).sum();
+        HostFailures { dials: self.dials.count, reads: self.host_failures.reads + open, ..self.host_failures }
     }
 
     fn received_since(&self, id: ConnectionId) -> Micros {
-        let first = self.conns.get(&id).and_then(|connection| connection.receive_times.first());
+        let first = self.connections.get(&id).and_then(|connection| connection.receive_times.first());
         first.unwrap_or_else(|| self.readable_since())
     }
 
     fn connection_count(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 
     fn close_oldest_lingering(&mut self) -> bool {
         let lingering = self
-            .conns
+            .connections
             .iter()
             .filter(|(_, connection)| connection.lingering && connection.role == ConnectionRole::Client);
         let ends = lingering.filter_map(|(id, connection)| Some((*id, connection.finishing?)));
@@ -632,8 +680,8 @@
     }
 
     fn dial(&mut self, to: SocketAddr, role: ConnectionRole) -> ConnectionId {
-        let id = self.next_link();
-        if let Err(error) = self.begin_dial(id, Dial { to, role, output: Vec::new() }) {
+        let id = self.allocate_id();
+        if let Err(error) = self.start_dial(id, Dial { to, role, output: Vec::new() }) {
             log!("dial-postponed", "link={id} side={} peer={to} reason={error}", role.code());
         }
         id
@@ -647,41 +695,41 @@
         if let Some(dial) = self.dials.get_mut(id) {
             return dial.output.extend_from_slice(bytes);
         }
-        let Some(connection) = self.conns.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.queue(bytes);
         match connection.flush() {
-            Ok(()) => self.watch(id),
-            Err(end) => self.broken.push((id, end)),
+            Ok(()) => self.update_registration(id),
+            Err(end) => self.broken_connections.push((id, end)),
         }
     }
 
     fn is_reusable(&mut self, id: ConnectionId) -> bool {
-        let broken = self.broken.iter().any(|(known, _)| *known == id);
-        !broken && self.conns.get(&id).is_some_and(Connection::is_reusable)
+        let broken = self.broken_connections.iter().any(|(known, _)| *known == id);
+        !broken && self.connections.get(&id).is_some_and(Connection::is_reusable)
     }
 
     fn peer_has_closed(&self, id: ConnectionId) -> bool {
-        self.conns.get(&id).is_none_or(Connection::peer_has_closed)
+        self.connections.get(&id).is_none_or(Connection::peer_has_closed)
     }
 
     fn has_unsent(&self, id: ConnectionId) -> bool {
-        self.conns.get(&id).is_some_and(Connection::has_unsent)
+        self.connections.get(&id).is_some_and(Connection::has_unsent)
     }
 
     fn has_overflowed(&self, id: ConnectionId) -> bool {
-        self.conns.get(&id).is_some_and(Connection::has_overflowed)
+        self.connections.get(&id).is_some_and(Connection::has_overflowed)
     }
 
     fn process_again(&mut self, id: ConnectionId) {
-        self.revisits.push(id);
+        self.to_process.push(id);
     }
 
     fn finish(&mut self, id: ConnectionId, end: CloseReason) {
-        let Some(connection) = self.conns.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.finishing = Some(end);
-        self.finished(id);
-        self.set_timer(Timer::Finish(id), self.now + FINISH_WITHIN);
-        self.watch(id);
+        self.linger_if_written(id);
+        self.set_timer(Timer::Finish(id), self.now + FINISH_TIMEOUT);
+        self.update_registration(id);
     }
 
     fn abort(&mut self, id: ConnectionId, end: CloseReason) {
@@ -690,13 +738,13 @@
 
     fn send_datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = &self.datagrams {
-            // What cannot be sent now is as good as lost on its way.
+            // A datagram that cannot be sent now counts as lost on the way.
             let _ = socket.send_to(bytes, to);
         }
     }
 
-    fn set_timer(&mut self, due: Timer, at: Micros) {
-        self.serial += 1;
-        self.dues.insert((at, self.serial), due);
+    fn set_timer(&mut self, timer: Timer, at: Micros) {
+        self.timer_serial += 1;
+        self.timers.insert((at, self.timer_serial), timer);
     }
 }
--- a/node/src/net/receive_times.rs
+++ b/node/src/net/receive_times.rs
@@ -1,33 +1,34 @@
-//! When the bytes came that a connection has read and its owner has not taken yet.
+//! When the unprocessed bytes of a connection may have arrived.
 //!
-//! Bytes that came together are one entry. The entries are bounded: beyond that a later entry counts as old as the one
-//! before it, so that a time is never told too late.
+//! Bytes read together are one entry. The number of entries is limited: beyond it, bytes are added to the
+//! last entry and count as being as old as that one, so that a reported time is never too late.
 
 use std::collections::VecDeque;
 
 use topazsail::Micros;
 
-const ENTRIES_MOST: usize = 64;
+/// The most entries per connection.
+const MAX_ENTRIES: usize = 64;
 
-/// The ages of bytes in the order in which they came.
+/// The receive times of bytes, in the order in which they arrived.
 #[derive(Debug, Default)]
 pub struct ReceiveTimes {
-    /// How many bytes, and since when they may have been there.
+    /// The number of bytes, and the earliest time at which they may have arrived.
     entries: VecDeque<(usize, Micros)>,
 }
 
 impl ReceiveTimes {
-    /// So many bytes have been read that may have been there since then.
-    pub fn note(&mut self, bytes: usize, since: Micros) {
-        let full = self.entries.len() >= ENTRIES_MOST;
+    /// Records bytes that have been read and may have arrived as early as `since`.
+    pub fn record(&mut self, bytes: usize, since: Micros) {
+        let full = self.entries.len() >= MAX_ENTRIES;
         match self.entries.back_mut() {
             Some((count, at)) if full || *at == since => *count += bytes,
             _ => self.entries.push_back((bytes, since)),
         }
     }
 
-    /// So many bytes have been taken from the front.
-    pub fn take(&mut self, mut bytes: usize) {
+    /// Removes bytes that the owner has processed.
+    pub fn consume(&mut self, mut bytes: usize) {
         while let Some((count, _)) = self.entries.front_mut() {
             if *count > bytes {
                 *count -= bytes;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Since when the first byte may have been there.
+    /// The earliest time at which the first byte may have arrived.
     pub fn first(&self) -> Option<Micros> {
         self.entries.front().map(|(_, since)| *since)
     }
