--- a/node/src/lifecycle/handover.rs
+++ b/node/src/lifecycle/handover.rs
@@ -1,8 +1,8 @@
 //! Upgrades: how one process takes over from another that serves at the same address.
 //!
-//! It owns the Unix socket on which they find each other, what is handed over on it, and the connection that
-//! stays between them. It must never decide when to stop or start serving, nor wait for the other process but
-//! at the start, and there for a second at most.
+//! This module owns the Unix socket on which the two processes connect, the state that is handed over on it,
+//! and the connection that remains between them. It does not decide when to start or stop serving, and waits
+//! for the other process only at the start, for at most [`HANDOVER_TIMEOUT`].
 
 use std::io::{self, IoSlice, IoSliceMut, Read};
 use std::mem::MaybeUninit;
@@ -26,106 +26,121 @@
 use crate::net::connection::{CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId};
 use crate::net::log::log;
 
-/// How long a starting process waits for the one that serves.
-const ASK_WITHIN: Duration = Duration::from_secs(1);
-const STATE_MOST: usize = 8 << 20;
-const LINE_MOST: usize = 1 << 20;
-/// Goes with the descriptor; another one belongs to a form that is not known here.
-const FORM: u8 = b'1';
+/// How long a starting process waits for the serving one.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The largest accepted state.
+const MAX_STATE_BYTES: usize = 8 << 20;
+/// The longest accepted message after the state.
+const MAX_LINE_BYTES: usize = 1 << 20;
+/// The version of the protocol, sent together with the descriptor. Other versions are rejected.
+const FORMAT: u8 = b'1';
 
-/// What the process that serves knows and its successor must know as well.
+/// The state of a serving process that its successor needs.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// Where the list comes from, and the list in discovery's own form.
+    /// The address of the discovery that the roster comes from.
     pub discovery: String,
+    /// The list of runners in discovery's own format.
     #[serde(rename = "list")]
     pub roster: Value,
-    /// Until when nothing that discovery could tell can have been missed; 0 where the other process does not say.
+    /// The time up to which no change at discovery can have been missed; 0 if the other process does not send
+    /// it.
     #[serde(default)]
     pub sure_at: Micros,
-    /// Connections that are open.
+    /// The number of open connections.
     #[serde(default)]
     pub connections: usize,
-    /// Runners that were listed once.
+    /// Runners that were listed once and no longer are.
     #[serde(default)]
     pub gone: Vec<String>,
-    /// Runners out by hand, since when, and those that have been and are back.
+    /// Runners taken out by an admin override, and since when.
     pub out: Vec<(String, Micros)>,
+    /// Runners that were taken out by an admin override and are back, with the start and end of that time.
     pub was_out: Vec<(String, Micros, Micros)>,
-    /// Ids that are open or have been answered.
+    /// Ids of invocations that are open or have been answered.
     pub ids: Vec<String>,
     /// The text of the configuration in force.
     pub configuration: String,
-    /// What has been sent to cold runners of late.
+    /// By cold runner, the times and amounts of the work sent to it recently.
     #[serde(rename = "spent")]
     pub slow_start_usage: Vec<(String, Vec<(Micros, f64)>)>,
 }
 
-/// What the two processes tell each other while both serve.
+/// The messages between the two processes while both serve.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HandoverMessage {
-    /// A call-back for an invocation that is not open here, with the hash of its bytes.
+    /// A call-back for an invocation that is not open at the sender, with the hash of its bytes.
     #[serde(rename = "told")]
     Callback(RunnerCallback, u64),
-    /// An operator took a runner out, or back in.
+    /// An operator has taken a runner out, or back in.
     #[serde(rename = "hand")]
     AdminOverride { id: String, out: bool },
-    /// An id that has been taken.
+    /// The id of an invocation that the sender has accepted.
     #[serde(rename = "taken")]
     InvocationTaken(String),
 }
 
-/// Where the process that serves at this address is found; nowhere without a folder of its own.
+/// The path of the Unix socket for hand-overs of the process that serves at this address. `None` if `TMPDIR`
+/// is not set, since the process then has no folder of its own for the socket.
 pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     let folder = env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     Some(Path::new(&folder).join(format!("topazsail-{listen}.sock")))
 }
 
-/// What a starting process is given.
+/// What a starting process has received from the serving one.
 pub struct Inherited {
+    /// The listener for clients.
     pub listener: TcpListener,
+    /// The connection to the other process.
     pub stream: UnixStream,
+    /// The state of the other process.
     pub state: HandoverState,
-    /// What the other process has said since: it goes on speaking as soon as it has handed over.
+    /// Bytes of messages that followed the state; the other process sends messages as soon as it has handed
+    /// over.
     pub since: Vec<u8>,
 }
 
-/// Asks the process that serves, if there is one.
-pub fn request_handover(place: &Path) -> Option<Inherited> {
-    let stream = UnixStream::connect(place).ok()?;
-    let given = take(stream);
-    given.inspect_err(|fault| log!("handover-failed", "reason={:?}", fault.to_string())).ok()
+/// Requests a hand-over from the serving process. `None` if there is none or the hand-over fails, which is
+/// logged.
+pub fn request_handover(path: &Path) -> Option<Inherited> {
+    let stream = UnixStream::connect(path).ok()?;
+    let received = receive_handover(stream);
+    received.inspect_err(|error| log!("handover-failed", "reason={:?}", error.to_string())).ok()
 }
 
-fn take(mut stream: UnixStream) -> io::Result<Inherited> {
-    let until = Instant::now() + ASK_WITHIN;
-    let patience = |stream: &UnixStream| {
-        let left = until.saturating_duration_since(Instant::now());
+/// Receives the listener and the state.
+fn receive_handover(mut stream: UnixStream) -> io::Result<Inherited> {
+    let deadline = Instant::now() + HANDOVER_TIMEOUT;
+    let set_read_timeout = |stream: &UnixStream| {
+        let left = deadline.saturating_duration_since(Instant::now());
         stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))
     };
-    patience(&stream)?;
-    let mut form = [0];
+    set_read_timeout(&stream)?;
+    let mut format = [0];
     let mut room = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut room);
-    recvmsg(&stream, &mut [IoSliceMut::new(&mut form)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    recvmsg(&stream, &mut [IoSliceMut::new(&mut format)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
     let descriptor: Option<OwnedFd> = control.drain().find_map(|message| match message {
         RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
     });
-    let bad = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
-    let listener =
-        TcpListener::from(descriptor.filter(|_| form == [FORM]).ok_or_else(|| bad("no listener"))?);
-    let (mut text, mut some) = (Vec::new(), vec![0; 64 << 10]);
+    let invalid = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
+    let listener = TcpListener::from(
+        descriptor
+            .filter(|_| format == [FORMAT])
+            .ok_or_else(|| invalid("expected a listener descriptor with format 1"))?,
+    );
+    let (mut text, mut buffer) = (Vec::new(), vec![0; 64 << 10]);
     let length = loop {
         if let Some(length) = text.iter().position(|byte| *byte == b'\n') {
             break length;
         }
-        patience(&stream)?;
-        let read = stream.read(&mut some)?;
-        text.extend_from_slice(&some[..read]);
-        if read == 0 || text.len() > STATE_MOST || Instant::now() > until {
-            return Err(bad("the state did not come whole"));
+        set_read_timeout(&stream)?;
+        let read = stream.read(&mut buffer)?;
+        text.extend_from_slice(&buffer[..read]);
+        if read == 0 || text.len() > MAX_STATE_BYTES || Instant::now() > deadline {
+            return Err(invalid("incomplete state: expected one line of at most 8 MiB within 1 s"));
         }
     };
     let since = text.split_off(length + 1);
@@ -134,57 +149,71 @@
     Ok(Inherited { listener, stream, state, since })
 }
 
-/// Waits for a successor here; whoever was here before has left, or will not be asked at this place again.
-pub fn bind_successor_socket(place: &Path) -> io::Result<UnixListener> {
-    match fs::remove_file(place) {
+/// Listens for a successor at this path. A socket file that is already there is removed: the process that
+/// created it has ended, or has handed over and gets no further request.
+///
+/// # Errors
+///
+/// The old file cannot be removed, or the socket cannot be opened.
+pub fn bind_successor_socket(path: &Path) -> io::Result<UnixListener> {
+    match fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
     }
-    let listener = UnixListener::bind(place)?;
-    fs::set_permissions(place, fs::Permissions::from_mode(0o600))?;
+    let listener = UnixListener::bind(path)?;
+    fs::set_permissions(path, fs::Permissions::from_mode(0o600))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Gives a successor the listener; the state follows on the connection as any other bytes.
+/// Sends the listener to a successor; the state follows on the same connection as ordinary bytes.
+///
+/// # Errors
+///
+/// The connection fails.
 pub fn send_listener(stream: &UnixStream, listener: &TcpListener) -> io::Result<()> {
     stream.set_nonblocking(true)?;
     let mut room = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut room);
     let descriptors = [listener.as_fd()];
     control.push(SendAncillaryMessage::ScmRights(&descriptors));
-    sendmsg(stream, &[IoSlice::new(&[FORM])], &mut control, SendFlags::empty())?;
+    sendmsg(stream, &[IoSlice::new(&[FORMAT])], &mut control, SendFlags::empty())?;
     Ok(())
 }
 
-/// The connection to the other process.
+/// The connection to the other process of an upgrade.
 #[derive(Default)]
 pub struct HandoverPeer {
     connection: Option<ConnectionId>,
+    /// Received bytes that are not yet a complete line.
     text: Vec<u8>,
+    /// Messages received and not yet processed by the request table.
     pub incoming: Vec<HandoverMessage>,
-    /// It has ended since this was last looked at.
+    /// The connection has been closed; reset by the request table when it has handled that.
     pub ended: bool,
 }
 
 impl HandoverPeer {
+    /// Whether there is a connection to another process.
     pub fn is_connected(&self) -> bool {
         self.connection.is_some()
     }
 
+    /// Uses this connection from now on.
     pub fn attach(&mut self, connection: ConnectionId) {
         self.connection = Some(connection);
         self.text.clear();
     }
 
-    pub fn send(&self, word: &impl Serialize, driver: &mut dyn ConnectionDriver) {
+    /// Sends the state or a message as one line of JSON, if there is a connection.
+    pub fn send(&self, message: &impl Serialize, driver: &mut dyn ConnectionDriver) {
         let Some(connection) = self.connection else { return };
-        let Ok(mut line) = serde_json::to_vec(word) else { return };
+        let Ok(mut line) = serde_json::to_vec(message) else { return };
         line.push(b'\n');
         driver.send(connection, &line);
     }
 
-    fn lose(&mut self, why: &str) {
+    fn disconnected(&mut self, why: &str) {
         log!("handover-ended", "reason={why}");
         (self.connection, self.ended) = (None, true);
     }
@@ -195,19 +224,19 @@
 
     fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
         self.text.append(input);
-        let mut read = 0;
-        while let Some(length) = self.text[read..].iter().position(|byte| *byte == b'\n') {
-            match serde_json::from_slice(&self.text[read..read + length]) {
-                Ok(word) => self.incoming.push(word),
-                // Of another version, perhaps: what can be read goes on being heard.
+        let mut parsed = 0;
+        while let Some(length) = self.text[parsed..].iter().position(|byte| *byte == b'\n') {
+            match serde_json::from_slice(&self.text[parsed..parsed + length]) {
+                Ok(message) => self.incoming.push(message),
+                // Possibly a message of another version; later messages that can be read are still processed.
                 Err(error) => log!("handover-unread", "reason={:?}", error.to_string()),
             }
-            read += length + 1;
+            parsed += length + 1;
         }
-        drop(self.text.drain(..read));
-        if self.text.len() > LINE_MOST {
+        drop(self.text.drain(..parsed));
+        if self.text.len() > MAX_LINE_BYTES {
             driver.abort(connection, CloseReason::BadInput);
-            self.lose("line_too_long");
+            self.disconnected("line_too_long");
         }
     }
 
@@ -220,7 +249,7 @@
         _: &mut dyn ConnectionDriver,
     ) {
         if self.connection == Some(connection) {
-            self.lose(end.code());
+            self.disconnected(end.code());
         }
     }
 
--- a/node/src/lifecycle/migrate.rs
+++ b/node/src/lifecycle/migrate.rs
@@ -1,8 +1,9 @@
-//! The configuration of a dispatcher for the old shape of deployment, rewritten for the new one: the list's
-//! sizes move with load, reports come on probes only, second copies are allowed, there are two zones.
+//! `topazsail migrate`: rewrites a dispatcher's configuration from the old shape of deployment to the new
+//! one, in which the list's sizes change with load, reports come with probes only, second copies are allowed,
+//! and there are two zones.
 //!
-//! It owns what differs between the shapes. It must never guess what only the operator knows: that stays as it
-//! is and is listed, and a result that could not be served is none.
+//! This module holds what differs between the shapes. It does not guess what only the operator knows: such
+//! settings stay as they are and are listed. A result that could not be served is an error.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -12,24 +13,31 @@
 
 use crate::config;
 
-/// What the operator says of the new deployment.
+/// What the operator specifies about the new deployment. What is empty or `None` keeps its setting.
 pub struct MigrationTarget {
+    /// The names of all zones.
     pub zones: Vec<String>,
+    /// The zone of this dispatcher.
     pub my_zone: Option<String>,
+    /// The number of dispatchers.
     pub dispatchers: Option<u32>,
+    /// The index of this dispatcher, from 0.
     pub number: Option<u32>,
 }
 
+/// A migrated configuration.
 #[derive(Debug)]
 pub struct Migration {
+    /// The new configuration file.
     pub text: String,
-    /// What is otherwise than it was, and what could not be carried over.
+    /// One line per changed setting, with its old and new value.
     pub changed: Vec<String>,
+    /// One line per setting that needs the operator's attention or could not be carried over.
     pub not_carried_over: Vec<String>,
 }
 
-/// Settings that every dispatcher of the new shape has.
-fn shape() -> [(&'static str, Value); 4] {
+/// The settings that are the same for every dispatcher of the new shape.
+fn shape_settings() -> [(&'static str, Value); 4] {
     [
         ("registryMode", json!("automatic")),
         ("weights", json!("live")),
@@ -38,13 +46,18 @@
     ]
 }
 
+/// Rewrites the configuration `text` for the new shape.
+///
+/// # Errors
+///
+/// The configuration or the result is not valid, or the target contradicts it; the message names the setting.
 pub fn migrate(text: &str, target: &MigrationTarget) -> Result<Migration, String> {
-    let told = config::decode(text)?;
+    let configuration = config::decode(text)?;
     let mut json: Value = serde_json::from_str(text).map_err(|error| format!("no JSON: {error}"))?;
-    let (mut changed, mut left) = (Vec::new(), Vec::new());
+    let (mut changed, mut not_carried_over) = (Vec::new(), Vec::new());
     let settings = json.get_mut("settings").ok_or("settings is missing")?;
     let mut set = |path: &str, value: Value| put(settings, path, value, &mut changed);
-    for (path, value) in shape() {
+    for (path, value) in shape_settings() {
         set(path, value)?;
     }
     if let Some(dispatchers) = target.dispatchers {
@@ -59,55 +72,62 @@
     if let Some(zone) = &target.my_zone {
         set("myZone", json!(zone))?;
     }
-    let at = |path: &str| settings.pointer(&format!("/{}", path.replace('.', "/")));
-    let mut leave = |what: String| left.push(what);
-    let number = |path: &str| at(path).and_then(Value::as_u64);
-    let (dispatchers, nth) =
+    let setting = |path: &str| settings.pointer(&format!("/{}", path.replace('.', "/")));
+    let mut note = |line: String| not_carried_over.push(line);
+    let number = |path: &str| setting(path).and_then(Value::as_u64);
+    let (dispatchers, index) =
         (number("balancers").unwrap_or_default(), number("selfIndex").unwrap_or_default());
-    if nth >= dispatchers {
+    if index >= dispatchers {
         return Err(format!(
-            "settings.selfIndex {nth} is not below settings.balancers {dispatchers}: --number"
+            "settings.selfIndex {index} is not below settings.balancers {dispatchers}: set it with --number"
         ));
     }
     if target.dispatchers.is_none() {
-        leave(format!("settings.balancers stays {dispatchers}: --dispatchers tells the new number"));
-    }
-    let zones: Vec<&str> =
-        at("localities").and_then(Value::as_array).into_iter().flatten().filter_map(Value::as_str).collect();
-    let my_zone = at("myZone").and_then(Value::as_str).unwrap_or_default();
+        note(format!("settings.balancers stays {dispatchers}: --dispatchers sets the new number"));
+    }
+    let zones: Vec<&str> = setting("localities")
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten()
+        .filter_map(Value::as_str)
+        .collect();
+    let my_zone = setting("myZone").and_then(Value::as_str).unwrap_or_default();
     if !zones.is_empty() && !zones.contains(&my_zone) {
-        return Err(format!("settings.myZone '{my_zone}' is not in settings.localities: --my-zone"));
+        return Err(format!(
+            "settings.myZone '{my_zone}' is not in settings.localities: set it with --my-zone"
+        ));
     }
     if zones.len() != 2 {
-        leave(format!("settings.localities stays at {} zones, not two: --zones tells them", zones.len()));
+        note(format!("settings.localities stays at {} zones, not two: --zones sets them", zones.len()));
     }
-    if at("familyInfo.tellsStart") != Some(&json!(true)) {
-        leave("settings.familyInfo.tellsStart is not true: without it no work moves before it starts".into());
+    if setting("familyInfo.tellsStart") != Some(&json!(true)) {
+        note("settings.familyInfo.tellsStart is not true: without it no work moves before it starts".into());
     }
-    if at("familyInfo.classStretch").is_none() {
-        leave("settings.familyInfo.classStretch is missing: objectives do not grow with the work".into());
+    if setting("familyInfo.classStretch").is_none() {
+        note("settings.familyInfo.classStretch is missing: objectives do not grow with the work".into());
     }
     for field in ["x0", "outstanding"] {
-        if !told.decoded.report_fields.iter().any(|known| known == field) {
-            leave(format!("settings.report.fields lacks {field}: a runner's slots cannot be learnt"));
+        if !configuration.decoded.report_fields.iter().any(|known| known == field) {
+            note(format!("settings.report.fields lacks {field}: a runner's slots cannot be learnt"));
         }
     }
-    if at("invariants.askWithin").is_some() {
-        leave("settings.invariants.askWithin is kept and no longer read: the list is sent unasked".into());
+    if setting("invariants.askWithin").is_some() {
+        note("settings.invariants.askWithin is kept and no longer read: the list is sent unasked".into());
     }
     let known = json.pointer("/known/instances").and_then(Value::as_array).map_or(0, Vec::len);
     if known > 0 {
-        // A size of the old shape would be taken for the greatest of its kind at rest, for good.
+        // A size of the old shape would be taken as the largest size of its machine type without load,
+        // permanently.
         json["known"] = json!({"generation": 0, "reset": true, "instances": []});
         changed.push(format!("known: {known} runners -> none"));
-        leave(format!("known: {known} runners were of the old shape; the list is sent at the start"));
+        note(format!("known: {known} runners were of the old shape; the list is sent at the start"));
     }
     let text = serde_json::to_string_pretty(&json).map_err(|error| error.to_string())? + "\n";
-    config::decode(&text).map_err(|fault| format!("the result could not be served: {fault}"))?;
-    Ok(Migration { text, changed, not_carried_over: left })
+    config::decode(&text).map_err(|error| format!("the result could not be served: {error}"))?;
+    Ok(Migration { text, changed, not_carried_over })
 }
 
-/// Sets one setting by its path, with what lies between made where it is missing.
+/// Sets one setting by its path and creates missing objects on the way.
 fn put(settings: &mut Value, path: &str, value: Value, changed: &mut Vec<String>) -> Result<(), String> {
     let mut place = settings;
     for name in path.split('.') {
@@ -124,19 +144,24 @@
     Ok(())
 }
 
-/// Writes all of it or nothing, and over no file that is there: that may be the way back.
+/// Writes the file completely or not at all. An existing file is not overwritten, since it may be needed to
+/// go back.
+///
+/// # Errors
+///
+/// The file exists or cannot be written; nothing was written then.
 pub fn write(text: &str, to: &str) -> Result<(), String> {
-    let fault = |error: std::io::Error| format!("{to}: {error}; nothing was written");
+    let describe = |error: std::io::Error| format!("{to}: {error}; nothing was written");
     let part = format!("{to}.part-{}", std::process::id());
-    let all = |part: &str| {
+    let write_part = |part: &str| {
         let mut file = OpenOptions::new().write(true).create_new(true).open(part)?;
         file.write_all(text.as_bytes())?;
         file.sync_all()?;
         fs::hard_link(part, to)
     };
-    let done = all(&part).map_err(fault);
+    let written = write_part(&part).map_err(describe);
     if Path::new(&part).exists() {
         fs::remove_file(&part).map_err(|error| format!("{part}: {error}"))?;
     }
-    done
+    written
 }
--- a/node/src/lifecycle/mod.rs
+++ b/node/src/lifecycle/mod.rs
@@ -1,4 +1,5 @@
-//! The life of a process: its start, what it keeps, and what it leaves to the next.
+//! The lifecycle of a process: start, signals, hand-over to a successor, the store thread, and the offline
+//! commands for migrating configurations and reporting on stores.
 
 pub mod handover;
 pub mod migrate;
--- a/node/src/lifecycle/start.rs
+++ b/node/src/lifecycle/start.rs
@@ -1,5 +1,5 @@
-//! The start of a process that serves: its configuration, what another process hands over, its sockets and its store;
-//! then the loop, until it ends.
+//! Starts a serving process: configuration, hand-over from a running process, sockets and store; then runs
+//! the event loop until the process ends.
 
 use std::io;
 use std::path::Path;
@@ -24,19 +24,23 @@
 use crate::net::sockets::{bind_datagram_socket, listen};
 use crate::request_table::RequestTable;
 
-/// How long a process that ends waits for its disk.
-const CLOSED_WITHIN: Duration = Duration::from_millis(500);
+/// How long an ending process waits for the store to be written and closed.
+const STORE_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Makes the disk below a store's folder: the real one, or one that fails on purpose.
+/// Opens the disk for a store folder: the real one, or in tests one that fails on purpose.
 pub type OpenDisk = fn(&Path) -> io::Result<Box<dyn Disk>>;
 
-/// Nobody else has the folder of the store: known before anything listens. A disk on which nothing can be written
-/// now is no fault of the configuration.
-fn locked(told: &config::Configuration, open_disk: OpenDisk) -> Result<Option<Box<dyn Disk>>, String> {
-    let Some(store) = &told.store else { return Ok(None) };
-    let fault = |error: io::Error| format!("store.folder {}: {error}", store.folder.display());
+/// Locks the folder of the store, so that a folder in use by another process is reported before anything
+/// listens. `None` if no store is configured, or if the disk fails transiently and the store is not required:
+/// that is no error of the configuration, and the store opens the folder later.
+fn lock_store(
+    configuration: &config::Configuration,
+    open_disk: OpenDisk,
+) -> Result<Option<Box<dyn Disk>>, String> {
+    let Some(store) = &configuration.store else { return Ok(None) };
+    let describe = |error: io::Error| format!("store.folder {}: {error}", store.folder.display());
     if !store.folder.is_dir() {
-        return Err(fault(io::Error::new(io::ErrorKind::NotADirectory, "no such folder")));
+        return Err(describe(io::Error::new(io::ErrorKind::NotADirectory, "no such folder")));
     }
     let locked = retry_while(
         |error| errno::file(error).is_transient(),
@@ -47,121 +51,143 @@
     );
     match locked {
         Ok(disk) => Ok(Some(disk)),
-        // The store opens it later.
+        // The store thread opens it later.
         Err(error) if !store.require && errno::file(&error).is_transient() => Ok(None),
-        Err(error) => Err(fault(error)),
+        Err(error) => Err(describe(error)),
     }
 }
 
-/// Serves by the configuration in `path`, which is read again at each SIGHUP.
+/// Serves with the configuration in the file `path`, which is read again at each SIGHUP.
+///
+/// # Errors
+///
+/// The configuration, a socket, the store or the poller fails: what failed, the value, and the reason.
 pub fn serve(path: &str, open_disk: OpenDisk) -> Result<(), String> {
-    let fault = |what: &'static str| move |error: io::Error| format!("{what}: {error}");
-    let terminate = Signal::new(signal_hook::consts::SIGTERM).map_err(fault("signal"))?;
-    let reload = Signal::new(signal_hook::consts::SIGHUP).map_err(fault("signal"))?;
-    // A file that may not grow is an error of the write, and no signal.
+    let describe = |what: &'static str| move |error: io::Error| format!("{what}: {error}");
+    let terminate = Signal::new(signal_hook::consts::SIGTERM).map_err(describe("signal"))?;
+    let reload = Signal::new(signal_hook::consts::SIGHUP).map_err(describe("signal"))?;
+    // With a handler for SIGXFSZ, a write beyond the file size limit returns an error instead of killing the
+    // process.
     let ignored = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(libc::SIGXFSZ, ignored).map_err(fault("signal"))?;
-    let (told, given) = begin(path)?;
-    let locked = if given.is_none() { locked(&told, open_disk)? } else { None };
-    let addresses = [(ConnectionRole::Client, Some(told.listen)), (ConnectionRole::Operator, told.admin)];
+    signal_hook::flag::register(libc::SIGXFSZ, ignored).map_err(describe("signal"))?;
+    let (configuration, inherited) = load_and_inherit(path)?;
+    let locked_disk = if inherited.is_none() { lock_store(&configuration, open_disk)? } else { None };
+    let addresses = [
+        (ConnectionRole::Client, Some(configuration.listen)),
+        (ConnectionRole::Operator, configuration.admin),
+    ];
     let mut listeners = Vec::new();
     for (role, address) in addresses {
         let Some(address) = address else { continue };
-        let given =
-            given.as_ref().filter(|_| role == ConnectionRole::Client).map(|given| given.listener.try_clone());
-        let socket = given
-            .unwrap_or_else(|| retry_while(opens_later, || listen(address)))
+        let inherited = inherited
+            .as_ref()
+            .filter(|_| role == ConnectionRole::Client)
+            .map(|other| other.listener.try_clone());
+        let socket = inherited
+            .unwrap_or_else(|| retry_while(may_open_later, || listen(address)))
             .map_err(|error| format!("listen {address}: {error}"))?;
         listeners.push(Listener { socket, role, key: FIRST_LISTENER_KEY + listeners.len() });
     }
-    let mut reactor = retry_while(opens_later, Reactor::new).map_err(fault("poller"))?;
-    // SAFETY: all outlive the poller's use of them: they are dropped after the loop has ended.
+    let mut reactor = retry_while(may_open_later, Reactor::new).map_err(describe("poller"))?;
+    // SAFETY: all of them are dropped after the loop has ended, when the poller is no longer used.
     unsafe {
         let mut added = reactor
             .poller
-            .add_with_mode(terminate.wakes(), Event::readable(TERMINATE_KEY), PollMode::Oneshot)
+            .add_with_mode(terminate.wake_stream(), Event::readable(TERMINATE_KEY), PollMode::Oneshot)
             .and_then(|()| {
-                reactor.poller.add_with_mode(reload.wakes(), Event::readable(RELOAD_KEY), PollMode::Level)
+                reactor.poller.add_with_mode(
+                    reload.wake_stream(),
+                    Event::readable(RELOAD_KEY),
+                    PollMode::Level,
+                )
             });
         for listener in &listeners {
             let event = Event::readable(listener.key);
             added =
                 added.and_then(|()| reactor.poller.add_with_mode(&listener.socket, event, PollMode::Level));
         }
-        added.map_err(fault("poller"))?;
+        added.map_err(describe("poller"))?;
     }
-    if let Some(peers) = &told.peers {
-        let socket = retry_while(opens_later, || bind_datagram_socket(peers.listen))
+    if let Some(peers) = &configuration.peers {
+        let socket = retry_while(may_open_later, || bind_datagram_socket(peers.listen))
             .map_err(|error| format!("peers.listen {}: {error}", peers.listen))?;
-        // SAFETY: it is kept beside the poller and never closed before it.
+        // SAFETY: the reactor holds the socket beside the poller and deletes it from the poller before
+        // closing it early.
         unsafe {
             let added = reactor.poller.add_with_mode(&socket, Event::readable(PEERS_KEY), PollMode::Level);
-            added.map_err(fault("poller"))?;
+            added.map_err(describe("poller"))?;
         }
         reactor.datagrams = Some(socket);
     }
-    let admin = told.admin.map_or_else(|| "none".to_owned(), |address| address.to_string());
-    let (listen, discovery) = (told.listen, told.discovery);
-    log!("serving", "name={} listen={listen} discovery={discovery} admin={admin}", told.name);
-    // Only now: whoever served until now has been asked.
-    let successor = handover::socket_path(listen).and_then(|place| {
-        let offered = handover::bind_successor_socket(&place);
-        offered.inspect_err(|error| log!("handover-failed", "reason={:?}", error.to_string())).ok()
+    let admin = configuration.admin.map_or_else(|| "none".to_owned(), |address| address.to_string());
+    let (listen, discovery) = (configuration.listen, configuration.discovery);
+    log!("serving", "name={} listen={listen} discovery={discovery} admin={admin}", configuration.name);
+    // Only now, as binding the path unlinks the socket of the process that served until now, which has handed
+    // over.
+    let successor = handover::socket_path(listen).and_then(|path| {
+        let bound = handover::bind_successor_socket(&path);
+        bound.inspect_err(|error| log!("handover-failed", "reason={:?}", error.to_string())).ok()
     });
     if let Some(successor) = &successor {
         // SAFETY: as above.
         unsafe {
             let added =
                 reactor.poller.add_with_mode(successor, Event::readable(SUCCESSOR_KEY), PollMode::Level);
-            added.map_err(fault("poller"))?;
+            added.map_err(describe("poller"))?;
         }
     }
-    let store_thread = match &told.store {
+    let store_thread = match &configuration.store {
         None => None,
         Some(store) => {
             let (folder, poller) = (store.folder.clone(), reactor.poller.clone());
-            let id = topazsail::hash(format!("{} {} {}", told.name, told.seed, reactor.now()).as_bytes());
+            let id = topazsail::hash(
+                format!("{} {} {}", configuration.name, configuration.seed, reactor.now()).as_bytes(),
+            );
             let disks = Box::new(move || open_disk(&folder));
             let wake = move || drop(poller.notify());
-            let kept = StoreThread::start(locked, disks, told.name.clone(), id, wake);
-            Some(kept.map_err(fault("store"))?)
+            let started = StoreThread::start(locked_disk, disks, configuration.name.clone(), id, wake);
+            Some(started.map_err(describe("store"))?)
         }
     };
-    let (other, state) = given.map(|given| ((given.stream, given.since), given.state)).unzip();
-    let mut table = RequestTable::new(told, state, store_thread, &mut reactor);
-    if let Some((stream, since)) = other {
+    let (predecessor, state) = inherited.map(|other| ((other.stream, other.since), other.state)).unzip();
+    let mut table = RequestTable::new(configuration, state, store_thread, &mut reactor);
+    if let Some((stream, since)) = predecessor {
         let connection = reactor.add_peer_connection(stream, listen);
         table.takes_over(connection, since, &mut reactor);
     }
     let run = reactor.run(&mut table, &listeners, successor.as_ref(), (&terminate, &reload, path));
-    run.map_err(fault("poller"))?;
+    run.map_err(describe("poller"))?;
     let fatal = table.fatal();
-    table.leave(reactor.clock(), CLOSED_WITHIN);
-    if let Some(why) = fatal {
-        return Err(why);
+    table.leave(reactor.clock(), STORE_CLOSE_TIMEOUT);
+    if let Some(reason) = fatal {
+        return Err(reason);
     }
     log!("ended", "connections={}", reactor.connection_count());
     Ok(())
 }
 
-/// Whether what could not be opened may be a moment later.
-fn opens_later(error: &io::Error) -> bool {
+/// Whether opening a socket or the poller may succeed a moment later.
+fn may_open_later(error: &io::Error) -> bool {
     errno::open(error).is_transient()
 }
 
-/// The configuration, and what a process that serves at this address hands over. A file that is no good now
-/// does not keep a new process from going on with the one in force.
-fn begin(path: &str) -> Result<(config::Configuration, Option<handover::Inherited>), String> {
-    let told = retry_while(LoadError::passes, || config::load(path));
-    let listen = told.as_ref().map_or_else(|_| config::listen(), |told| Some(told.listen));
-    let given = listen.and_then(handover::socket_path).and_then(|place| handover::request_handover(&place));
-    let given = given.filter(|given| given.listener.local_addr().ok() == listen);
-    let told = match (told, &given) {
-        (Err(fault), Some(given)) => {
-            log!("configuration-refused", "reason={:?}", fault.to_string());
-            config::in_force(&given.state.configuration)?
+/// Loads the configuration and requests a hand-over from a process that serves at the same address. If the
+/// file cannot be used, a new process continues with the configuration that the old process has in force.
+///
+/// # Errors
+///
+/// The configuration cannot be used, and no process has handed one over.
+fn load_and_inherit(path: &str) -> Result<(config::Configuration, Option<handover::Inherited>), String> {
+    let configuration = retry_while(LoadError::passes, || config::load(path));
+    let listen = configuration.as_ref().map_or_else(|_| config::listen(), |loaded| Some(loaded.listen));
+    let inherited = listen.and_then(handover::socket_path).and_then(|path| handover::request_handover(&path));
+    let inherited = inherited.filter(|other| other.listener.local_addr().ok() == listen);
+    let configuration = match (configuration, &inherited) {
+        (Err(error), Some(inherited)) => {
+            log!("configuration-refused", "reason={:?}", error.to_string());
+            config::in_force(&inherited.state.configuration)?
         }
-        (told, _) => told?,
+        (configuration, _) => configuration?,
     };
-    Ok((told, given))
+    Ok((configuration, inherited))
 }
--- a/node/src/lifecycle/store_report.rs
+++ b/node/src/lifecycle/store_report.rs
@@ -1,6 +1,6 @@
-//! `topazsail store`: what a folder holds, for people and for scripts, also where it is spoilt.
+//! `topazsail store`: reports what a store folder holds, as text or JSON, also if it is damaged.
 //!
-//! It only reads: it takes no lock, so that a dispatcher may be using the folder meanwhile, and changes nothing.
+//! The report only reads and takes no lock, so a dispatcher may be using the folder meanwhile.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -11,27 +11,31 @@
 };
 use topazsail_store::{DirectoryDisk, IntegrityWarning, Record, WriteError, inspect};
 
-/// What is said, and whether all is well.
+/// The report on a store folder.
 pub struct StoreReport {
+    /// What to print.
     pub text: String,
+    /// No integrity warning was found.
     pub is_intact: bool,
 }
 
+/// The value of a record as JSON; only its length if the table is not known.
 fn value(record: &Record) -> Value {
-    if let Some(list) = stored_types::value::<StoredRoster>(record) {
-        let list_json: Value = serde_json::from_str(&list.json).unwrap_or_default();
-        let runners = list_json.get("instances").and_then(Value::as_array).map_or(0, Vec::len);
+    if let Some(roster) = stored_types::value::<StoredRoster>(record) {
+        let list: Value = serde_json::from_str(&roster.json).unwrap_or_default();
+        let runners = list.get("instances").and_then(Value::as_array).map_or(0, Vec::len);
         return json!({
-            "discovery": list.discovery, "generation": list.generation, "runners": runners, "list": list_json,
+            "discovery": roster.discovery, "generation": roster.generation, "runners": runners, "list": list,
         });
     }
-    if let Some(hand) = stored_types::value::<StoredOverride>(record) {
+    if let Some(admin_override) = stored_types::value::<StoredOverride>(record) {
         return json!({
-            "out_since": hand.out_since, "was_out": hand.was_out, "count": hand.count, "author": hand.author,
+            "out_since": admin_override.out_since, "was_out": admin_override.was_out,
+            "count": admin_override.count, "author": admin_override.author,
         });
     }
-    if let Some(spent) = stored_types::value::<StoredSlowStartUsage>(record) {
-        return json!({"runners": spent.runners});
+    if let Some(usage) = stored_types::value::<StoredSlowStartUsage>(record) {
+        return json!({"runners": usage.runners});
     }
     if let Some(settings) = stored_types::value::<StoredSettings>(record) {
         let version = format!("{:016x}", settings.version);
@@ -40,8 +44,8 @@
     json!({"bytes": record.value.as_ref().map_or(0, Vec::len)})
 }
 
-/// One line of a table: the value in short.
-fn short(record: &Record) -> String {
+/// The value of a record, shortened for a line of the table.
+fn summary(record: &Record) -> String {
     match value(record) {
         Value::Object(fields) if fields.contains_key("list") => format!(
             "{} runners, generation {}, from {}",
@@ -67,20 +71,25 @@
     }
 }
 
+/// A time in microseconds as seconds with three decimals.
 fn seconds(at: i64) -> String {
     format!("{:.3}", at as f64 / 1e6)
 }
 
-/// What `folder` holds; with `all`, each record as well.
+/// Reports what `folder` holds; with `all`, also each record.
+///
+/// # Errors
+///
+/// The folder does not exist or cannot be read.
 pub fn report_store(folder: &Path, all: bool, as_json: bool) -> Result<StoreReport, String> {
-    let fault = |why: String| format!("--folder {}: {why}", folder.display());
+    let describe = |reason: String| format!("--folder {}: {reason}", folder.display());
     if !folder.is_dir() {
-        return Err(fault("no such folder".to_owned()));
+        return Err(describe("no such folder".to_owned()));
     }
-    let inspection = inspect(&mut DirectoryDisk::new(folder)).map_err(|error| fault(error.to_string()))?;
+    let inspection = inspect(&mut DirectoryDisk::new(folder)).map_err(|error| describe(error.to_string()))?;
     let found = &inspection.found;
-    let doubts: Vec<String> = found.doubts.iter().map(IntegrityWarning::to_string).collect();
-    let well = doubts.is_empty();
+    let warnings: Vec<String> = found.doubts.iter().map(IntegrityWarning::to_string).collect();
+    let is_intact = warnings.is_empty();
     if as_json {
         let records = inspection.records.values().filter(|_| all).map(|record| {
             json!({
@@ -90,18 +99,18 @@
         });
         let whole = json!({
             "owner": inspection.owner, "store": format!("{:016x}", inspection.store), "boot": found.boot, "clean": found.clean,
-            "torn": found.torn, "written": found.written, "doubts": doubts, "empty": found.fresh,
+            "torn": found.torn, "written": found.written, "doubts": warnings, "empty": found.fresh,
             "unwritten": found.unwritten.as_ref().map(WriteError::to_string),
             "files": inspection.files.iter().map(|(name, bytes)| json!({"name": name, "bytes": bytes})).collect::<Vec<_>>(),
             "records": records.collect::<Vec<_>>(),
         });
-        return Ok(StoreReport { text: format!("{whole:#}\n"), is_intact: well });
+        return Ok(StoreReport { text: format!("{whole:#}\n"), is_intact });
     }
     let mut text = String::new();
     let mut line = |name: &str, value: &dyn std::fmt::Display| _ = writeln!(text, "{name:<9} {value}");
     if found.fresh {
         line("state", &"empty: no dispatcher has kept anything here");
-        return Ok(StoreReport { text, is_intact: well });
+        return Ok(StoreReport { text, is_intact });
     }
     line("owner", &inspection.owner.as_deref().unwrap_or("not known"));
     line("boot", &found.boot);
@@ -112,19 +121,19 @@
     if found.torn > 0 {
         line("torn", &format!("{} bytes at the end are no record", found.torn));
     }
-    doubts.iter().for_each(|doubt| line("doubt", doubt));
+    warnings.iter().for_each(|warning| line("doubt", warning));
     line("records", &inspection.records.len());
     if all {
         let head = ("table", "key", "boot", "written", "value");
         let _ = writeln!(text, "{:<9} {:<20} {:>5} {:>17} {}", head.0, head.1, head.2, head.3, head.4);
         for record in inspection.records.values() {
-            let (table, at) = (stored_types::name(record.table), seconds(record.written));
+            let (table, written) = (stored_types::name(record.table), seconds(record.written));
             let key = record.key.escape_debug().to_string();
-            let short = short(record);
-            let _ = writeln!(text, "{table:<9} {key:<20} {:>5} {at:>17} {short}", record.boot);
+            let summary = summary(record);
+            let _ = writeln!(text, "{table:<9} {key:<20} {:>5} {written:>17} {summary}", record.boot);
         }
     }
-    Ok(StoreReport { text, is_intact: well })
+    Ok(StoreReport { text, is_intact })
 }
 
 #[cfg(test)]
--- a/node/src/lifecycle/store_thread.rs
+++ b/node/src/lifecycle/store_thread.rs
@@ -1,7 +1,8 @@
-//! The thread that keeps what outlives the process: the loop tells it what to keep and hears when that is on the disk.
+//! The thread that writes the store: the event loop queues records for it and is notified when they are on
+//! the disk.
 //!
-//! It owns the store while the process has it, and the bounded queue in between. It decides nothing, and the loop never
-//! waits for it: what does not fit into the queue is told as not kept.
+//! The thread owns the store while the process holds its folder. The queue to it is bounded, and the event
+//! loop never waits: a request that does not fit is reported as not stored.
 
 use std::io;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, SyncSender, channel, sync_channel};
@@ -14,151 +15,178 @@
 };
 use topazsail_store::{Disk, LoadSummary, Store, Table};
 
-/// Items that may wait for the disk; beyond them nothing more is taken.
-const QUEUE: usize = 1024;
-/// The next life is to know within this when this one ended.
-const ALIVE_EVERY: Duration = Duration::from_millis(250);
-/// What nobody waits for is on the disk after about so long.
-const SYNC_AFTER: Duration = Duration::from_millis(500);
-/// After a fault the disk is tried again, doubled each time.
-const AGAIN: Duration = Duration::from_secs(1);
-const AGAIN_MOST: Duration = Duration::from_secs(30);
-/// In an upgrade the other process lets go of the folder within this.
-const LOCK_WITHIN: Duration = Duration::from_secs(10);
-const LOCK_AGAIN: Duration = Duration::from_millis(50);
+/// The most requests in the queue to the thread; beyond that, requests are refused.
+const MAX_QUEUED_REQUESTS: usize = 1024;
+/// How often the thread notes that the process is running, which bounds how precisely the next run knows when
+/// this one ended.
+const ALIVE_INTERVAL: Duration = Duration::from_millis(250);
+/// Records for which no sync is requested are synced after about this time.
+const SYNC_DELAY: Duration = Duration::from_millis(500);
+/// The first pause before the disk is retried after a failure; it doubles with each retry.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// The longest pause before the disk is retried.
+const MAX_RETRY_INTERVAL: Duration = Duration::from_secs(30);
+/// How long to wait for the lock on the folder: in an upgrade the old process releases it within this time.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(10);
+/// The pause between two attempts to lock the folder.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Opens the folder's disk anew.
+/// Opens the disk of the store's folder, not yet locked.
 pub type DiskFactory = Box<dyn FnMut() -> io::Result<Box<dyn Disk>> + Send>;
 
+/// A request to the thread; requests are processed in order.
 enum StoreRequest {
+    /// Open the store, unless it is open.
     Open,
-    Put {
-        table: Table,
-        key: String,
-        form: u16,
-        value: Option<Vec<u8>>,
-    },
-    /// Tell when all before this is on the disk.
+    /// Write a record, or delete it if `value` is `None`.
+    Put { table: Table, key: String, format: u16, value: Option<Vec<u8>> },
+    /// Report under this ticket when all earlier requests are on the disk.
     Sync(u64),
-    /// This life's number is to be above that one.
-    Above(u64),
-    /// Ends the life's records as they should be, and lets go of the folder.
+    /// Raise the boot number of this run above the given one.
+    RaiseBootAbove(u64),
+    /// Write the store's end of a clean shutdown, and release the folder.
     Close,
 }
 
-/// What the last life has left.
+/// What the previous process run has stored.
 #[derive(Debug, Default)]
 pub struct LoadedStore {
+    /// How the store was found.
     pub found: LoadSummary,
+    /// The boot number of this run; `None` until the disk can be written.
     pub boot: Option<u64>,
+    /// The last list of runners.
     pub roster: Option<StoredRoster>,
+    /// Admin overrides by runner.
     pub admin_overrides: Vec<(String, StoredOverride)>,
+    /// The work recently sent to cold runners.
     pub slow_start_usage: Option<StoredSlowStartUsage>,
+    /// The last configuration.
     pub settings: Option<StoredSettings>,
 }
 
+/// A report of the thread.
 #[derive(Debug)]
 pub enum StoreEvent {
+    /// The store is open.
     Opened(Box<LoadedStore>),
-    /// There is no store to be had, and why.
+    /// The store could not be opened, and why.
     OpenFailed(String),
-    /// All that was asked before this number is on the disk, or why it is not.
+    /// All requests before this ticket are on the disk, or why they are not.
     Synced(u64, Result<(), String>),
-    /// The disk works again, or has failed; with this life's number.
+    /// The disk works again, with the boot number of this run, or has failed, and why.
     Health(Result<Option<u64>, String>),
+    /// The store is closed and its folder released.
     Closed,
 }
 
+/// The event loop's handle on the thread.
 pub struct StoreThread {
-    to: SyncSender<StoreRequest>,
-    from: Receiver<StoreEvent>,
-    tickets: u64,
-    /// Tickets that the queue had no room for.
-    refused: Vec<u64>,
-    /// Items that were not taken.
+    requests: SyncSender<StoreRequest>,
+    events: Receiver<StoreEvent>,
+    last_ticket: u64,
+    /// Tickets whose requests did not fit into the queue; reported by the next [`StoreThread::incoming`].
+    refused_tickets: Vec<u64>,
+    /// The number of requests that did not fit into the queue.
     pub dropped: u64,
 }
 
 impl StoreThread {
-    /// Starts the thread; `disk` is one that is locked already, else `disks` is asked for one until it can be locked.
-    /// `wake` is called whenever there is something to hear.
+    /// Starts the thread. `disk` is a disk that is already locked; without it, disks from `disk_factory` are
+    /// tried until one can be locked. `owner` and `id` identify a store that is created. `wake` is called
+    /// whenever events are available.
+    ///
+    /// # Errors
+    ///
+    /// The thread cannot be started.
     pub fn start(
         disk: Option<Box<dyn Disk>>,
-        disks: DiskFactory,
+        disk_factory: DiskFactory,
         owner: String,
         id: u64,
         wake: impl Fn() + Send + 'static,
     ) -> io::Result<StoreThread> {
-        let (to, asks) = sync_channel(QUEUE);
-        let (tells, from) = channel();
-        let away = (ALIVE_EVERY, Instant::now());
-        let waiting = Vec::new();
-        let mut shell = Shell {
-            disks,
+        let (requests, queue) = sync_channel(MAX_QUEUED_REQUESTS);
+        let (sender, events) = channel();
+        let absence = (ALIVE_INTERVAL, Instant::now());
+        let waiting_tickets = Vec::new();
+        let mut worker = Worker {
+            disk_factory,
             owner,
             id,
-            tells,
+            events: sender,
             store: None,
-            waiting,
-            well: true,
+            waiting_tickets,
+            is_healthy: true,
             released: false,
-            spoke: false,
-            away,
+            has_new_events: false,
+            absence,
         };
-        let run = move || shell.run(disk, &asks, &wake);
+        let run = move || worker.run(disk, &queue, &wake);
         thread::Builder::new().name("keeper".to_owned()).spawn(run)?;
-        Ok(StoreThread { to, from, tickets: 0, refused: Vec::new(), dropped: 0 })
+        Ok(StoreThread { requests, events, last_ticket: 0, refused_tickets: Vec::new(), dropped: 0 })
     }
 
-    fn ask(&mut self, ask: StoreRequest) -> bool {
-        let taken = self.to.try_send(ask).is_ok();
-        self.dropped += u64::from(!taken);
-        taken
+    /// Queues a request; false if the queue is full.
+    fn request(&mut self, request: StoreRequest) -> bool {
+        let queued = self.requests.try_send(request).is_ok();
+        self.dropped += u64::from(!queued);
+        queued
     }
 
-    pub fn keep<T: Storable>(&mut self, key: &str, kept: Option<&T>) {
-        let (key, value) = (key.to_owned(), kept.map(bytes));
-        self.ask(StoreRequest::Put { table: T::TABLE, key, form: T::FORMAT, value });
+    /// Queues a record to be written, or deleted if `record` is `None`. It is synced within about half a
+    /// second.
+    pub fn keep<T: Storable>(&mut self, key: &str, record: Option<&T>) {
+        let (key, value) = (key.to_owned(), record.map(bytes));
+        self.request(StoreRequest::Put { table: T::TABLE, key, format: T::FORMAT, value });
     }
 
-    /// The same, and a number under which it is told when this is on the disk.
-    pub fn keep_and_sync<T: Storable>(&mut self, key: &str, kept: Option<&T>) -> u64 {
-        let (key, value) = (key.to_owned(), kept.map(bytes));
-        self.tickets += 1;
-        let put = self.ask(StoreRequest::Put { table: T::TABLE, key, form: T::FORMAT, value });
-        if !put || !self.ask(StoreRequest::Sync(self.tickets)) {
-            self.refused.push(self.tickets);
+    /// Queues a record like [`StoreThread::keep`] and has it synced at once. Returns the ticket under which
+    /// [`StoreEvent::Synced`] reports the result.
+    pub fn keep_and_sync<T: Storable>(&mut self, key: &str, record: Option<&T>) -> u64 {
+        let (key, value) = (key.to_owned(), record.map(bytes));
+        self.last_ticket += 1;
+        let queued = self.request(StoreRequest::Put { table: T::TABLE, key, format: T::FORMAT, value });
+        if !queued || !self.request(StoreRequest::Sync(self.last_ticket)) {
+            self.refused_tickets.push(self.last_ticket);
         }
-        self.tickets
+        self.last_ticket
     }
 
-    pub fn raise_boot_above(&mut self, heard: u64) {
-        self.ask(StoreRequest::Above(heard));
+    /// Has the boot number of this run raised above one that another dispatcher has reported;
+    /// [`StoreEvent::Health`] follows.
+    pub fn raise_boot_above(&mut self, boot: u64) {
+        self.request(StoreRequest::RaiseBootAbove(boot));
     }
 
-    /// Lets go of the folder; another process may have it then.
+    /// Has the store closed and its folder released, so that another process can lock it.
     pub fn close(&mut self) {
-        self.ask(StoreRequest::Close);
+        self.request(StoreRequest::Close);
     }
 
+    /// Has the store opened, unless it is open.
     pub fn open(&mut self) {
-        self.ask(StoreRequest::Open);
+        self.request(StoreRequest::Open);
     }
 
+    /// Takes the events that have arrived.
     pub fn incoming(&mut self) -> Vec<StoreEvent> {
-        let refused =
-            self.refused.drain(..).map(|ticket| StoreEvent::Synced(ticket, Err("too much waits".into())));
-        refused.chain(self.from.try_iter()).collect()
+        let refused = self
+            .refused_tickets
+            .drain(..)
+            .map(|ticket| StoreEvent::Synced(ticket, Err("the queue of the store is full".into())));
+        refused.chain(self.events.try_iter()).collect()
     }
 
-    /// The process is about to end: waits for the last of it, no longer than this.
+    /// Closes the store before the process ends, waiting for at most `within`. True if the store was closed
+    /// in time.
     pub fn finish(mut self, within: Duration) -> bool {
-        let until = Instant::now() + within;
-        if !self.ask(StoreRequest::Close) {
+        let deadline = Instant::now() + within;
+        if !self.request(StoreRequest::Close) {
             return false;
         }
-        while let Ok(told) = self.from.recv_timeout(until.saturating_duration_since(Instant::now())) {
-            if matches!(told, StoreEvent::Closed) {
+        while let Ok(event) = self.events.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
+            if matches!(event, StoreEvent::Closed) {
                 return true;
             }
         }
@@ -166,55 +194,59 @@
     }
 }
 
+/// Unix time in microseconds.
 fn now() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
-struct Shell {
-    disks: DiskFactory,
+/// The state of the thread.
+struct Worker {
+    disk_factory: DiskFactory,
     owner: String,
     id: u64,
-    tells: Sender<StoreEvent>,
+    events: Sender<StoreEvent>,
     store: Option<Store>,
-    /// Who waits for a sync.
-    waiting: Vec<u64>,
-    well: bool,
-    /// Another process has the folder.
+    /// Tickets that wait for a sync.
+    waiting_tickets: Vec<u64>,
+    /// The last use of the disk succeeded.
+    is_healthy: bool,
+    /// The folder was released on request, for another process.
     released: bool,
-    /// Something has been told since the loop was last woken.
-    spoke: bool,
-    /// The longest that this thread was away from its queue, and when it was last there.
-    away: (Duration, Instant),
+    /// Events have been sent since the event loop was last woken.
+    has_new_events: bool,
+    /// The longest time between two visits to the queue, and the time of the last visit.
+    absence: (Duration, Instant),
 }
 
-impl Shell {
-    fn run(&mut self, disk: Option<Box<dyn Disk>>, asks: &Receiver<StoreRequest>, wake: &dyn Fn()) {
+impl Worker {
+    /// Processes requests until the handle is dropped.
+    fn run(&mut self, disk: Option<Box<dyn Disk>>, queue: &Receiver<StoreRequest>, wake: &dyn Fn()) {
         self.open(disk);
         wake();
-        // When what is not waited for is to be synced, and how long after a fault.
-        let mut due: Option<Instant> = self.later();
-        let mut again = AGAIN;
+        // When to sync next, or to retry after a failure, and the pause after the next failure.
+        let mut sync_at: Option<Instant> = self.retry_time();
+        let mut retry_after = RETRY_INTERVAL;
         loop {
-            let first = asks.recv_timeout(ALIVE_EVERY);
+            let first = queue.recv_timeout(ALIVE_INTERVAL);
             if matches!(first, Err(RecvTimeoutError::Disconnected)) {
                 return;
             }
-            for ask in first.into_iter().chain(asks.try_iter().take(QUEUE)) {
-                match ask {
-                    StoreRequest::Put { table, key, form, value } => {
+            for request in first.into_iter().chain(queue.try_iter().take(MAX_QUEUED_REQUESTS)) {
+                match request {
+                    StoreRequest::Put { table, key, format, value } => {
                         if let Some(store) = &mut self.store {
-                            store.put(table, &key, form, value, now());
-                            due = due.or(Some(Instant::now() + SYNC_AFTER));
+                            store.put(table, &key, format, value, now());
+                            sync_at = sync_at.or(Some(Instant::now() + SYNC_DELAY));
                         }
                     }
-                    StoreRequest::Sync(ticket) => self.waiting.push(ticket),
-                    StoreRequest::Above(heard) => {
+                    StoreRequest::Sync(ticket) => self.waiting_tickets.push(ticket),
+                    StoreRequest::RaiseBootAbove(boot) => {
                         if let Some(store) = &mut self.store {
-                            let kept = store.raise_boot_above(heard).map_err(|stale| stale.to_string());
-                            self.well = kept.is_ok();
+                            let raised = store.raise_boot_above(boot).map_err(|error| error.to_string());
+                            self.is_healthy = raised.is_ok();
                             let boot = store.boot();
-                            self.tell(StoreEvent::Health(kept.map(|()| boot)));
-                            due = due.or_else(|| self.later());
+                            self.send_event(StoreEvent::Health(raised.map(|()| boot)));
+                            sync_at = sync_at.or_else(|| self.retry_time());
                         }
                     }
                     StoreRequest::Open => {
@@ -229,105 +261,112 @@
                             let _ = store.close(now());
                         }
                         self.released = true;
-                        self.tell(StoreEvent::Closed);
+                        self.send_event(StoreEvent::Closed);
                     }
                 }
             }
-            let (longest, last) = self.away;
-            self.away = (longest.max(last.elapsed()), Instant::now());
+            let (longest, last) = self.absence;
+            self.absence = (longest.max(last.elapsed()), Instant::now());
             if let Some(store) = &mut self.store {
-                store.alive(2 * self.away.0.as_micros() as Micros);
+                store.alive(2 * self.absence.0.as_micros() as Micros);
             }
-            let overdue = due.is_some_and(|due| Instant::now() >= due);
-            // After a fault nobody who asks has the disk tried at once: each try may take long.
-            if overdue && self.store.is_none() && !self.released {
+            let is_due = sync_at.is_some_and(|at| Instant::now() >= at);
+            // After a failure, requests do not make the disk be tried before its time: each attempt may take
+            // long.
+            if is_due && self.store.is_none() && !self.released {
                 self.open(None);
             }
-            if overdue || !self.waiting.is_empty() && self.well {
+            if is_due || !self.waiting_tickets.is_empty() && self.is_healthy {
                 if self.sync() {
-                    (due, again) = (None, AGAIN);
+                    (sync_at, retry_after) = (None, RETRY_INTERVAL);
                 } else {
-                    due = Some(Instant::now() + again);
-                    again = (again * 2).min(AGAIN_MOST);
+                    sync_at = Some(Instant::now() + retry_after);
+                    retry_after = (retry_after * 2).min(MAX_RETRY_INTERVAL);
                 }
             }
-            if !self.well {
-                self.answer(&Err("the disk has failed".to_owned()));
+            if !self.is_healthy {
+                self.report_synced(&Err("the disk has failed".to_owned()));
             }
-            if std::mem::take(&mut self.spoke) {
+            if std::mem::take(&mut self.has_new_events) {
                 wake();
             }
         }
     }
 
-    fn tell(&mut self, told: StoreEvent) {
-        self.spoke = true;
-        let _ = self.tells.send(told);
+    fn send_event(&mut self, event: StoreEvent) {
+        self.has_new_events = true;
+        let _ = self.events.send(event);
     }
 
-    fn later(&self) -> Option<Instant> {
-        (!self.well).then(|| Instant::now() + AGAIN)
+    /// When to retry, if the disk has failed.
+    fn retry_time(&self) -> Option<Instant> {
+        (!self.is_healthy).then(|| Instant::now() + RETRY_INTERVAL)
     }
 
-    fn answer(&mut self, how: &Result<(), String>) {
-        for ticket in std::mem::take(&mut self.waiting) {
-            self.tell(StoreEvent::Synced(ticket, how.clone()));
+    /// Reports a result to all waiting tickets.
+    fn report_synced(&mut self, result: &Result<(), String>) {
+        for ticket in std::mem::take(&mut self.waiting_tickets) {
+            self.send_event(StoreEvent::Synced(ticket, result.clone()));
         }
     }
 
+    /// Syncs the store, and reports the result and a change of the disk's health. True if the sync succeeded.
     fn sync(&mut self) -> bool {
         let synced = match &mut self.store {
-            Some(store) => store.sync().map_err(|stale| stale.to_string()),
-            None => Err("there is no store".to_owned()),
+            Some(store) => store.sync().map_err(|error| error.to_string()),
+            None => Err("the store is not open".to_owned()),
         };
         let boot = self.store.as_ref().and_then(Store::boot);
-        let well = synced.is_ok();
-        if well != std::mem::replace(&mut self.well, well) {
+        let is_healthy = synced.is_ok();
+        if is_healthy != std::mem::replace(&mut self.is_healthy, is_healthy) {
             let health = synced.clone().map(|()| boot);
-            self.tell(StoreEvent::Health(health));
+            self.send_event(StoreEvent::Health(health));
         }
-        self.answer(&synced);
-        well
+        self.report_synced(&synced);
+        is_healthy
     }
 
+    /// Opens the store and reports the result. While another process holds the lock, this waits for up to
+    /// [`LOCK_TIMEOUT`].
     fn open(&mut self, mut disk: Option<Box<dyn Disk>>) {
-        let until = Instant::now() + LOCK_WITHIN;
-        let told = loop {
-            let had = disk.take().map_or_else(|| (self.disks)(), Ok);
-            let opened = had.map_err(|error| error.to_string()).and_then(|mut disk| match disk.lock() {
-                Err(error) if Instant::now() < until => Ok(Err(error)),
-                _ => {
-                    Store::open(disk, &self.owner, self.id, now()).map(Ok).map_err(|fault| fault.to_string())
-                }
-            });
+        let deadline = Instant::now() + LOCK_TIMEOUT;
+        let event = loop {
+            let candidate = disk.take().map_or_else(|| (self.disk_factory)(), Ok);
+            let opened =
+                candidate.map_err(|error| error.to_string()).and_then(|mut disk| match disk.lock() {
+                    Err(error) if Instant::now() < deadline => Ok(Err(error)),
+                    _ => Store::open(disk, &self.owner, self.id, now())
+                        .map(Ok)
+                        .map_err(|error| error.to_string()),
+                });
             match opened {
                 Ok(Ok((store, found))) => {
-                    self.well = found.unwritten.is_none();
+                    self.is_healthy = found.unwritten.is_none();
                     let records = store.records();
-                    let left = LoadedStore {
+                    let loaded = LoadedStore {
                         boot: store.boot(),
-                        roster: all::<StoredRoster>(records).pop().map(|(_, list, _)| list),
+                        roster: all::<StoredRoster>(records).pop().map(|(_, roster, _)| roster),
                         admin_overrides: all::<StoredOverride>(records)
                             .into_iter()
-                            .map(|(key, hand, _)| (key.to_owned(), hand))
+                            .map(|(key, value, _)| (key.to_owned(), value))
                             .collect(),
                         slow_start_usage: all::<StoredSlowStartUsage>(records)
                             .pop()
-                            .map(|(_, spent, _)| spent),
+                            .map(|(_, usage, _)| usage),
                         settings: all::<StoredSettings>(records).pop().map(|(_, settings, _)| settings),
                         found,
                     };
                     self.store = Some(store);
-                    break StoreEvent::Opened(Box::new(left));
+                    break StoreEvent::Opened(Box::new(loaded));
                 }
-                Ok(Err(_)) => thread::sleep(LOCK_AGAIN),
-                Err(why) => {
-                    self.well = false;
-                    break StoreEvent::OpenFailed(why);
+                Ok(Err(_)) => thread::sleep(LOCK_RETRY_INTERVAL),
+                Err(reason) => {
+                    self.is_healthy = false;
+                    break StoreEvent::OpenFailed(reason);
                 }
             }
         };
-        self.tell(told);
+        self.send_event(event);
     }
 }
 
--- a/node/src/lifecycle/store_thread/tests.rs
+++ b/node/src/lifecycle/store_thread/tests.rs
@@ -11,64 +11,72 @@
     StoreThread::start(None, disks, "d0".to_owned(), 7, || ()).unwrap()
 }
 
-/// What is told next, within far more time than it takes.
-fn next(store_thread: &mut StoreThread) -> StoreEvent {
-    store_thread.from.recv_timeout(Duration::from_secs(30)).unwrap()
+/// The next event; the timeout is far longer than needed.
+fn next_event(store_thread: &mut StoreThread) -> StoreEvent {
+    store_thread.events.recv_timeout(Duration::from_secs(30)).unwrap()
 }
 
-fn out() -> StoredOverride {
+/// An override that takes a runner out.
+fn out_override() -> StoredOverride {
     StoredOverride { out_since: Some(5), ..StoredOverride::default() }
 }
 
+/// Guards against losing a record that was reported as synced when the process is killed or ends.
 #[test]
-fn what_is_told_as_kept_is_there_for_the_next_life() {
+fn a_record_reported_as_synced_is_loaded_by_the_next_run() {
     let (under, faults) = Default::default();
     let mut first = store_thread(&under, &faults);
-    assert!(matches!(next(&mut first), StoreEvent::Opened(left) if left.found.fresh && left.boot == Some(1)));
-    let ticket = first.keep_and_sync("r1", Some(&out()));
-    assert!(matches!(next(&mut first), StoreEvent::Synced(t, Ok(())) if t == ticket));
-    // The process is killed: its thread is left where it is, and the disk as it is now.
+    assert!(
+        matches!(next_event(&mut first), StoreEvent::Opened(loaded) if loaded.found.fresh && loaded.boot == Some(1))
+    );
+    let ticket = first.keep_and_sync("r1", Some(&out_override()));
+    assert!(matches!(next_event(&mut first), StoreEvent::Synced(t, Ok(())) if t == ticket));
+    // The process is killed: its thread stays where it is, and the disk is left as it is now.
     let mut second = store_thread(&under, &faults);
-    let StoreEvent::Opened(left) = next(&mut second) else { panic!() };
+    let StoreEvent::Opened(loaded) = next_event(&mut second) else { panic!() };
     assert_eq!(
-        (left.boot, left.admin_overrides.as_slice(), left.found.clean),
-        (Some(2), &[("r1".to_owned(), out())][..], false)
+        (loaded.boot, loaded.admin_overrides.as_slice(), loaded.found.clean),
+        (Some(2), &[("r1".to_owned(), out_override())][..], false)
     );
     assert!(second.finish(Duration::from_secs(30)));
-    let StoreEvent::Opened(left) = next(&mut store_thread(&under, &faults)) else { panic!() };
-    assert!(left.found.clean && left.admin_overrides.len() == 1);
+    let StoreEvent::Opened(loaded) = next_event(&mut store_thread(&under, &faults)) else { panic!() };
+    assert!(loaded.found.clean && loaded.admin_overrides.len() == 1);
 }
 
+/// Guards against tickets that wait while the disk is known to have failed, and against giving the disk up.
 #[test]
-fn a_disk_that_fails_is_told_at_once_and_tried_again() {
+fn a_disk_failure_is_reported_at_once_and_retried() {
     let (under, faults): (MemoryDisk, Arc<Mutex<DiskFaults>>) = Default::default();
     let mut store_thread = store_thread(&under, &faults);
-    next(&mut store_thread);
+    next_event(&mut store_thread);
     faults.lock().unwrap().full = true;
-    let ticket = store_thread.keep_and_sync("r1", Some(&out()));
-    assert!(matches!(next(&mut store_thread), StoreEvent::Health(Err(why)) if why.contains("no storage")));
-    assert!(matches!(next(&mut store_thread), StoreEvent::Synced(t, Err(_)) if t == ticket));
-    // While it is known to be bad nobody waits for it.
-    let ticket = store_thread.keep_and_sync("r2", Some(&out()));
-    assert!(matches!(next(&mut store_thread), StoreEvent::Synced(t, Err(_)) if t == ticket));
+    let ticket = store_thread.keep_and_sync("r1", Some(&out_override()));
+    assert!(
+        matches!(next_event(&mut store_thread), StoreEvent::Health(Err(reason)) if reason.contains("no storage"))
+    );
+    assert!(matches!(next_event(&mut store_thread), StoreEvent::Synced(t, Err(_)) if t == ticket));
+    // While the disk is known to have failed, a sync is reported as failed without waiting.
+    let ticket = store_thread.keep_and_sync("r2", Some(&out_override()));
+    assert!(matches!(next_event(&mut store_thread), StoreEvent::Synced(t, Err(_)) if t == ticket));
     faults.lock().unwrap().full = false;
-    assert!(matches!(next(&mut store_thread), StoreEvent::Health(Ok(Some(1)))));
-    let ticket = store_thread.keep_and_sync("r3", Some(&out()));
-    assert!(matches!(next(&mut store_thread), StoreEvent::Synced(t, Ok(())) if t == ticket));
+    assert!(matches!(next_event(&mut store_thread), StoreEvent::Health(Ok(Some(1)))));
+    let ticket = store_thread.keep_and_sync("r3", Some(&out_override()));
+    assert!(matches!(next_event(&mut store_thread), StoreEvent::Synced(t, Ok(())) if t == ticket));
 }
 
+/// Guards against losing stored records because a full disk keeps a start from writing its boot number.
 #[test]
-fn an_open_that_finds_the_disk_full_still_says_what_is_on_it() {
+fn opening_a_store_on_a_full_disk_still_loads_its_records() {
     let (under, faults): (MemoryDisk, Arc<Mutex<DiskFaults>>) = Default::default();
     let mut first = store_thread(&under, &faults);
-    next(&mut first);
-    first.keep("r1", Some(&out()));
+    next_event(&mut first);
+    first.keep("r1", Some(&out_override()));
     assert!(first.finish(Duration::from_secs(30)));
     faults.lock().unwrap().full = true;
     let mut second = store_thread(&under, &faults);
     assert!(
-        matches!(next(&mut second), StoreEvent::Opened(left) if left.boot.is_none() && left.admin_overrides.len() == 1)
+        matches!(next_event(&mut second), StoreEvent::Opened(loaded) if loaded.boot.is_none() && loaded.admin_overrides.len() == 1)
     );
     faults.lock().unwrap().full = false;
-    assert!(matches!(next(&mut second), StoreEvent::Health(Ok(Some(2)))));
+    assert!(matches!(next_event(&mut second), StoreEvent::Health(Ok(Some(2)))));
 }
--- a/node/src/lifecycle/transient_retry.rs
+++ b/node/src/lifecycle/transient_retry.rs
@@ -1,27 +1,28 @@
-//! Patience with the host while a process starts: a call that it fails for a moment is made again.
+//! Retries calls that the host fails transiently while a process starts.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long a start tries a call again; with what follows it is ready well within 10 s.
-const START_WITHIN: Duration = Duration::from_secs(4);
-/// How long until it is made again.
-const AGAIN: Duration = Duration::from_millis(20);
+/// How long a call is retried. With the steps that follow, a start then is ready well within 10 s.
+const RETRY_WINDOW: Duration = Duration::from_secs(4);
+/// The pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Makes a call until it succeeds, fails for a reason that does not pass, or [`START_WITHIN`] is over.
+/// Repeats a call until it succeeds, fails with an error for which `is_transient` is false, or
+/// [`RETRY_WINDOW`] has passed.
 ///
 /// # Errors
 ///
-/// The last failure of the call.
+/// The last error of the call.
 pub fn retry_while<T, E>(
-    passes: impl Fn(&E) -> bool,
+    is_transient: impl Fn(&E) -> bool,
     mut call: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let until = Instant::now() + START_WITHIN;
+    let deadline = Instant::now() + RETRY_WINDOW;
     loop {
         match call() {
-            Err(error) if passes(&error) && Instant::now() < until => sleep(AGAIN),
-            done => return done,
+            Err(error) if is_transient(&error) && Instant::now() < deadline => sleep(RETRY_INTERVAL),
+            result => return result,
         }
     }
 }
--- a/node/src/net/connection.rs
+++ b/node/src/net/connection.rs
@@ -68,7 +68,7 @@
     AnsweredLast,
     /// The other end sent something that is not a valid message.
     BadInput,
-    /// A request did not arrive whole in time.
+    /// A request did not arrive completely in time.
     SlowRequest,
     /// The other end did not read what was sent to it in time.
     SlowReader,
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -53,7 +53,7 @@
 /// Microseconds for which accepting pauses while the host cannot accept, being short of descriptors or
 /// memory.
 const ACCEPT_RETRY_INTERVAL: Micros = 10_000;
-/// The longest wait of the poller. A bound is needed to tell an idle loop from a process that was not
+/// The longest wait of the poller. A bound is needed to distinguish an idle loop from a process that was not
 /// scheduled.
 const MAX_WAIT: Duration = Duration::from_millis(250);
 /// The wait of the last iteration before the process ends.
