--- a/node/src/net/connection.rs
+++ b/node/src/net/connection.rs
@@ -86,7 +86,7 @@
     WatchSilent,
     /// The subscription to discovery was replaced by a new one.
     WatchReplaced,
-    /// Closed because this process is shutting down.
+    /// Closed because this process is shutting down or has handed over.
     Terminated,
 }
 
