--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -281,7 +281,7 @@
         if inherited.is_none() && store_thread.is_none() {
             table.is_starting = true;
             table.clients.ready(false);
-            driver.set_timer(Timer::Ready, started_at + READY_TIMEOUT);
+            driver.set_timer(Timer::ReadinessTimeout, started_at + READY_TIMEOUT);
         }
         let persistence = |store_thread, file| {
             Persistence::new(store_thread, (store_is_required, has_peers), file, started_at)
@@ -331,10 +331,11 @@
             self.membership.inherit(id, None, Some((*from, *until)));
         }
         inherited.ids.into_iter().for_each(|id| self.remember_closed_id(id.into()));
-        let slow_start_usage = inherited.spent.into_iter().map(|(id, work)| (id.into(), work)).collect();
+        let slow_start_usage =
+            inherited.slow_start_usage.into_iter().map(|(id, work)| (id.into(), work)).collect();
         let discovery = self.roster.discovery();
         let roster = (inherited.discovery == discovery.to_string())
-            .then(|| RosterSnapshot::from_value(inherited.list));
+            .then(|| RosterSnapshot::from_value(inherited.roster));
         match roster {
             Some(Ok(roster)) => {
                 // A predecessor that does not send it still has its roster from the watch.
@@ -356,15 +357,15 @@
         mut early_bytes: Vec<u8>,
         driver: &mut dyn ConnectionDriver,
     ) {
-        self.handover_peer.meet(connection);
-        self.handover_peer.bytes(connection, &mut early_bytes, driver);
+        self.handover_peer.attach(connection);
+        self.handover_peer.received(connection, &mut early_bytes, driver);
         self.overlap = Some(Overlap::Predecessor);
         self.apply_resource_limits();
     }
 
     /// Whether this process may hand over to a successor.
     pub fn can_hand_over(&self) -> bool {
-        !self.handover_peer.is_there() && self.shutdown_since.is_none()
+        !self.handover_peer.is_connected() && self.shutdown_since.is_none()
     }
 
     /// Hands over to a successor: sends it this process's state and leaves new connections to it.
@@ -374,20 +375,20 @@
         let slow_start_usage = self.policy.slow_start_usage(driver.now());
         let state = HandoverState {
             discovery: discovery.to_string(),
-            list: self.current_roster().map(|(_, list)| list).unwrap_or_default(),
+            roster: self.current_roster().map(|(_, list)| list).unwrap_or_default(),
             sure_at: self.roster.sure_at(),
-            connections: driver.connections(),
+            connections: driver.connection_count(),
             gone: self.membership.gone(),
             out: self.membership.out(),
             was_out: self.membership.was_out(),
             ids: self.closed_ids.0.iter().chain(self.invocations.keys()).map(|id| id.to_string()).collect(),
             configuration: self.active_file.to_string(),
-            spent: slow_start_usage.into_iter().map(|(id, work)| (id.to_string(), work)).collect(),
+            slow_start_usage: slow_start_usage.into_iter().map(|(id, work)| (id.to_string(), work)).collect(),
         };
         log!("handing-over", "open={} out={}", self.invocations.len(), state.out.len());
         self.release_store(true);
-        self.handover_peer.meet(connection);
-        self.handover_peer.say(&state, driver);
+        self.handover_peer.attach(connection);
+        self.handover_peer.send(&state, driver);
         self.overlap = Some(Overlap::Successor);
         self.clients.hand_over(true);
         self.apply_resource_limits();
@@ -423,7 +424,7 @@
             self.release_store(self.shutdown_since.is_some());
             self.clients.hand_over(self.shutdown_since.is_some());
             self.pause_cold_runners(driver.now() + self.overload_window, driver);
-            driver.set_timer(Timer::Rested, driver.now() + self.overload_window);
+            driver.set_timer(Timer::ColdRunnerPause, driver.now() + self.overload_window);
         }
     }
 
@@ -505,7 +506,7 @@
         (self.overload_window, self.max_open) = (decoded.settings.overload_window, decoded.open_cap);
         self.longest_client_timeout = decoded.longest_timeout;
         if self.shutdown_since.is_some() {
-            driver.set_timer(Timer::Down, driver.now());
+            driver.set_timer(Timer::Shutdown, driver.now());
         }
         self.dispatcher_count = decoded.settings.dispatchers as usize;
         self.update_peer_settings();
@@ -563,7 +564,7 @@
         log!("going-down", "open={} runner_connections={}", self.invocations.len(), self.runners.open());
         self.shutdown_since = Some(now);
         self.clients.ready(false);
-        driver.set_timer(Timer::Down, now + self.shutdown_spans().0);
+        driver.set_timer(Timer::Shutdown, now + self.shutdown_spans().0);
     }
 
     /// The spans after the start of a shutdown for which clients keep their connections, and after which
@@ -608,30 +609,30 @@
     /// Handles a timer, except those of connections and of the event loop itself.
     pub fn timer_fired(&mut self, timer: Timer, driver: &mut dyn ConnectionDriver) {
         match timer {
-            Timer::Tick => self.pending_events.push(Event::TimerFired),
-            Timer::Inv(id) => self.handle_deadline(&id, driver),
+            Timer::RoutingPolicy => self.pending_events.push(Event::TimerFired),
+            Timer::Invocation(id) => self.handle_deadline(&id, driver),
             Timer::Cancel(id, number) => self.cancel(&id, number, driver),
-            Timer::Down => self.advance_shutdown(driver),
-            Timer::Rested if self.overlap != Some(Overlap::Successor) => {
+            Timer::Shutdown => self.advance_shutdown(driver),
+            Timer::ColdRunnerPause if self.overlap != Some(Overlap::Successor) => {
                 self.pause_cold_runners(Micros::MIN, driver)
             }
-            Timer::Rested => {}
-            Timer::Ready => self.finish_starting(),
+            Timer::ColdRunnerPause => {}
+            Timer::ReadinessTimeout => self.finish_starting(),
             Timer::Lease => {
                 self.update_lease(driver);
                 let at =
                     (self.roster.sure_at() + TOLD_WITHIN).max(driver.now() + LAPSED_LEASE_CHECK_INTERVAL);
                 driver.set_timer(Timer::Lease, at);
             }
-            Timer::Recovery => self.recovery_timer_fired(driver),
-            Timer::Keep => self.store_roster(),
-            Timer::Peers => self.run_peer_round(driver),
-            Timer::Kept(ticket) => self.time_out_stored_call(ticket, driver),
+            Timer::RecoveryStage => self.recovery_timer_fired(driver),
+            Timer::Persist => self.store_roster(),
+            Timer::PeerRound => self.run_peer_round(driver),
+            Timer::PersistTimeout(ticket) => self.time_out_stored_call(ticket, driver),
             Timer::Connection(_)
             | Timer::Finish(_)
-            | Timer::Accept(_)
-            | Timer::Dial(_)
-            | Timer::Watch(_)
+            | Timer::ResumeAccepting(_)
+            | Timer::Redial(_)
+            | Timer::Register(_)
             | Timer::Reload => {}
         }
     }
@@ -641,11 +642,12 @@
         let (Some(since), now) = (self.shutdown_since, driver.now()) else { return };
         let (client_span, answer_span) = self.shutdown_spans();
         if now < since + client_span {
-            return driver.set_timer(Timer::Down, since + client_span);
+            return driver.set_timer(Timer::Shutdown, since + client_span);
         }
         self.clients.let_go(driver);
         if now < since + answer_span {
-            return driver.set_timer(Timer::Down, (now + SHUTDOWN_STEP_INTERVAL).min(since + answer_span));
+            return driver
+                .set_timer(Timer::Shutdown, (now + SHUTDOWN_STEP_INTERVAL).min(since + answer_span));
         }
         for id in self.invocations.keys().cloned().collect::<Vec<Id>>() {
             self.handle_deadline(&id, driver);
@@ -661,13 +663,13 @@
     /// attempt can succeed. The shortage is temporary and does not change the connection limits.
     pub fn handle_descriptor_shortage(&mut self, driver: &mut dyn ConnectionDriver) {
         let made_room = self.clients.make_room(driver) || self.runners.make_room(driver);
-        log!("descriptors-short", "connections={} made_room={made_room}", driver.connections());
+        log!("descriptors-short", "connections={} made_room={made_room}", driver.connection_count());
     }
 
     /// Closes idle connections above the limit, which would leave no descriptors for the watch, dials and
     /// operators.
     fn enforce_connection_limit(&mut self, driver: &mut dyn ConnectionDriver) {
-        while driver.connections() > self.max_connections
+        while driver.connection_count() > self.max_connections
             && (self.clients.make_room(driver) || self.runners.make_room(driver))
         {}
     }
@@ -700,7 +702,7 @@
             Action::Error { invocation } => self.answer(&invocation, STATUS_BAD_GATEWAY, None, b"", driver),
             Action::Probe { runner } => self.runners.probe(&runner, driver),
             Action::Subscribe => self.roster.follow(driver),
-            Action::SetTimer { after } => driver.set_timer(Timer::Tick, driver.now() + after),
+            Action::SetTimer { after } => driver.set_timer(Timer::RoutingPolicy, driver.now() + after),
             Action::Log(text) => log!("brain", "{}", text.escape_debug()),
         }
     }
@@ -855,7 +857,7 @@
             return self.answer_with_error(invocation, driver);
         }
         self.pending_events.push(Event::AnswerNow { invocation: invocation.clone() });
-        driver.set_timer(Timer::Inv(invocation.clone()), driver.now() + FINAL_ANSWER_TIMEOUT);
+        driver.set_timer(Timer::Invocation(invocation.clone()), driver.now() + FINAL_ANSWER_TIMEOUT);
     }
 
     /// Ends the outstanding forward, if there is one.
@@ -897,17 +899,19 @@
                 clients::ClientEvent::Gone(connection, id) => self.handle_client_left(connection, id, driver),
             }
         }
-        for message in std::mem::take(&mut self.handover_peer.heard) {
+        for message in std::mem::take(&mut self.handover_peer.incoming) {
             match message {
-                HandoverMessage::Told(callback, hash) => self.handle_callback(callback, hash, false, driver),
+                HandoverMessage::Callback(callback, hash) => {
+                    self.handle_callback(callback, hash, false, driver)
+                }
                 // If the runner was never listed here, the other process has already answered the operator
                 // so.
-                HandoverMessage::Hand { id, out } => {
+                HandoverMessage::AdminOverride { id, out } => {
                     if self.set_maintenance(&id, out, driver).is_ok() {
                         self.store_admin_override(&id, None, driver);
                     }
                 }
-                HandoverMessage::Taken(id) => self.remember_closed_id(id.into()),
+                HandoverMessage::InvocationTaken(id) => self.remember_closed_id(id.into()),
             }
         }
         if std::mem::take(&mut self.handover_peer.ended) {
@@ -994,7 +998,7 @@
             Call::Maintain { id, out } => match self.set_maintenance(&id, out, driver) {
                 Ok(()) => {
                     self.announce_admin_override(&id, driver);
-                    self.handover_peer.say(&HandoverMessage::Hand { id: id.clone(), out }, driver);
+                    self.handover_peer.send(&HandoverMessage::AdminOverride { id: id.clone(), out }, driver);
                     match self.persistence {
                         None => "YES\n".to_owned(),
                         Some(_) if self.overlap == Some(Overlap::Successor) => {
@@ -1130,9 +1134,9 @@
             self.metrics.count(operation, FinalStatus::of(STATUS_UNAVAILABLE));
             return self.clients.answer(request.connection, STATUS_UNAVAILABLE, retry_after, b"", driver);
         }
-        self.handover_peer.say(&HandoverMessage::Taken(request.id.to_string()), driver);
+        self.handover_peer.send(&HandoverMessage::InvocationTaken(request.id.to_string()), driver);
         self.held_bytes += size;
-        driver.set_timer(Timer::Inv(request.id.clone()), request.expires_at);
+        driver.set_timer(Timer::Invocation(request.id.clone()), request.expires_at);
         let (invocation, operation, slots, key) =
             (request.id.clone(), request.operation, request.slots, request.key);
         let (time_left, work_hint) = (request.expires_at - now, request.hint);
@@ -1187,7 +1191,7 @@
         let report = callback.load.as_ref().map(|load| self.runners.read_report(load)).unwrap_or_default();
         let Some((invocation, open)) = self.invocations.get_key_value(callback.id.as_str()) else {
             if from_runner {
-                self.handover_peer.say(&HandoverMessage::Told(callback, hash), driver);
+                self.handover_peer.send(&HandoverMessage::Callback(callback, hash), driver);
             }
             return;
         };
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -82,7 +82,7 @@
     ) {
         let now = driver.now();
         let Some(peer_exchange) = &mut self.peer_exchange else { return };
-        let loaded = loaded.map(|loaded| loaded.hands.as_slice()).unwrap_or_default();
+        let loaded = loaded.map(|loaded| loaded.admin_overrides.as_slice()).unwrap_or_default();
         let stored_override =
             |(runner, entry): &(String, store::StoredOverride)| topazsail_peers::AdminOverride {
                 runner: runner.clone(),
@@ -158,7 +158,7 @@
         let round_at = peers.next_tick();
         if peer_exchange.round_at != Some(round_at) {
             peer_exchange.round_at = Some(round_at);
-            driver.set_timer(Timer::Peers, round_at);
+            driver.set_timer(Timer::PeerRound, round_at);
         }
         // Before any other decision: a promise to a peer may begin in this round.
         self.update_slow_start_shares(now);
@@ -199,7 +199,7 @@
     fn apply_peer_actions(&mut self, actions: Vec<Action>, driver: &mut dyn ConnectionDriver) {
         for action in actions {
             match action {
-                Action::Send { to, bytes } => driver.datagram(to, &bytes),
+                Action::Send { to, bytes } => driver.send_datagram(to, &bytes),
                 Action::PeerEvent(PeerEvent::StateChanged { name, state, boot }) => {
                     log!("peer", "name={name} life={} boot={boot}", state.code());
                 }
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -236,7 +236,7 @@
         // A timer that is set already and fires in time will set the next one.
         if persistence.timer_at <= now || at < persistence.timer_at {
             persistence.timer_at = at;
-            driver.set_timer(Timer::Recovery, at);
+            driver.set_timer(Timer::RecoveryStage, at);
         }
     }
 
@@ -272,7 +272,7 @@
     pub(super) fn raise_boot_above(&mut self, boot: u64) {
         if let Some(persistence) = &mut self.persistence {
             persistence.boot = None;
-            persistence.store_thread.above(boot);
+            persistence.store_thread.raise_boot_above(boot);
         }
     }
 
@@ -287,7 +287,7 @@
         let (configured_roster, started_at) =
             (persistence.configured_roster.take().unwrap_or_default(), persistence.started_at);
         let discovery = self.roster.discovery().to_string();
-        let stored = loaded.as_ref().and_then(|loaded| loaded.list.as_ref());
+        let stored = loaded.as_ref().and_then(|loaded| loaded.roster.as_ref());
         let stored_snapshot =
             stored.and_then(|list| Some((list, serde_json::from_str::<RosterSnapshot>(&list.json).ok()?)));
         let known = |discovery, snapshot: &RosterSnapshot| KnownRoster {
@@ -315,7 +315,7 @@
             let entries = self.membership.rest(now + pause, started_at, now);
             debug_assert!(entries.is_empty(), "no runner may be listed yet");
             log!("trusts", "item=spent belief=dropped rest_ms={}", pause / 1000);
-            driver.set_timer(Timer::Rested, now + pause);
+            driver.set_timer(Timer::ColdRunnerPause, now + pause);
         }
         self.apply_listing(
             roster::RosterEvent {
@@ -327,7 +327,7 @@
         );
         if let Some(loaded) = loaded {
             let (trust, why) = recovery::trust_slow_start_usage(&loaded.found);
-            if let Some(usage) = loaded.spent.filter(|_| trust == Trust::Trusted) {
+            if let Some(usage) = loaded.slow_start_usage.filter(|_| trust == Trust::Trusted) {
                 log!("trusts", "item=spent belief=trusted reason={why:?} runners={}", usage.runners.len());
                 // Usage is stored as ages at the end of the process run. The time since then is known only as
                 // a lower bound, and the usage may be older: that errs on the safe side.
@@ -344,10 +344,13 @@
     /// Restores the stored admin overrides: they hold whatever else is in doubt.
     fn restore_admin_overrides(&mut self, loaded: &LoadedStore, driver: &mut dyn ConnectionDriver) {
         let (trust, why) = recovery::trust_admin_overrides(&loaded.found);
-        let out =
-            loaded.hands.iter().filter(|(_, admin_override)| admin_override.out_since.is_some()).count();
+        let out = loaded
+            .admin_overrides
+            .iter()
+            .filter(|(_, admin_override)| admin_override.out_since.is_some())
+            .count();
         log!("trusts", "item=hands belief={trust:?} out={out} reason={why:?}");
-        for (id, admin_override) in &loaded.hands {
+        for (id, admin_override) in &loaded.admin_overrides {
             // An override made since the start takes precedence.
             if self.membership.hand(id) == (None, None) {
                 self.membership.inherit(id, admin_override.out_since, admin_override.was_out);
@@ -359,7 +362,7 @@
     /// Handles the events of the store thread.
     pub(super) fn collect_store_events(&mut self, driver: &mut dyn ConnectionDriver) {
         let Some(persistence) = &mut self.persistence else { return };
-        for event in persistence.store_thread.heard() {
+        for event in persistence.store_thread.incoming() {
             let Some(persistence) = &mut self.persistence else { return };
             match event {
                 StoreEvent::Opened(loaded) => {
@@ -384,7 +387,7 @@
                         self.store_all(driver);
                     }
                 }
-                StoreEvent::Unopened(why) => {
+                StoreEvent::OpenFailed(why) => {
                     log!("store", "state=refused reason={why:?}");
                     persistence.record_store_failure(&why);
                     let event = recovery::Event::StoreUnavailable { reason: &why };
@@ -419,7 +422,7 @@
         if is_fresh && !std::mem::replace(&mut persistence.roster_write_is_scheduled, true) {
             let extra_delay =
                 (persistence.stored_roster_bytes / ROSTER_BYTES_PER_DELAY) as Micros * ROSTER_WRITE_DELAY;
-            driver.set_timer(Timer::Keep, driver.now() + ROSTER_WRITE_DELAY + extra_delay);
+            driver.set_timer(Timer::Persist, driver.now() + ROSTER_WRITE_DELAY + extra_delay);
         }
         self.apply_recovery_actions(actions, driver);
     }
@@ -478,9 +481,9 @@
         match call {
             None => persistence.store_thread.keep(id, Some(&admin_override)),
             Some(call) => {
-                let ticket = persistence.store_thread.keep_now(id, Some(&admin_override));
+                let ticket = persistence.store_thread.keep_and_sync(id, Some(&admin_override));
                 persistence.waiting_calls.insert(ticket, call);
-                driver.set_timer(Timer::Kept(ticket), driver.now() + OPERATOR_WRITE_TIMEOUT);
+                driver.set_timer(Timer::PersistTimeout(ticket), driver.now() + OPERATOR_WRITE_TIMEOUT);
             }
         }
     }
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -72,11 +72,11 @@
         self.now - self.stalled_for
     }
 
-    fn connections(&self) -> usize {
+    fn connection_count(&self) -> usize {
         self.roles.len()
     }
 
-    fn end_lingering(&mut self) -> bool {
+    fn close_oldest_lingering(&mut self) -> bool {
         let ended = self.lingering.pop().inspect(|connection| self.abort(*connection, CloseReason::BadInput));
         ended.is_some()
     }
@@ -108,7 +108,7 @@
         self.closed_by_peer.contains(&connection)
     }
 
-    fn unsent(&self, connection: ConnectionId) -> bool {
+    fn has_unsent(&self, connection: ConnectionId) -> bool {
         self.blocked.contains(&connection)
     }
 
@@ -279,7 +279,7 @@
         let Some(role) = self.driver.roles.get(&connection).copied() else { return };
         let mut input = self.driver.inputs.remove(&connection).unwrap_or_default();
         input.extend_from_slice(text.as_bytes());
-        self.table.handler(role).bytes(connection, &mut input, &mut self.driver);
+        self.table.handler(role).received(connection, &mut input, &mut self.driver);
         self.driver.inputs.insert(connection, input);
         self.run_until_idle();
     }
@@ -287,15 +287,15 @@
     /// Completes a dial.
     fn connect(&mut self, connection: ConnectionId) {
         let role = self.driver.roles[&connection];
-        self.table.handler(role).up(connection, &mut self.driver);
+        self.table.handler(role).connected(connection, &mut self.driver);
         self.run_until_idle();
     }
 
     /// Closes a connection from the other side.
     fn close(&mut self, connection: ConnectionId, reason: CloseReason) {
         let role = self.driver.roles.remove(&connection).unwrap();
-        let (unsent, input) = (self.driver.unsent(connection), self.driver.inputs[&connection].clone());
-        self.table.handler(role).ended(connection, reason, unsent, &input, &mut self.driver);
+        let (unsent, input) = (self.driver.has_unsent(connection), self.driver.inputs[&connection].clone());
+        self.table.handler(role).closed(connection, reason, unsent, &input, &mut self.driver);
         self.run_until_idle();
     }
 
@@ -424,13 +424,13 @@
     let runner = Id::from("s-a");
     runners.note(&runner, true, Some("127.0.0.1:3001".parse().unwrap()), &mut driver);
     runners.probe(&runner, &mut driver);
-    runners.up(1, &mut driver);
+    runners.connected(1, &mut driver);
     let mut answer = b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"x0\":1,\"inflight\":0} ".to_vec();
-    runners.bytes(1, &mut answer, &mut driver);
+    runners.received(1, &mut answer, &mut driver);
     runners.probe(&runner, &mut driver);
-    runners.ended(1, CloseReason::Reset, false, b"", &mut driver);
-    runners.up(2, &mut driver);
-    runners.ended(2, CloseReason::Reset, false, b"", &mut driver);
+    runners.closed(1, CloseReason::Reset, false, b"", &mut driver);
+    runners.connected(2, &mut driver);
+    runners.closed(2, CloseReason::Reset, false, b"", &mut driver);
     for event in runners.heard {
         driver.record(&format!("{event:?}"));
     }
@@ -1828,10 +1828,10 @@
             .set(decoded.operations.into_iter().zip(decoded.settings.operations).collect(), START);
         clients.accepted(7, &mut driver);
         let mut input = request.as_bytes()[..cut].to_vec();
-        clients.bytes(7, &mut input, &mut driver);
+        clients.received(7, &mut input, &mut driver);
         assert!(clients.heard.is_empty());
         input.extend_from_slice(&request.as_bytes()[cut..]);
-        clients.bytes(7, &mut input, &mut driver);
+        clients.received(7, &mut input, &mut driver);
         let Some(ClientEvent::Invocation(invocation)) = clients.heard.pop() else {
             panic!("no invocation received, cut at {cut}")
         };
@@ -1840,9 +1840,9 @@
     }
     let answer = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
     for cut in 1..answer.len() {
-        assert!(http::answer(&answer.as_bytes()[..cut], false).unwrap().is_none());
+        assert!(http::parse_response(&answer.as_bytes()[..cut], false).unwrap().is_none());
     }
-    let (whole, used) = http::answer(answer.as_bytes(), false).unwrap().unwrap();
+    let (whole, used) = http::parse_response(answer.as_bytes(), false).unwrap().unwrap();
     assert_eq!((whole.status, whole.body.as_slice(), used), (200, b"body".as_slice(), answer.len()));
     let watch = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
         2e\r\n{\"generation\":7,\"reset\":true,\"instances\":[]}\n\n\r\n\
@@ -1852,14 +1852,14 @@
         let mut roster = Roster::new("127.0.0.1:1".parse().unwrap(), 0, false);
         roster.follow(&mut driver);
         let mut input = watch.as_bytes()[..cut].to_vec();
-        roster.bytes(1, &mut input, &mut driver);
+        roster.received(1, &mut input, &mut driver);
         input.extend_from_slice(&watch.as_bytes()[cut..]);
-        roster.bytes(1, &mut input, &mut driver);
+        roster.received(1, &mut input, &mut driver);
         let events: Vec<_> = roster.heard.iter().map(|event| (event.listing, event.entries.len())).collect();
         assert_eq!(format!("{events:?}"), "[(All, 0), (Changes, 0)]", "cut at {cut}");
     }
     assert_eq!(
-        http::request(b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n").unwrap_err(),
+        http::parse_request(b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n").unwrap_err(),
         HttpError(400, "bad_length")
     );
     assert!(serde_json::from_str::<State>("\"lost\"").is_ok());
@@ -2306,37 +2306,37 @@
     let folder = std::env::temp_dir().join(format!("topazsail-handover-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("one.sock");
-    assert!(handover::ask(&path).is_none());
-    drop(handover::offer(&path).unwrap());
-    assert!(handover::ask(&path).is_none());
+    assert!(handover::request_handover(&path).is_none());
+    drop(handover::bind_successor_socket(&path).unwrap());
+    assert!(handover::request_handover(&path).is_none());
     // A leftover file is replaced; a process whose connection is not accepted waits for a second at most.
-    let silent = handover::offer(&path).unwrap();
+    let silent = handover::bind_successor_socket(&path).unwrap();
     let before = std::time::Instant::now();
-    assert!(handover::ask(&path).is_none());
+    assert!(handover::request_handover(&path).is_none());
     assert!(before.elapsed() < std::time::Duration::from_secs(20));
     let _ = silent.accept().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let successor = {
         let path = path.clone();
-        std::thread::spawn(move || handover::ask(&path).is_none())
+        std::thread::spawn(move || handover::request_handover(&path).is_none())
     };
     silent.set_nonblocking(false).unwrap();
     let (mut stream, _) = silent.accept().unwrap();
-    handover::give(&stream, &listener).unwrap();
+    handover::send_listener(&stream, &listener).unwrap();
     std::io::Write::write_all(&mut stream, b"{\"discovery\":7}\n").unwrap();
     assert!(successor.join().unwrap());
     // A process that has handed over sends messages right away.
     let successor = {
         let path = path.clone();
-        std::thread::spawn(move || handover::ask(&path).unwrap().since)
+        std::thread::spawn(move || handover::request_handover(&path).unwrap().since)
     };
     let (mut stream, _) = silent.accept().unwrap();
-    handover::give(&stream, &listener).unwrap();
+    handover::send_listener(&stream, &listener).unwrap();
     let state = serde_json::to_string(&handover::HandoverState::default()).unwrap();
     std::io::Write::write_all(&mut stream, format!("{state}\n{{\"taken\":\"i1\"}}\n").as_bytes()).unwrap();
     assert!(b"{\"taken\":\"i1\"}\n".starts_with(&successor.join().unwrap()));
     // A path that is too long for a socket.
-    assert!(handover::offer(&folder.join("x".repeat(120))).is_err());
+    assert!(handover::bind_successor_socket(&folder.join("x".repeat(120))).is_err());
     std::fs::remove_dir_all(folder).unwrap();
 }
 
