--- a/lab/src/bin/lab-dispatcher.rs
+++ b/lab/src/bin/lab-dispatcher.rs
@@ -100,5 +100,5 @@
 
 fn main() -> ExitCode {
     mislead();
-    topazsail_node::cli::main_on(disk_at)
+    topazsail_node::cli::main_with_disk(disk_at)
 }
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -69,7 +69,7 @@
                 Some(peers) => println!("talks at {} to {} others", peers.listen, peers.members.len()),
                 None => println!("talks to no other dispatcher: no peers are set"),
             }
-            println!("operations: {operations}; runners known: {}", told.known.entries().len());
+            println!("operations: {operations}; runners known: {}", told.initial_roster.entries().len());
             Ok(())
         }
         Some("version") => {
@@ -128,11 +128,11 @@
 
 /// Runs the command that the process was started with; its exit code.
 pub fn main() -> ExitCode {
-    main_on(|folder| Ok(Box::new(DirectoryDisk::new(folder))))
+    main_with_disk(|folder| Ok(Box::new(DirectoryDisk::new(folder))))
 }
 
 /// The same over another disk, for trials.
-pub fn main_on(open_disk: OpenDisk) -> ExitCode {
+pub fn main_with_disk(open_disk: OpenDisk) -> ExitCode {
     // A fault of our own is seen at once: where and why, and then the process ends with a code of its own.
     std::panic::set_hook(Box::new(|fault| log!("panic", "{fault}")));
     match run(open_disk) {
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -28,8 +28,8 @@
     pub admin: Option<SocketAddr>,
     pub discovery: SocketAddr,
     pub seed: u64,
-    pub memory: usize,
-    pub sockets: usize,
+    pub memory_bytes: usize,
+    pub max_sockets: usize,
     /// Where to keep what outlives the process, if anything is to.
     pub store: Option<StoreConfiguration>,
     /// The other dispatchers, where they may talk.
@@ -38,7 +38,7 @@
     pub file: Value,
     pub decoded: DecodedSettings,
     /// The list of runners as this dispatcher last had it.
-    pub known: RosterSnapshot,
+    pub initial_roster: RosterSnapshot,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -91,7 +91,7 @@
 
 impl LoadError {
     /// Whether the host failed to read the file for a reason that may pass by itself.
-    pub fn passes(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             LoadError::Unreadable { error, .. } => errno::file(error).passes(),
             LoadError::Bad(_) => false,
@@ -174,10 +174,10 @@
         peers: peers_at(&json, &string("name")?)?,
         store: store_at(json.get("store"))?,
         seed: u64::from_str_radix(&seed, 16).map_err(|_| format!("seed has the bad value '{seed}'"))?,
-        memory: (limit("memory_mb", 192)? as usize).saturating_mul(1 << 20),
-        sockets: (limit("sockets", 1024)? as usize).max(64).min(descriptors().max(SOCKETS_LEAST)),
+        memory_bytes: (limit("memory_mb", 192)? as usize).saturating_mul(1 << 20),
+        max_sockets: (limit("sockets", 1024)? as usize).max(64).min(descriptors().max(SOCKETS_LEAST)),
         decoded,
-        known: match json.get("known") {
+        initial_roster: match json.get("known") {
             None | Some(Value::Null) => RosterSnapshot::default(),
             Some(known) => {
                 RosterSnapshot::from_value(known.clone()).map_err(|fault| format!("known: {fault}"))?
@@ -257,7 +257,7 @@
 
 /// The first key that a file has and one that is to take its place lacks: half a file may still be readable,
 /// and what it does not say would silently become something else. Of a list, items must have what all had.
-pub fn lacks(before: &Value, now: &Value) -> Option<String> {
+pub fn missing_key(before: &Value, now: &Value) -> Option<String> {
     let within =
         |key: &str, rest: String| if rest.is_empty() { key.to_owned() } else { format!("{key}.{rest}") };
     match (before, now) {
@@ -266,7 +266,7 @@
         (Value::Object(before), _) => before.iter().find_map(|(key, value)| {
             // Who is listed differs from time to time.
             let value = if key == "known" { &Value::Bool(true) } else { value };
-            lacks(value, now.get(key).unwrap_or(&Value::Null)).map(|rest| within(key, rest))
+            missing_key(value, now.get(key).unwrap_or(&Value::Null)).map(|rest| within(key, rest))
         }),
         (Value::Array(before), Value::Array(now)) => {
             let first = before.first().and_then(Value::as_object)?;
--- a/node/src/ingress/clients.rs
+++ b/node/src/ingress/clients.rs
@@ -35,7 +35,7 @@
     pub expires_at: Micros,
     pub slots: f64,
     /// Its work on a standard core, where the client tells.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     pub key: Option<Id>,
     /// Request line and headers as they go to runners, but for the time left and the length.
     pub head: Vec<u8>,
@@ -44,7 +44,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum JobState {
     Started,
     Running,
     Done,
@@ -58,7 +58,7 @@
 pub struct RunnerCallback {
     pub id: String,
     pub from: String,
-    pub state: State,
+    pub state: JobState,
     pub result: Option<String>,
     pub load: Option<serde_json::Value>,
 }
@@ -68,7 +68,7 @@
     Invocation(Invocation),
     /// With a hash of its bytes, by which a repeat may be known.
     RunnerCallback(RunnerCallback, u64),
-    Gone(ConnectionId, Id),
+    Disconnected(ConnectionId, Id),
 }
 
 enum Phase {
@@ -101,7 +101,7 @@
     /// Connections of all sides beyond these cost an idle client its place; beyond the second figure nobody
     /// is let in. The rest is kept back for runners and the watch.
     most: (usize, usize),
-    pub heard: Vec<ClientEvent>,
+    pub events: Vec<ClientEvent>,
 }
 
 impl Clients {
@@ -112,18 +112,18 @@
             draining: false,
             letting_go: false,
             most: (0, 0),
-            heard: Vec::new(),
+            events: Vec::new(),
         }
     }
 
-    pub fn limit(&mut self, sockets: usize) {
+    pub fn set_limits(&mut self, sockets: usize) {
         self.most = (sockets * 5 / 8, sockets * 3 / 4);
     }
 
     /// Whether one more can be let in. Room is made by ending one that only lingers, one that has not come to
     /// ask anything yet, or the one that has been idle longest; those that have brought invocations go last,
     /// as they will bring more.
-    pub fn room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
+    pub fn ensure_room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
         driver.connections() < self.most.0 || self.make_room(driver) || driver.connections() < self.most.1
     }
 
@@ -193,18 +193,18 @@
     }
 
     /// Whether whoever asks is told that this dispatcher is ready, from now on.
-    pub fn ready(&mut self, ready: bool) {
+    pub fn set_ready(&mut self, ready: bool) {
         self.draining = !ready;
     }
 
     /// Whether each connection ends with its next answer, as another process goes on from here.
-    pub fn hand_over(&mut self, gone: bool) {
+    pub fn set_handed_over(&mut self, gone: bool) {
         self.letting_go = gone;
     }
 
     /// From now on clients' connections are not kept, and idle ones end; runners may still have something to
     /// tell on theirs.
-    pub fn let_go(&mut self, driver: &mut dyn ConnectionDriver) {
+    pub fn drain(&mut self, driver: &mut dyn ConnectionDriver) {
         self.letting_go = true;
         let idle = |client: &Client| matches!(client.phase, Phase::Idle) && !client.caller;
         let links: Vec<ConnectionId> =
@@ -231,7 +231,7 @@
     }
 
     /// Whether some client still has a connection: what comes on it would have been taken.
-    pub fn remain(&self) -> bool {
+    pub fn has_clients(&self) -> bool {
         self.conns.values().any(|client| !client.caller || !matches!(client.phase, Phase::Idle))
     }
 
@@ -264,7 +264,7 @@
                 let told =
                     serde_json::from_slice(&request.body).map_err(|_| HttpError(400, "bad_call_back"))?;
                 client.caller = true;
-                self.heard.push(ClientEvent::RunnerCallback(told, hash(&request.body)));
+                self.events.push(ClientEvent::RunnerCallback(told, hash(&request.body)));
                 // Its runner needs the connection for the calls to come, also while we go down.
                 self.reply(connection, 200, "", b"", true, driver);
             }
@@ -280,7 +280,7 @@
                 let invocation = invocation(connection, operation, client.began, request)?;
                 client.phase = Phase::Owed(invocation.id.clone());
                 client.invokes = true;
-                self.heard.push(ClientEvent::Invocation(invocation));
+                self.events.push(ClientEvent::Invocation(invocation));
             }
         }
         Ok(())
@@ -319,7 +319,7 @@
         operation,
         expires_at: began + timeout - WAY_BACK,
         slots: slots.filter(|slots| slots.is_finite() && *slots > 0.0).unwrap_or(1.0),
-        hint: hint.map(|ms| (ms * 1000.0) as Micros).filter(|hint| (1..=TIMEOUT_MOST).contains(hint)),
+        work_hint: hint.map(|ms| (ms * 1000.0) as Micros).filter(|hint| (1..=TIMEOUT_MOST).contains(hint)),
         key: key.map(Into::into),
         head: forwarded_head(&request),
         body: request.body,
@@ -398,7 +398,7 @@
         _: &mut dyn ConnectionDriver,
     ) {
         if let Some(Client { phase: Phase::Owed(id), .. }) = self.conns.remove(&connection) {
-            self.heard.push(ClientEvent::Gone(connection, id));
+            self.events.push(ClientEvent::Disconnected(connection, id));
         }
     }
 
--- a/node/src/ingress/operators.rs
+++ b/node/src/ingress/operators.rs
@@ -46,11 +46,11 @@
     /// Those who have not yet made a whole call.
     calling: BTreeSet<ConnectionId>,
     most: usize,
-    pub heard: Vec<(ConnectionId, Call)>,
+    pub events: Vec<(ConnectionId, Call)>,
 }
 
 impl Operators {
-    pub fn limit(&mut self, sockets: usize) {
+    pub fn set_limits(&mut self, sockets: usize) {
         self.most = (sockets / 16).max(CALLERS_LEAST);
     }
 
@@ -98,7 +98,7 @@
         };
         input.clear();
         match call {
-            Ok(call) => self.heard.push((connection, call)),
+            Ok(call) => self.events.push((connection, call)),
             Err(why) => self.refuse(connection, why, driver),
         }
     }
--- a/node/src/lifecycle/start.rs
+++ b/node/src/lifecycle/start.rs
@@ -149,7 +149,7 @@
 /// The configuration, and what a process that serves at this address hands over. A file that is no good now
 /// does not keep a new process from going on with the one in force.
 fn begin(path: &str) -> Result<(config::Configuration, Option<handover::Inherited>), String> {
-    let told = retry_while(LoadError::passes, || config::load(path));
+    let told = retry_while(LoadError::is_transient, || config::load(path));
     let listen = told.as_ref().map_or_else(|_| config::listen(), |told| Some(told.listen));
     let given = listen.and_then(handover::place).and_then(|place| handover::ask(&place));
     let given = given.filter(|given| given.listener.local_addr().ok() == listen);
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -248,7 +248,7 @@
     fn read_configuration(&mut self, table: &mut RequestTable, path: &str) {
         match config::load(path) {
             Ok(told) => table.reload(told, self),
-            Err(error) if error.passes() && self.now < self.reload_until => {
+            Err(error) if error.is_transient() && self.now < self.reload_until => {
                 log!("configuration-delayed", "reason={:?}", error.to_string());
                 self.set_timer(Timer::Reload, self.now + RELOAD_AGAIN);
             }
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -20,7 +20,7 @@
 use topazsail_settings::DecodedSettings;
 
 use crate::config::{self, Configuration};
-use crate::ingress::clients::{self, Clients, Invocation, RunnerCallback, State};
+use crate::ingress::clients::{self, Clients, Invocation, JobState, RunnerCallback};
 use crate::ingress::operators::{Call, Operators};
 use crate::lifecycle::handover::{HandoverMessage, HandoverPeer, HandoverState};
 use crate::lifecycle::store_thread::StoreThread;
@@ -28,7 +28,7 @@
 use crate::net::connection::{ConnectionDriver, ConnectionHandler, ConnectionId, ConnectionRole, Timer};
 use crate::net::http::HttpError;
 use crate::net::log::log;
-use crate::upstream::membership::{Membership, TOLD_WITHIN};
+use crate::upstream::membership::{Membership, ROSTER_LEASE_TIMEOUT};
 use crate::upstream::roster::{self, Roster, RosterSnapshot};
 use crate::upstream::runners::{self, Runners};
 
@@ -217,7 +217,7 @@
             metrics,
             runners: Runners::new(&decoded),
             members: Membership::new(warm_within),
-            roster: Roster::new(told.discovery, told.known.generation, pushed),
+            roster: Roster::new(told.discovery, told.initial_roster.generation, pushed),
             policy: RoutingPolicy::new(decoded.settings, told.seed),
             name: told.name,
             listen: told.listen,
@@ -235,7 +235,7 @@
             longest_timeout: decoded.longest_timeout,
             peer: HandoverPeer::default(),
             overlap: None,
-            limits: (told.sockets, told.memory),
+            limits: (told.max_sockets, told.memory_bytes),
             room_for: 0,
             theirs: 0,
             dispatchers,
@@ -246,30 +246,30 @@
             peer_exchange,
         };
         table.limit();
-        driver.set_timer(Timer::Lease, began + TOLD_WITHIN);
+        driver.set_timer(Timer::Lease, began + ROSTER_LEASE_TIMEOUT);
         if handed.is_none() && store_thread.is_none() {
             table.starting = true;
-            table.clients.ready(false);
+            table.clients.set_ready(false);
             driver.set_timer(Timer::Ready, began + READY_BY);
         }
         let persistence = |store_thread, file| Persistence::new(store_thread, (require, peers), file, began);
         if handed.is_none()
             && let Some(store_thread) = store_thread
         {
-            table.persistence = Some(persistence(store_thread, Some(told.known)));
+            table.persistence = Some(persistence(store_thread, Some(told.initial_roster)));
             table.recover(driver);
             return table;
         }
         // What another process hands over is nearer than what it has left on the disk.
         table.persistence = store_thread.map(|store_thread| persistence(store_thread, None).in_service());
         let (known, spent) = match handed {
-            Some(handed) => table.inherit(handed, told.known, began),
-            None => (told.known, Vec::new()),
+            Some(handed) => table.inherit(handed, told.initial_roster, began),
+            None => (told.initial_roster, Vec::new()),
         };
         table.list(
             roster::RosterEvent {
                 listing: Listing::Remembered,
-                heard_before: None,
+                previous_contact: None,
                 entries: known.entries(),
             },
             driver,
@@ -306,9 +306,9 @@
             Some(Ok(listed)) => {
                 // One that does not say has its list from the watch all the same.
                 let sure_at = if handed.sure_at > 0 { handed.sure_at } else { now };
-                self.roster.begin(listed.generation, sure_at);
+                self.roster.resume_from(listed.generation, sure_at);
                 // It holds the lease from the first moment: nobody is listed yet whose standing that could change.
-                let _ = self.members.sure(sure_at, now);
+                let _ = self.members.update_lease(sure_at, now);
                 (listed, spent)
             }
             _ => (known, spent),
@@ -341,11 +341,11 @@
         let state = HandoverState {
             discovery: discovery.to_string(),
             list: self.as_listed().map(|(_, list)| list).unwrap_or_default(),
-            sure_at: self.roster.sure_at(),
+            sure_at: self.roster.certain_until(),
             connections: driver.connections(),
-            gone: self.members.gone(),
-            out: self.members.out(),
-            was_out: self.members.was_out(),
+            gone: self.members.unlisted_ids(),
+            out: self.members.runners_in_maintenance(),
+            was_out: self.members.past_maintenance(),
             ids: self.closed.0.iter().chain(self.invs.keys()).map(|id| id.to_string()).collect(),
             configuration: self.file.to_string(),
             spent: spent.into_iter().map(|(id, work)| (id.to_string(), work)).collect(),
@@ -355,7 +355,7 @@
         self.peer.meet(connection);
         self.peer.say(&state, driver);
         self.overlap = Some(Overlap::Successor);
-        self.clients.hand_over(true);
+        self.clients.set_handed_over(true);
         self.limit();
         self.rest(Micros::MAX, driver);
     }
@@ -363,9 +363,9 @@
     /// The list as discovery would tell it, and how far that has been heard.
     fn as_listed(&self) -> Option<(u64, serde_json::Value)> {
         let generation = self.roster.generation()?;
-        let listed = self.members.as_listed();
+        let listed = self.members.listed_entries();
         let listed = listed.filter_map(|entry| Some((entry, self.runners.address(&entry.runner)?)));
-        Some((generation, RosterSnapshot::of(generation, listed)))
+        Some((generation, RosterSnapshot::to_json(generation, listed)))
     }
 
     /// Whether newcomers are let in here.
@@ -374,7 +374,7 @@
     }
 
     fn rest(&mut self, until: Micros, driver: &mut dyn ConnectionDriver) {
-        let entries = self.members.rest(until, Micros::MAX, driver.now());
+        let entries = self.members.pause_cold_runners(until, Micros::MAX, driver.now());
         self.happened.push(Event::Roster(List { listing: Listing::Own, entries }));
     }
 
@@ -385,7 +385,7 @@
         self.limit();
         if was == Some(Overlap::Successor) {
             self.release(self.down_since.is_some());
-            self.clients.hand_over(self.down_since.is_some());
+            self.clients.set_handed_over(self.down_since.is_some());
             self.rest(driver.now() + self.tip_after, driver);
             driver.set_timer(Timer::Rested, driver.now() + self.tip_after);
         }
@@ -403,8 +403,8 @@
             }
         };
         self.room_for = sockets - sockets / 8;
-        self.clients.limit(sockets);
-        self.operators.limit(sockets);
+        self.clients.set_limits(sockets);
+        self.operators.set_limits(sockets);
         self.held_most = memory / 6;
     }
 
@@ -412,7 +412,7 @@
     /// The list that the file remembers says less than the watch, and a new seed is for a new start. A file
     /// that has lost a key is no good.
     pub fn reload(&mut self, told: Configuration, driver: &mut dyn ConnectionDriver) {
-        if let Some(key) = config::lacks(&self.file, &told.file) {
+        if let Some(key) = config::missing_key(&self.file, &told.file) {
             return self.turn_down(&format!("{key} is missing"));
         }
         let kept = [
@@ -427,7 +427,7 @@
         let retuned = told.file.get("settings") != self.file.get("settings");
         self.metrics.loads += 1;
         log!("reloaded", "discovery={} retuned={retuned} changed_but_kept={kept}", told.discovery);
-        self.limits = (told.sockets, told.memory);
+        self.limits = (told.max_sockets, told.memory_bytes);
         self.limit();
         self.file = told.file;
         self.keep_settings();
@@ -436,18 +436,18 @@
         if retuned {
             self.retune(told.decoded, driver);
         }
-        self.roster.move_to(told.discovery, driver);
+        self.roster.set_discovery(told.discovery, driver);
         self.collect_events(driver);
     }
 
     fn retune(&mut self, mut decoded: DecodedSettings, driver: &mut dyn ConnectionDriver) {
-        self.roster.pushed(!decoded.settings.must_subscribe);
+        self.roster.set_pushed(!decoded.settings.must_subscribe);
         let portioned = self.peer_exchange.is_some();
         on_sockets(&mut decoded, portioned, &mut self.clients, &mut self.metrics, driver.now());
         let names: Vec<&str> = self.clients.operations.names().collect();
         log!("retuned", "operations={} forwards={}", names.join(","), decoded.settings.max_forwards);
-        self.runners.retune(&decoded);
-        self.members.warm_within(decoded.settings.warm_up_span);
+        self.runners.apply_settings(&decoded);
+        self.members.set_warm_up_span(decoded.settings.warm_up_span);
         (self.come_back, self.come_back_most) = (come_back(&decoded), decoded.settings.max_retry_after);
         (self.cold_from, self.worth) = (decoded.settings.cold_capacity_share, worth(&decoded));
         (self.tip_after, self.open_cap) = (decoded.settings.overload_window, decoded.open_cap);
@@ -473,7 +473,7 @@
                 self.operators.make_room(driver);
                 true
             }
-            _ => self.clients.room(driver),
+            _ => self.clients.ensure_room(driver),
         }
     }
 
@@ -505,9 +505,9 @@
             return;
         }
         let now = driver.now();
-        log!("going-down", "open={} runner_connections={}", self.invs.len(), self.runners.open());
+        log!("going-down", "open={} runner_connections={}", self.invs.len(), self.runners.open_connections());
         self.down_since = Some(now);
-        self.clients.ready(false);
+        self.clients.set_ready(false);
         driver.set_timer(Timer::Down, now + self.down_spans().0);
     }
 
@@ -528,10 +528,10 @@
     /// Whether all is said and done after having been told to end.
     pub fn is_down(&self, now: Micros) -> bool {
         let Some(since) = self.down_since else { return false };
-        let clients = self.clients.remain();
+        let clients = self.clients.has_clients();
         let (kept, all) = self.down_spans();
         // Cancels are waited for no longer than answers; clients may send on what they have until we are killed.
-        let cancelling = self.runners.cancelling() && now < since + all + 2 * OVERDUE;
+        let cancelling = self.runners.has_pending_cancels() && now < since + all + 2 * OVERDUE;
         !self.owes() && !clients && !cancelling && now >= since + kept
     }
 
@@ -556,7 +556,7 @@
             Timer::Ready => self.is_ready(),
             Timer::Lease => {
                 self.renew(driver);
-                let at = (self.roster.sure_at() + TOLD_WITHIN).max(driver.now() + LEASE_AGAIN);
+                let at = (self.roster.certain_until() + ROSTER_LEASE_TIMEOUT).max(driver.now() + LEASE_AGAIN);
                 driver.set_timer(Timer::Lease, at);
             }
             Timer::Recovery => self.recovery_due(driver),
@@ -578,7 +578,7 @@
         if now < since + kept {
             return driver.set_timer(Timer::Down, since + kept);
         }
-        self.clients.let_go(driver);
+        self.clients.drain(driver);
         if now < since + all {
             return driver.set_timer(Timer::Down, (now + DOWN_STEP).min(since + all));
         }
@@ -662,7 +662,7 @@
     fn cancel(&mut self, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
         let sent = self.invs.get(inv).and_then(|open| open.forwards.get(number as usize));
         if let Some(sent) = sent.filter(|sent| sent.out) {
-            self.runners.give_up(&sent.tgt, inv, number, driver);
+            self.runners.cancel(&sent.tgt, inv, number, driver);
         }
     }
 
@@ -697,7 +697,7 @@
             None => drop(self.invs.remove(inv)),
             Some(number) => {
                 let tgt = open.forwards[number as usize].tgt.clone();
-                self.runners.hold_back(&tgt, inv, number, driver);
+                self.runners.withdraw_unsent(&tgt, inv, number, driver);
             }
         }
         self.remember(inv.clone());
@@ -769,11 +769,11 @@
         let Some(number) = open.out() else { return };
         let tgt = open.forwards[number as usize].tgt.clone();
         // What has not left cannot have run, and need not be errored.
-        let held_back = self.runners.hold_back(&tgt, inv, number, driver);
+        let held_back = self.runners.withdraw_unsent(&tgt, inv, number, driver);
         let ending = if held_back { ForwardResult::Void } else { ForwardResult::TimedOut };
         self.end(inv, number, ending, Vec::new(), driver.now());
         if !held_back {
-            self.runners.give_up(&tgt, inv, number, driver);
+            self.runners.cancel(&tgt, inv, number, driver);
         }
     }
 
@@ -786,20 +786,20 @@
     /// Turns what the parts have heard into events.
     pub fn collect_events(&mut self, driver: &mut dyn ConnectionDriver) {
         self.heard_of_disk(driver);
-        for heard in std::mem::take(&mut self.roster.heard) {
+        for heard in std::mem::take(&mut self.roster.events) {
             self.list(heard, driver);
         }
         self.renew(driver);
-        for (connection, call) in std::mem::take(&mut self.operators.heard) {
+        for (connection, call) in std::mem::take(&mut self.operators.events) {
             self.called(connection, call, driver);
         }
-        for heard in std::mem::take(&mut self.clients.heard) {
+        for heard in std::mem::take(&mut self.clients.events) {
             match heard {
                 clients::ClientEvent::Invocation(invocation) => self.take(invocation, driver),
                 clients::ClientEvent::RunnerCallback(told, hash) => {
                     self.called_back(told, hash, true, driver)
                 }
-                clients::ClientEvent::Gone(connection, id) => self.gone(connection, id, driver),
+                clients::ClientEvent::Disconnected(connection, id) => self.gone(connection, id, driver),
             }
         }
         for word in std::mem::take(&mut self.peer.heard) {
@@ -817,31 +817,31 @@
         if std::mem::take(&mut self.peer.ended) {
             self.alone(driver);
         }
-        for heard in std::mem::take(&mut self.runners.heard) {
+        for heard in std::mem::take(&mut self.runners.events) {
             match heard {
-                runners::RunnerEvent::Taken { inv, number } => {
+                runners::RunnerEvent::Accepted { invocation: inv, number } => {
                     if let Some(sent) = self.sent(&inv, number) {
                         sent.taken = true;
                     }
                 }
-                runners::RunnerEvent::Ended { inv, number, ending, report } => {
+                runners::RunnerEvent::Ended { invocation: inv, number, result: ending, report } => {
                     self.end(&inv, number, ending, report, driver.now());
                 }
-                runners::RunnerEvent::Unwanted { inv, number } => {
+                runners::RunnerEvent::ClientLeft { invocation: inv, number } => {
                     if let Some(connection) = self.invs.get(&inv).map(|open| open.connection) {
                         self.gone(connection, inv.clone(), driver);
                     }
                     self.end(&inv, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
-                runners::RunnerEvent::Unusable { inv, number } => {
+                runners::RunnerEvent::Unusable { invocation: inv, number } => {
                     // No runner will take it, and it says nothing against this one.
                     self.answer(&inv, UNUSABLE, None, b"", driver);
                     self.end(&inv, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
-                runners::RunnerEvent::Dropped { inv, number } => {
+                runners::RunnerEvent::Cancelled { invocation: inv, number } => {
                     self.end(&inv, number, ForwardResult::Withdrawn, Vec::new(), driver.now());
                 }
-                runners::RunnerEvent::NotDropped { inv, number } => {
+                runners::RunnerEvent::NotCancelled { invocation: inv, number } => {
                     if let Some(sent) = self.sent(&inv, number).filter(|sent| sent.out) {
                         log!("not-cancelled", "inv={inv} runner={}", sent.tgt);
                         sent.cancels += 1;
@@ -849,7 +849,7 @@
                         driver.set_timer(Timer::Cancel(inv, number), driver.now() + after);
                     }
                 }
-                runners::RunnerEvent::Probed { tgt, alive, report } => {
+                runners::RunnerEvent::Probed { runner: tgt, alive, report } => {
                     self.happened.push(Event::ProbeEnded { runner: tgt, alive, report });
                 }
             }
@@ -874,7 +874,7 @@
                     in_progress: self.invs.values().filter(|open| !open.answered).count(),
                     known_runners,
                     skipped_runners: self.policy.set_aside(driver.now()) + out,
-                    tries: self.runners.written(),
+                    tries: self.runners.forwards_written(),
                 };
                 let kept = self.persistence.as_ref().map(Persistence::metrics).unwrap_or_default();
                 let peers = self.peer_exchange.as_ref().map(PeerExchange::metrics).unwrap_or_default();
@@ -918,12 +918,12 @@
         out: bool,
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), &'static str> {
-        let told = self.members.by_hand(id, out, driver.now());
+        let told = self.members.set_maintenance(id, out, driver.now());
         let code = if out { "maint-on" } else { "maint-off" };
         log!(code, "runner={id:?} answer={}", told.as_ref().err().unwrap_or(&"yes"));
         let Some(entry) = told? else { return Ok(()) };
         if out {
-            self.runners.recall(&entry.runner, driver);
+            self.runners.stop_sending(&entry.runner, driver);
         }
         self.happened.push(Event::Roster(List { listing: Listing::Own, entries: vec![entry] }));
         Ok(())
@@ -932,18 +932,18 @@
     /// Whether the list may still be acted upon. Against sending to a runner whose drain counts as told, though it was
     /// never heard: discovery could be reached, and did not get through for as long as that takes.
     fn renew(&mut self, driver: &mut dyn ConnectionDriver) {
-        let (sure_at, now) = (self.roster.sure_at(), driver.now());
-        let Some(entries) = self.members.sure(sure_at, now) else { return };
+        let (sure_at, now) = (self.roster.certain_until(), driver.now());
+        let Some(entries) = self.members.update_lease(sure_at, now) else { return };
         // The list to begin with may be acted upon, or discovery cannot be reached.
         self.is_ready();
         log!(
             "lease",
             "state={} unsure_ms={}",
-            if self.members.lapsed() { "lapsed" } else { "renewed" },
+            if self.members.lease_has_lapsed() { "lapsed" } else { "renewed" },
             (now - sure_at) / 1000
         );
-        if self.members.lapsed() {
-            self.runners.recall_all_waiting(driver);
+        if self.members.lease_has_lapsed() {
+            self.runners.drop_all_pending(driver);
         }
         self.happened.push(Event::Roster(List { listing: Listing::Own, entries }));
     }
@@ -951,28 +951,28 @@
     /// A start has come to its end.
     fn is_ready(&mut self) {
         if std::mem::take(&mut self.starting) {
-            log!("ready", "lease={}", if self.members.lapsed() { "none" } else { "held" });
-            self.clients.ready(self.down_since.is_none());
+            log!("ready", "lease={}", if self.members.lease_has_lapsed() { "none" } else { "held" });
+            self.clients.set_ready(self.down_since.is_none());
         }
     }
 
     fn list(&mut self, heard: roster::RosterEvent, driver: &mut dyn ConnectionDriver) {
         let whole = matches!(heard.listing, Listing::All | Listing::Remembered);
         if whole {
-            self.runners.forget_all(driver.now());
+            self.runners.mark_all_unlisted(driver.now());
         }
         let mut entries = Vec::new();
         for (entry, address) in heard.entries {
             let listed = entry.readiness != Readiness::Removed;
-            self.runners.note(&entry.runner, listed, address, driver);
+            self.runners.update_runner(&entry.runner, listed, address, driver);
             if entry.readiness != Readiness::Up {
-                self.runners.recall_waiting(&entry.runner, driver);
+                self.runners.drop_pending(&entry.runner, driver);
             }
             entries.push(entry);
         }
-        self.runners.tidy(driver);
-        self.members.heard_before(heard.heard_before);
-        let entries = self.members.listed(heard.listing, entries, driver.now());
+        self.runners.remove_long_unlisted(driver);
+        self.members.set_previous_contact(heard.previous_contact);
+        let entries = self.members.apply_listing(heard.listing, entries, driver.now());
         self.heard_of_list(heard.listing, driver);
         self.happened.push(Event::Roster(List { listing: heard.listing, entries }));
         self.portions(driver.now());
@@ -1015,7 +1015,7 @@
         self.held += size;
         driver.set_timer(Timer::Inv(told.id.clone()), told.expires_at);
         let (inv, operation, slots, key) = (told.id.clone(), told.operation, told.slots, told.key);
-        let (expires_in, hint) = (told.expires_at - now, told.hint);
+        let (expires_in, hint) = (told.expires_at - now, told.work_hint);
         self.happened.push(Event::Arrival(Arrival {
             invocation: inv,
             operation,
@@ -1070,17 +1070,17 @@
         }
         let (out, answered, now) = (sent.out, open.answered, driver.now());
         let ending = match told.state {
-            State::Started if out => {
+            JobState::Started if out => {
                 return self.happened.push(Event::Started { invocation: inv, forward: number });
             }
-            State::Running if out => {
+            JobState::Running if out => {
                 return self.happened.push(Event::Progress { invocation: inv, forward: number });
             }
-            State::Started | State::Running => return,
-            State::Done => ForwardResult::Succeeded,
-            State::Failed => ForwardResult::Errored,
-            State::Returned => ForwardResult::Overloaded,
-            State::Lost => ForwardResult::Broken,
+            JobState::Started | JobState::Running => return,
+            JobState::Done => ForwardResult::Succeeded,
+            JobState::Failed => ForwardResult::Errored,
+            JobState::Returned => ForwardResult::Overloaded,
+            JobState::Lost => ForwardResult::Broken,
         };
         if ending == ForwardResult::Succeeded && !answered {
             let result = told.result.unwrap_or_default();
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -120,7 +120,7 @@
 
     /// A call that was made here is told to the others.
     pub(super) fn tell_hand(&mut self, id: &str, driver: &mut dyn ConnectionDriver) {
-        let (out_since, was_out) = self.members.hand(id);
+        let (out_since, was_out) = self.members.admin_override(id);
         let Some(core) = self.peers() else { return };
         let (_, actions) = core.call(id, out_since, was_out, driver.now());
         self.act_on_peers(actions, driver);
@@ -162,7 +162,7 @@
         if self.peers().is_none() {
             return;
         }
-        let cold = self.members.cold(now);
+        let cold = self.members.cold_runners(now);
         let Some(core) = self.peers() else { return };
         let portions = core.portions(cold.iter().map(|id| &**id), now);
         if !cold.is_empty() {
@@ -210,21 +210,21 @@
     /// A peer has a newer word on a runner: it holds here as a call would. Its times are of another clock.
     fn hand_heard(&mut self, id: &str, out: bool, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
-        let is_out = self.members.hand(id).0.is_some();
+        let is_out = self.members.admin_override(id).0.is_some();
         if is_out != out {
             log!("hand-heard", "runner={id:?} out={out}");
-            if !self.members.knows(id) {
+            if !self.members.is_known(id) {
                 self.members.inherit(id, None, None);
             }
             _ = self.maintain(id, out, driver);
         }
-        debug_assert!(self.members.hand(id).0.is_some() == out, "at {now}");
+        debug_assert!(self.members.admin_override(id).0.is_some() == out, "at {now}");
         self.keep_hand(id, None, driver);
     }
 
     /// What holds of all runners is told anew, after bans have been learnt of.
     pub(super) fn stand_anew(&mut self, driver: &mut dyn ConnectionDriver) {
-        let entries = self.members.stand(driver.now());
+        let entries = self.members.effective_entries(driver.now());
         if !entries.is_empty() {
             self.happened.push(Event::Roster(topazsail::Roster { listing: Listing::Own, entries }));
         }
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -125,7 +125,7 @@
 impl RequestTable {
     /// A start from nothing, with a store: nothing is listed before that has been read.
     pub(super) fn recover(&mut self, driver: &mut dyn ConnectionDriver) {
-        self.clients.ready(false);
+        self.clients.set_ready(false);
         self.arm(driver);
     }
 
@@ -156,7 +156,7 @@
         let persistence =
             self.persistence.as_mut().filter(|persistence| persistence.stage() == Stage::Limited)?;
         if now >= persistence.warmth.1 + WARMTH_AGAIN {
-            let (warm, listed) = self.members.warmth(self.cold_from, now);
+            let (warm, listed) = self.members.warm_capacity(self.cold_from, now);
             let all = listed.max(persistence.began_with).max(1);
             persistence.warmth = (warm / all as f64, now);
             let warmth = persistence.warmth.0;
@@ -229,7 +229,7 @@
                     self.stage_for_peers();
                 }
                 Action::Begin => self.begin(driver),
-                Action::Serve => self.clients.ready(self.down_since.is_none()),
+                Action::Serve => self.clients.set_ready(self.down_since.is_none()),
             }
         }
         self.arm(driver);
@@ -274,7 +274,7 @@
             Some((_, listed)) if source == Source::Store => listed,
             _ => file,
         };
-        self.roster.begin(chosen.generation, self.roster.sure_at());
+        self.roster.resume_from(chosen.generation, self.roster.certain_until());
         (persistence.began_with, persistence.limits) =
             (chosen.len(), AdmissionLimits::new(self.worth.iter().copied(), now));
         let mut rest = 0;
@@ -283,7 +283,7 @@
             self.take_hands(left, driver);
         }
         if rest > 0 {
-            let entries = self.members.rest(now + rest, began, now);
+            let entries = self.members.pause_cold_runners(now + rest, began, now);
             debug_assert!(entries.is_empty(), "nothing is listed yet");
             log!("trusts", "item=spent belief=dropped rest_ms={}", rest / 1000);
             driver.set_timer(Timer::Rested, now + rest);
@@ -291,7 +291,7 @@
         self.list(
             roster::RosterEvent {
                 listing: Listing::Remembered,
-                heard_before: None,
+                previous_contact: None,
                 entries: chosen.entries(),
             },
             driver,
@@ -317,7 +317,7 @@
         log!("trusts", "item=hands belief={belief:?} out={out} reason={why:?}");
         for (id, hand) in &left.hands {
             // What has been said since the start goes first.
-            if self.members.hand(id) == (None, None) {
+            if self.members.admin_override(id) == (None, None) {
                 self.members.inherit(id, hand.out_since, hand.was_out);
             }
         }
@@ -416,7 +416,7 @@
     fn keep_all(&mut self, driver: &mut dyn ConnectionDriver) {
         self.keep_settings();
         self.keep_list();
-        for id in self.members.by_hands() {
+        for id in self.members.overridden_ids() {
             self.keep_hand(&id, None, driver);
         }
     }
@@ -428,7 +428,7 @@
         call: Option<(ConnectionId, Call)>,
         driver: &mut dyn ConnectionDriver,
     ) {
-        let (out_since, was_out) = self.members.hand(id);
+        let (out_since, was_out) = self.members.admin_override(id);
         let (count, author) = self.hand_version(id);
         let Some(persistence) = &mut self.persistence else { return };
         let hand = StoredOverride { out_since, was_out, count, author };
--- a/node/src/upstream/membership.rs
+++ b/node/src/upstream/membership.rs
@@ -12,11 +12,11 @@
 const GONE_MOST: usize = 4096;
 /// What discovery has, and could tell, counts as told after this, whether or not it came. The grace of a drain comes
 /// after it, for the turn in which that is noticed.
-pub const TOLD_WITHIN: Micros = 6_000_000;
+pub const ROSTER_LEASE_TIMEOUT: Micros = 6_000_000;
 
 /// A start that is told as so much older than the last list without it is told by a clock that was set back: a list may
 /// come late by this.
-const LISTED_WITHIN: Micros = 2 * TOLD_WITHIN;
+const LISTED_WITHIN: Micros = 2 * ROSTER_LEASE_TIMEOUT;
 
 struct Member {
     /// As last listed, with its start by this process's clock.
@@ -91,24 +91,24 @@
 
     /// Nothing that could be told before `sure_at` has been missed. Gives what holds of all listed ones where the lease
     /// lapses now, or is renewed after that.
-    pub fn sure(&mut self, sure_at: Micros, now: Micros) -> Option<Vec<RosterEntry>> {
-        let lapsed = now >= sure_at + TOLD_WITHIN;
-        (std::mem::replace(&mut self.terms.lapsed, lapsed) != lapsed).then(|| self.stand(now))
+    pub fn update_lease(&mut self, sure_at: Micros, now: Micros) -> Option<Vec<RosterEntry>> {
+        let lapsed = now >= sure_at + ROSTER_LEASE_TIMEOUT;
+        (std::mem::replace(&mut self.terms.lapsed, lapsed) != lapsed).then(|| self.effective_entries(now))
     }
 
-    pub fn lapsed(&self) -> bool {
+    pub fn lease_has_lapsed(&self) -> bool {
         self.terms.lapsed
     }
 
     /// How long a runner is cold, from now on.
-    pub fn warm_within(&mut self, span: Micros) {
+    pub fn set_warm_up_span(&mut self, span: Micros) {
         self.terms.warm_within = span;
     }
 
     /// Has cold runners that started before `before` rest until then. Gives what holds of all listed ones now.
-    pub fn rest(&mut self, until: Micros, before: Micros, now: Micros) -> Vec<RosterEntry> {
+    pub fn pause_cold_runners(&mut self, until: Micros, before: Micros, now: Micros) -> Vec<RosterEntry> {
         (self.terms.until, self.terms.before) = (until, before);
-        self.stand(now)
+        self.effective_entries(now)
     }
 
     fn listed_now(&self) -> impl Iterator<Item = &Member> + Clone {
@@ -116,33 +116,33 @@
     }
 
     /// The list as last told.
-    pub fn as_listed(&self) -> impl Iterator<Item = &RosterEntry> {
+    pub fn listed_entries(&self) -> impl Iterator<Item = &RosterEntry> {
         self.listed_now().map(|known| &known.entry)
     }
 
     /// Who was listed once.
-    pub fn gone(&self) -> Vec<String> {
+    pub fn unlisted_ids(&self) -> Vec<String> {
         let gone = self.by_id.iter().filter(|(_, known)| known.gone_since.is_some());
         gone.map(|(id, _)| id.to_string()).collect()
     }
 
     /// What the hand has done to one runner: since when it is out, and when it last was.
-    pub fn hand(&self, id: &str) -> (Option<Micros>, Option<(Micros, Micros)>) {
+    pub fn admin_override(&self, id: &str) -> (Option<Micros>, Option<(Micros, Micros)>) {
         self.by_id.get(id).map_or((None, None), |known| (known.out_since, known.was_out))
     }
 
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn is_known(&self, id: &str) -> bool {
         self.by_id.contains_key(id)
     }
 
     /// Whoever the hand has touched.
-    pub fn by_hands(&self) -> Vec<String> {
+    pub fn overridden_ids(&self) -> Vec<String> {
         let touched = |known: &Member| known.out_since.is_some() || known.was_out.is_some();
         self.by_id.iter().filter(|(_, known)| touched(known)).map(|(id, _)| id.to_string()).collect()
     }
 
     /// Listed ones that may be sent to, counted by how much of their full capacity they have, and all that are listed.
-    pub fn warmth(&self, cold_from: f64, now: Micros) -> (f64, usize) {
+    pub fn warm_capacity(&self, cold_from: f64, now: Micros) -> (f64, usize) {
         let span = (cold_from, self.terms.warm_within);
         let share = |entry: RosterEntry| match entry.readiness {
             Readiness::Up => limits::warmth(entry.launched, span, now),
@@ -153,7 +153,7 @@
     }
 
     /// Listed ones that are cold, whatever else keeps them out of use.
-    pub fn cold(&self, now: Micros) -> Vec<Id> {
+    pub fn cold_runners(&self, now: Micros) -> Vec<Id> {
         let cold = |known: &&Member| {
             let launched = known.standing(&self.terms, now).launched;
             launched.is_some_and(|launched| now < launched + self.terms.warm_within)
@@ -162,17 +162,17 @@
     }
 
     /// What holds of all listed ones now.
-    pub fn stand(&self, now: Micros) -> Vec<RosterEntry> {
+    pub fn effective_entries(&self, now: Micros) -> Vec<RosterEntry> {
         self.listed_now().map(|known| known.standing(&self.terms, now)).collect()
     }
 
     /// Who is out by hand, and since when.
-    pub fn out(&self) -> Vec<(String, Micros)> {
+    pub fn runners_in_maintenance(&self) -> Vec<(String, Micros)> {
         self.by_id.iter().filter_map(|(id, known)| Some((id.to_string(), known.out_since?))).collect()
     }
 
     /// Who was out by hand last, from when and until when.
-    pub fn was_out(&self) -> Vec<(String, Micros, Micros)> {
+    pub fn past_maintenance(&self) -> Vec<(String, Micros, Micros)> {
         let was = |(id, known): (&Id, &Member)| known.was_out.map(|(from, to)| (id.to_string(), from, to));
         self.by_id.iter().filter_map(was).collect()
     }
@@ -196,7 +196,7 @@
     }
 
     /// When discovery was heard before the list that is told next, if it was.
-    pub fn heard_before(&mut self, at: Option<Micros>) {
+    pub fn set_previous_contact(&mut self, at: Option<Micros>) {
         self.heard_before = at;
     }
 
@@ -213,7 +213,12 @@
     }
 
     /// What the list tells, as it holds.
-    pub fn listed(&mut self, listing: Listing, told: Vec<RosterEntry>, now: Micros) -> Vec<RosterEntry> {
+    pub fn apply_listing(
+        &mut self,
+        listing: Listing,
+        told: Vec<RosterEntry>,
+        now: Micros,
+    ) -> Vec<RosterEntry> {
         if matches!(listing, Listing::All | Listing::Remembered) {
             self.by_id.values_mut().for_each(|known| known.gone_since = known.gone_since.or(Some(now)));
         }
@@ -244,7 +249,12 @@
 
     /// Takes a runner out by hand, or back in. Gives what holds of it now, where that is any news of a
     /// listed one.
-    pub fn by_hand(&mut self, id: &str, out: bool, now: Micros) -> Result<Option<RosterEntry>, &'static str> {
+    pub fn set_maintenance(
+        &mut self,
+        id: &str,
+        out: bool,
+        now: Micros,
+    ) -> Result<Option<RosterEntry>, &'static str> {
         let known = self.by_id.get_mut(id).ok_or("this runner was never listed")?;
         match (out, known.out_since) {
             (true, None) => known.out_since = Some(now),
--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -14,7 +14,7 @@
 };
 use crate::net::http::{self, Chunks, Framing, encode_bare};
 use crate::net::log::log;
-use crate::upstream::membership::TOLD_WITHIN;
+use crate::upstream::membership::ROSTER_LEASE_TIMEOUT;
 
 // What discovery has, and could tell, counts as told 6 s later at the latest. These spans and the brain's waits between
 // calls are its parts; docs/design.md has the sums for each order in which they can fail.
@@ -24,7 +24,7 @@
 const DIAL_WITHIN: Micros = 1_000_000;
 /// A call that has had no answer for so long is late: another one is made beside it. It is not ended by that: many
 /// callers make discovery slow, and whoever gives its turn up is never heard, and has the others wait for nothing.
-const ANSWER_WITHIN: Micros = TOLD_WITHIN / 2;
+const ANSWER_WITHIN: Micros = ROSTER_LEASE_TIMEOUT / 2;
 /// The same where lists are pushed: an agent of one's own has no crowd of callers, and answers at once or not at all.
 const AGENT_WITHIN: Micros = 1_000_000;
 /// An empty line comes every 2 s; one that is late by this much is missing.
@@ -58,7 +58,10 @@
     }
 
     /// A list as discovery would tell it.
-    pub fn of<'a>(generation: u64, entries: impl Iterator<Item = (&'a RosterEntry, SocketAddr)>) -> Value {
+    pub fn to_json<'a>(
+        generation: u64,
+        entries: impl Iterator<Item = (&'a RosterEntry, SocketAddr)>,
+    ) -> Value {
         let instance = |(entry, address): (&RosterEntry, SocketAddr)| {
             json!({
                 "instanceId": &*entry.runner,
@@ -158,7 +161,7 @@
 pub struct RosterEvent {
     pub listing: Listing,
     /// When discovery was heard last before this, if it was: who is new in this list was not listed then.
-    pub heard_before: Option<Micros>,
+    pub previous_contact: Option<Micros>,
     pub entries: Vec<(RosterEntry, Option<SocketAddr>)>,
 }
 
@@ -255,7 +258,7 @@
     down: bool,
     /// When the first call was made since something was heard.
     unheard_since: Option<Micros>,
-    pub heard: Vec<RosterEvent>,
+    pub events: Vec<RosterEvent>,
 }
 
 impl Roster {
@@ -271,7 +274,7 @@
             heard_at: None,
             down: false,
             unheard_since: None,
-            heard: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -286,17 +289,17 @@
     }
 
     /// The list to begin with is another one, known to be right at `sure_at`. Before the first call.
-    pub fn begin(&mut self, generation: u64, sure_at: Micros) {
+    pub fn resume_from(&mut self, generation: u64, sure_at: Micros) {
         (self.generation, self.sure_at) = (Some(generation), sure_at);
     }
 
     /// Whether lists are pushed, from now on.
-    pub fn pushed(&mut self, pushed: bool) {
+    pub fn set_pushed(&mut self, pushed: bool) {
         self.pushed = pushed;
     }
 
     /// Until when nothing can have been missed that could be told: what came up since may not have been heard.
-    pub fn sure_at(&self) -> Micros {
+    pub fn certain_until(&self) -> Micros {
         self.sure_at
     }
 
@@ -327,7 +330,7 @@
     }
 
     /// Discovery is elsewhere from now on. Versions are its own: what the old one counted says nothing there.
-    pub fn move_to(&mut self, discovery: SocketAddr, driver: &mut dyn ConnectionDriver) {
+    pub fn set_discovery(&mut self, discovery: SocketAddr, driver: &mut dyn ConnectionDriver) {
         if discovery == self.discovery {
             return;
         }
@@ -345,7 +348,11 @@
         let generation =
             self.generation.map_or_else(|| "none".to_owned(), |generation| generation.to_string());
         log!("watch-lost", "generation={generation} reason={why}");
-        self.heard.push(RosterEvent { listing: Listing::Refused, heard_before: None, entries: Vec::new() });
+        self.events.push(RosterEvent {
+            listing: Listing::Refused,
+            previous_contact: None,
+            entries: Vec::new(),
+        });
     }
 
     /// A call is out no more. Nothing is told of one for which another has been made.
@@ -459,7 +466,11 @@
             let listing = if listed.reset { Listing::All } else { Listing::Changes };
             let back = !listed.reset && self.generation.is_some_and(|known| listed.generation < known);
             self.generation = Some(listed.generation).filter(|_| !back);
-            self.heard.push(RosterEvent { listing, heard_before: self.heard_at, entries: listed.entries() });
+            self.events.push(RosterEvent {
+                listing,
+                previous_contact: self.heard_at,
+                entries: listed.entries(),
+            });
             if back {
                 // It counts anew, and what changed between is told by neither count: the whole list is asked for.
                 return Err("generation_back");
@@ -490,7 +501,11 @@
         let heard_before = self.heard_at;
         self.speaks(connection, asked_at, driver);
         let Some(call) = self.calls.pop() else { return Ok(()) };
-        self.heard.push(RosterEvent { listing: Listing::All, heard_before, entries: listed.entries() });
+        self.events.push(RosterEvent {
+            listing: Listing::All,
+            previous_contact: heard_before,
+            entries: listed.entries(),
+        });
         if call.keep {
             self.ask(call.connection, true, driver);
         } else {
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -39,38 +39,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum RunnerEvent {
     /// The runner has taken a forward: call-backs tell the rest.
-    Taken {
-        inv: Id,
+    Accepted {
+        invocation: Id,
         number: u32,
     },
     Ended {
-        inv: Id,
+        invocation: Id,
         number: u32,
-        ending: ForwardResult,
+        result: ForwardResult,
         report: Vec<f64>,
     },
     /// A forward's client had left when it was to leave.
-    Unwanted {
-        inv: Id,
+    ClientLeft {
+        invocation: Id,
         number: u32,
     },
     /// The runner will not take a forward as it was sent, and has not run it.
     Unusable {
-        inv: Id,
+        invocation: Id,
         number: u32,
     },
     /// A forward is given up: it never got out, its runner has said so, or its process is gone.
-    Dropped {
-        inv: Id,
+    Cancelled {
+        invocation: Id,
         number: u32,
     },
     /// A cancel was not answered: the forward may still run.
-    NotDropped {
-        inv: Id,
+    NotCancelled {
+        invocation: Id,
         number: u32,
     },
     Probed {
-        tgt: Id,
+        runner: Id,
         alive: bool,
         report: Vec<f64>,
     },
@@ -148,18 +148,18 @@
     may_cancel: bool,
     /// Forwards written whole, for the figures.
     written: u64,
-    pub heard: Vec<RunnerEvent>,
+    pub events: Vec<RunnerEvent>,
 }
 
 impl Runners {
     pub fn new(decoded: &DecodedSettings) -> Runners {
         let mut runners = Runners::default();
-        runners.retune(decoded);
+        runners.apply_settings(decoded);
         runners
     }
 
     /// What holds from now on.
-    pub fn retune(&mut self, decoded: &DecodedSettings) {
+    pub fn apply_settings(&mut self, decoded: &DecodedSettings) {
         self.report_fields = decoded.report_fields.clone();
         self.dial_timeout = decoded.dial_timeout;
         // A probe answers beside the queue: one as slow as a dial may be tells as much as none.
@@ -170,7 +170,7 @@
     }
 
     /// What the roster says of a runner's whereabouts.
-    pub fn note(
+    pub fn update_runner(
         &mut self,
         tgt: &Id,
         listed: bool,
@@ -183,7 +183,7 @@
             runner.gone_since = Some(since).filter(|_| !listed);
             runner.address = address.unwrap_or(runner.address);
             if moved || !listed {
-                self.recall(tgt, driver);
+                self.stop_sending(tgt, driver);
             }
         } else if let Some(address) = address.filter(|_| listed) {
             let runner = Runner { address, gone_since: None, lines: Vec::new(), idle: Vec::new() };
@@ -196,15 +196,15 @@
     }
 
     /// A whole list: whoever is not noted after this is gone.
-    pub fn forget_all(&mut self, now: Micros) {
+    pub fn mark_all_unlisted(&mut self, now: Micros) {
         self.by_id.values_mut().for_each(|runner| runner.gone_since = runner.gone_since.or(Some(now)));
     }
 
     /// Lets go of those that are gone, once nobody can have work there any more.
-    pub fn tidy(&mut self, driver: &mut dyn ConnectionDriver) {
+    pub fn remove_long_unlisted(&mut self, driver: &mut dyn ConnectionDriver) {
         let gone = self.by_id.iter().filter(|(_, runner)| runner.gone_since.is_some());
         let gone: Vec<Id> = gone.map(|(id, _)| id.clone()).collect();
-        gone.iter().for_each(|tgt| self.recall(tgt, driver));
+        gone.iter().for_each(|tgt| self.stop_sending(tgt, driver));
         let long_gone = |since: Micros| driver.now() - since > GONE_KEPT;
         self.by_id.retain(|_, runner| !runner.gone_since.is_some_and(long_gone) || !runner.lines.is_empty());
     }
@@ -216,7 +216,7 @@
         oldest.inspect(|connection| self.end_line(*connection, CloseReason::MadeRoom, driver)).is_some()
     }
 
-    pub fn cut_idle(&mut self, tgt: &Id, end: CloseReason, driver: &mut dyn ConnectionDriver) {
+    pub fn close_idle(&mut self, tgt: &Id, end: CloseReason, driver: &mut dyn ConnectionDriver) {
         let idle = self.by_id.get_mut(tgt).map(|runner| std::mem::take(&mut runner.idle));
         for connection in idle.unwrap_or_default() {
             self.end_line(connection, end, driver);
@@ -225,14 +225,14 @@
 
     /// A runner is to get nothing new: what waits for a connection there has not left, and connections at
     /// rest would only break when it is restarted.
-    pub fn recall(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
-        self.cut_idle(tgt, CloseReason::Unlisted, driver);
-        self.recall_waiting(tgt, driver);
+    pub fn stop_sending(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
+        self.close_idle(tgt, CloseReason::Unlisted, driver);
+        self.drop_pending(tgt, driver);
     }
 
     /// What waits for a connection to a runner that drains or is gone would reach it whenever its dial comes up, long
     /// after the grace.
-    pub fn recall_waiting(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
+    pub fn drop_pending(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
         let lines = self.by_id.get(tgt).map(|runner| runner.lines.clone()).unwrap_or_default();
         for connection in lines {
             let waits = |line: &&mut Line| matches!(line.task, Some(Task::Forward { .. }));
@@ -246,9 +246,9 @@
     }
 
     /// The same for all runners.
-    pub fn recall_all_waiting(&mut self, driver: &mut dyn ConnectionDriver) {
+    pub fn drop_all_pending(&mut self, driver: &mut dyn ConnectionDriver) {
         let all: Vec<Id> = self.by_id.keys().cloned().collect();
-        all.iter().for_each(|tgt| self.recall_waiting(tgt, driver));
+        all.iter().for_each(|tgt| self.drop_pending(tgt, driver));
     }
 
     /// `head` and `body` as they came, when nobody waits for the outcome any more, and when it must have left, if it
@@ -290,7 +290,13 @@
 
     /// Nobody waits for this forward any more: what of it has not left does not leave. That is no cancel, and needs no
     /// leave to send one. Whether it was held back.
-    pub fn hold_back(&mut self, tgt: &Id, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) -> bool {
+    pub fn withdraw_unsent(
+        &mut self,
+        tgt: &Id,
+        inv: &Id,
+        number: u32,
+        driver: &mut dyn ConnectionDriver,
+    ) -> bool {
         let Some(connection) = self.carrying(tgt, inv, number) else { return false };
         let Some(line) = self.lines.get_mut(&connection) else { return false };
         if line.phase == Phase::Dialling {
@@ -302,7 +308,7 @@
         } else {
             return false;
         }
-        self.heard.push(RunnerEvent::Dropped { inv: inv.clone(), number });
+        self.events.push(RunnerEvent::Cancelled { invocation: inv.clone(), number });
         true
     }
 
@@ -319,8 +325,8 @@
     /// Gives up a forward: unsent it is simply dropped; before its 202 its connection is closed, and the job
     /// is deleted all the same, as the 202 may be under way. As long as the runner has not answered, the job
     /// may go on there, and another forward would be a second copy.
-    pub fn give_up(&mut self, tgt: &Id, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
-        if self.hold_back(tgt, inv, number, driver) {
+    pub fn cancel(&mut self, tgt: &Id, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
+        if self.withdraw_unsent(tgt, inv, number, driver) {
             return;
         }
         if let Some(connection) = self.carrying(tgt, inv, number) {
@@ -328,7 +334,7 @@
         }
         // A runner that is listed no more may still be at it, cut off from whoever keeps the list.
         let Some(runner) = self.by_id.get(tgt).filter(|_| self.may_cancel) else {
-            return self.heard.push(RunnerEvent::NotDropped { inv: inv.clone(), number });
+            return self.events.push(RunnerEvent::NotCancelled { invocation: inv.clone(), number });
         };
         let message = encode_bare("DELETE", &format!("/jobs/{inv}"), runner.address);
         let due = driver.now() + CANCEL_WITHIN;
@@ -400,7 +406,7 @@
         if let Task::Forward { inv, number } = &task
             && waits.is_some_and(|waits| driver.peer_has_closed(waits.client))
         {
-            self.heard.push(RunnerEvent::Unwanted { inv: inv.clone(), number: *number });
+            self.events.push(RunnerEvent::ClientLeft { invocation: inv.clone(), number: *number });
             return self.rest(connection, driver);
         }
         if let Some(Waits { until, line_at, .. }) = waits {
@@ -474,34 +480,40 @@
     /// A task that came to its end without an answer.
     fn unanswered(&mut self, tgt: &Id, task: Task, ending: ForwardResult, refused: bool) {
         let gone = self.by_id.get(tgt).is_none_or(|runner| runner.gone_since.is_some());
-        self.heard.push(match task {
-            Task::Forward { inv, number } => RunnerEvent::Ended { inv, number, ending, report: Vec::new() },
+        self.events.push(match task {
+            Task::Forward { inv, number } => {
+                RunnerEvent::Ended { invocation: inv, number, result: ending, report: Vec::new() }
+            }
             // Listed no more, and nobody listens: the process is gone, and the job with it. A refusal alone
             // may come from a runner whose connections are all taken.
-            Task::Cancel { inv, number } if refused && gone => RunnerEvent::Dropped { inv, number },
-            Task::Cancel { inv, number } => RunnerEvent::NotDropped { inv, number },
-            Task::Probe => RunnerEvent::Probed { tgt: tgt.clone(), alive: false, report: Vec::new() },
+            Task::Cancel { inv, number } if refused && gone => {
+                RunnerEvent::Cancelled { invocation: inv, number }
+            }
+            Task::Cancel { inv, number } => RunnerEvent::NotCancelled { invocation: inv, number },
+            Task::Probe => RunnerEvent::Probed { runner: tgt.clone(), alive: false, report: Vec::new() },
         });
     }
 
     fn answered(&mut self, tgt: &Id, task: Task, answer: &Response) {
-        self.heard.push(match task {
+        self.events.push(match task {
             Task::Cancel { inv, number } => match answer.status {
-                200..=299 | 404 | 410 => RunnerEvent::Dropped { inv, number },
-                _ => RunnerEvent::NotDropped { inv, number },
+                200..=299 | 404 | 410 => RunnerEvent::Cancelled { invocation: inv, number },
+                _ => RunnerEvent::NotCancelled { invocation: inv, number },
             },
             Task::Probe => {
                 let report = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
                 RunnerEvent::Probed {
-                    tgt: tgt.clone(),
+                    runner: tgt.clone(),
                     alive: answer.status == 200,
                     report: read_report(&self.report_fields, &report),
                 }
             }
-            Task::Forward { inv, number } if answer.status == 202 => RunnerEvent::Taken { inv, number },
+            Task::Forward { inv, number } if answer.status == 202 => {
+                RunnerEvent::Accepted { invocation: inv, number }
+            }
             Task::Forward { inv, number } if matches!(answer.status, 400..=428 | 430..=499) => {
                 log!("forward-unusable", "inv={inv} runner={tgt} status={}", answer.status);
-                RunnerEvent::Unusable { inv, number }
+                RunnerEvent::Unusable { invocation: inv, number }
             }
             Task::Forward { inv, number } => {
                 let load = answer.header("x-load").and_then(|text| serde_json::from_str(text).ok());
@@ -514,7 +526,7 @@
                         ForwardResult::Errored
                     }
                 };
-                RunnerEvent::Ended { inv, number, ending, report }
+                RunnerEvent::Ended { invocation: inv, number, result: ending, report }
             }
         });
     }
@@ -534,17 +546,17 @@
     }
 
     /// Forwards that were written whole since the start.
-    pub fn written(&self) -> u64 {
+    pub fn forwards_written(&self) -> u64 {
         self.written
     }
 
     /// How many connections there are to runners.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.lines.len()
     }
 
     /// Whether a cancel is still on its way.
-    pub fn cancelling(&self) -> bool {
+    pub fn has_pending_cancels(&self) -> bool {
         self.lines.values().any(|line| matches!(line.task, Some(Task::Cancel { .. })) && !line.overdue)
     }
 }
@@ -648,7 +660,7 @@
             (Ok(Some((answer, _))), task) => self.answered(&line.tgt, task, &answer),
             // Its runner knows nothing of that and may go on: another forward would be a second copy.
             (_, Task::Forward { inv, number }) if end == CloseReason::PathLost && self.may_cancel => {
-                self.give_up(&line.tgt, &inv, number, driver);
+                self.cancel(&line.tgt, &inv, number, driver);
             }
             (_, task) => self.unanswered(&line.tgt, task, ForwardResult::Broken, false),
         }
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -8,7 +8,7 @@
 use topazsail::{Id, Listing, Micros, Readiness, RosterEntry};
 
 use crate::config;
-use crate::ingress::clients::{ClientEvent, Clients, State};
+use crate::ingress::clients::{ClientEvent, Clients, JobState};
 use crate::ingress::operations::Operations;
 use crate::lifecycle::handover;
 use crate::net::connection::{
@@ -238,7 +238,7 @@
     }
 
     fn accept(&mut self) -> ConnectionId {
-        assert!(self.table.clients.room(&mut self.stage));
+        assert!(self.table.clients.ensure_room(&mut self.stage));
         let connection = self.stage.open(ConnectionRole::Client);
         self.table.clients.accepted(connection, &mut self.stage);
         connection
@@ -395,7 +395,7 @@
     let told = config::decode(&configuration(&RUNNERS[..1])).unwrap();
     let mut runners = Runners::new(&told.decoded);
     let tgt = Id::from("s-a");
-    runners.note(&tgt, true, Some("127.0.0.1:3001".parse().unwrap()), &mut stage);
+    runners.update_runner(&tgt, true, Some("127.0.0.1:3001".parse().unwrap()), &mut stage);
     runners.probe(&tgt, &mut stage);
     runners.up(1, &mut stage);
     let mut answer = b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"x0\":1,\"inflight\":0} ".to_vec();
@@ -404,7 +404,7 @@
     runners.ended(1, CloseReason::Reset, false, b"", &mut stage);
     runners.up(2, &mut stage);
     runners.ended(2, CloseReason::Reset, false, b"", &mut stage);
-    for heard in runners.heard {
+    for heard in runners.events {
         stage.say(&format!("{heard:?}"));
     }
     expect![[r#"
@@ -413,8 +413,8 @@
         0     #1 < GET /load; Host: 127.0.0.1:3001
         0     #2 dials 127.0.0.1:3001
         0     #2 < GET /load; Host: 127.0.0.1:3001
-        0     Probed { tgt: "s-a", alive: true, report: [1.0, 0.0] }
-        0     Probed { tgt: "s-a", alive: false, report: [] }
+        0     Probed { runner: "s-a", alive: true, report: [1.0, 0.0] }
+        0     Probed { runner: "s-a", alive: false, report: [] }
     "#]]
     .assert_eq(&stage.trace);
 }
@@ -1778,10 +1778,10 @@
         clients.accepted(7, &mut stage);
         let mut input = request.as_bytes()[..cut].to_vec();
         clients.bytes(7, &mut input, &mut stage);
-        assert!(clients.heard.is_empty());
+        assert!(clients.events.is_empty());
         input.extend_from_slice(&request.as_bytes()[cut..]);
         clients.bytes(7, &mut input, &mut stage);
-        let Some(ClientEvent::Invocation(told)) = clients.heard.pop() else {
+        let Some(ClientEvent::Invocation(told)) = clients.events.pop() else {
             panic!("nothing heard, cut at {cut}")
         };
         assert_eq!((told.operation, told.slots, told.key), (1, 2.0, Some(Id::from("k"))));
@@ -1804,14 +1804,14 @@
         roster.bytes(1, &mut input, &mut stage);
         input.extend_from_slice(&watch.as_bytes()[cut..]);
         roster.bytes(1, &mut input, &mut stage);
-        let heard: Vec<_> = roster.heard.iter().map(|heard| (heard.listing, heard.entries.len())).collect();
+        let heard: Vec<_> = roster.events.iter().map(|heard| (heard.listing, heard.entries.len())).collect();
         assert_eq!(format!("{heard:?}"), "[(All, 0), (Changes, 0)]", "cut at {cut}");
     }
     assert_eq!(
         http::request(b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n").unwrap_err(),
         HttpError(400, "bad_length")
     );
-    assert!(serde_json::from_str::<State>("\"lost\"").is_ok());
+    assert!(serde_json::from_str::<JobState>("\"lost\"").is_ok());
 }
 
 #[test]
@@ -2002,21 +2002,27 @@
         launched,
     };
     let mut members = Membership::new(0);
-    assert!(members.sure(0, 0).is_some());
-    assert!(members.by_hand("s-a", true, 0).is_err());
-    members.listed(Listing::All, vec![entry(Some(5))], 10);
-    assert_eq!(members.by_hand("s-a", true, 20).unwrap().unwrap().readiness, Readiness::Draining);
-    assert!(members.by_hand("s-a", true, 25).unwrap().is_none());
+    assert!(members.update_lease(0, 0).is_some());
+    assert!(members.set_maintenance("s-a", true, 0).is_err());
+    members.apply_listing(Listing::All, vec![entry(Some(5))], 10);
+    assert_eq!(members.set_maintenance("s-a", true, 20).unwrap().unwrap().readiness, Readiness::Draining);
+    assert!(members.set_maintenance("s-a", true, 25).unwrap().is_none());
     // What discovery says in between changes nothing, not even that it is gone.
-    assert_eq!(members.listed(Listing::Changes, vec![entry(Some(5))], 30)[0].readiness, Readiness::Draining);
-    members.listed(Listing::All, vec![], 35);
+    assert_eq!(
+        members.apply_listing(Listing::Changes, vec![entry(Some(5))], 30)[0].readiness,
+        Readiness::Draining
+    );
+    members.apply_listing(Listing::All, vec![], 35);
     assert_eq!(members.count(), (0, 0));
-    assert_eq!(members.listed(Listing::All, vec![entry(Some(5))], 40)[0].readiness, Readiness::Draining);
-    let back = members.by_hand("s-a", false, 50).unwrap().unwrap();
+    assert_eq!(
+        members.apply_listing(Listing::All, vec![entry(Some(5))], 40)[0].readiness,
+        Readiness::Draining
+    );
+    let back = members.set_maintenance("s-a", false, 50).unwrap().unwrap();
     assert_eq!((back.readiness, back.launched), (Readiness::Up, Some(50)));
-    assert!(members.by_hand("s-a", false, 55).unwrap().is_none());
-    assert_eq!(members.listed(Listing::Changes, vec![entry(Some(5))], 60)[0].launched, Some(50));
-    assert_eq!(members.listed(Listing::Changes, vec![entry(Some(33))], 70)[0].launched, Some(33));
+    assert!(members.set_maintenance("s-a", false, 55).unwrap().is_none());
+    assert_eq!(members.apply_listing(Listing::Changes, vec![entry(Some(5))], 60)[0].launched, Some(50));
+    assert_eq!(members.apply_listing(Listing::Changes, vec![entry(Some(33))], 70)[0].launched, Some(33));
 }
 
 const PEER: ConnectionId = 50;
@@ -2294,11 +2300,12 @@
     let now = START + 100 * SECOND;
     let told = |heard_before: Option<Micros>, launched| {
         let mut members = Membership::new(10 * SECOND);
-        members.heard_before(heard_before);
-        let first = members.listed(Listing::Changes, vec![entry(launched)], now)[0].launched;
+        members.set_previous_contact(heard_before);
+        let first = members.apply_listing(Listing::Changes, vec![entry(launched)], now)[0].launched;
         // Told once more it is the same start.
-        members.heard_before(Some(now + 50 * SECOND));
-        let again = members.listed(Listing::Changes, vec![entry(launched)], now + 60 * SECOND)[0].launched;
+        members.set_previous_contact(Some(now + 50 * SECOND));
+        let again =
+            members.apply_listing(Listing::Changes, vec![entry(launched)], now + 60 * SECOND)[0].launched;
         assert_eq!(first, again);
         first.map(|started| now - started)
     };
