--- a/node/src/upstream/membership.rs
+++ b/node/src/upstream/membership.rs
@@ -1,185 +1,225 @@
-//! Runners as the list has them, and what keeps listed ones out of use whatever the list says.
+//! The runners on the roster, and what excludes a listed runner from new work regardless of the roster.
 //!
-//! It owns who is out by hand, and when whoever is back counts as started. It does no I/O and reads no clock;
-//! it must never choose a runner: the brain hears readiness and start, and draws as ever.
+//! Holds the operators' maintenance overrides and the start time that counts for each runner. It does no I/O
+//! and reads no clock. It does not choose runners: the routing policy receives each runner's readiness and
+//! start time and selects as usual.
 
 use std::collections::BTreeMap;
 
 use topazsail::{Id, Listing, Micros, Readiness, RosterEntry};
 use topazsail_recovery::limits;
 
-/// Runners that are listed no more and that are still known as having been.
-const GONE_MOST: usize = 4096;
-/// What discovery has, and could tell, counts as told after this, whether or not it came. The grace of a drain comes
-/// after it, for the turn in which that is noticed.
+/// Maximum number of runners remembered after they left the roster.
+const MAX_UNLISTED: usize = 4096;
+/// How long after the last certain contact with discovery the roster may be acted on, in microseconds.
+/// Discovery treats a change that it could deliver as known to the dispatcher after this time, whether or not
+/// it arrived. The grace period of a drain comes on top and covers the loop turn in which the lapse is
+/// noticed.
 pub const ROSTER_LEASE_TIMEOUT: Micros = 6_000_000;
 
-/// A start that is told as so much older than the last list without it is told by a clock that was set back: a list may
-/// come late by this.
-const LISTED_WITHIN: Micros = 2 * ROSTER_LEASE_TIMEOUT;
+/// Maximum delay of a roster update, in microseconds. If a new runner's reported start is older than the last
+/// roster without that runner by more than this, the clock that reported it was set back.
+const MAX_ROSTER_DELAY: Micros = 2 * ROSTER_LEASE_TIMEOUT;
 
 struct Member {
-    /// As last listed, with its start by this process's clock.
+    /// The entry as last listed, with the start time by this process's clock.
     entry: RosterEntry,
-    /// Its start as it was told.
-    started: Option<Micros>,
-    /// Since when it is listed no more.
-    gone_since: Option<Micros>,
-    /// Since when it is out by hand.
-    out_since: Option<Micros>,
-    /// From when and until when it was last out by hand.
-    was_out: Option<(Micros, Micros)>,
+    /// The start time as reported.
+    reported_start: Option<Micros>,
+    /// When it left the roster; none while it is listed.
+    unlisted_since: Option<Micros>,
+    /// When an operator put it into maintenance, if it is there now.
+    in_maintenance_since: Option<Micros>,
+    /// Begin and end of its last maintenance that has ended.
+    last_maintenance: Option<(Micros, Micros)>,
 }
 
 impl Member {
-    fn new(entry: RosterEntry, gone_since: Option<Micros>) -> Member {
-        let started = entry.launched;
-        Member { entry, started, gone_since, out_since: None, was_out: None }
+    fn new(entry: RosterEntry, unlisted_since: Option<Micros>) -> Member {
+        let reported_start = entry.launched;
+        Member { entry, reported_start, unlisted_since, in_maintenance_since: None, last_maintenance: None }
     }
 
-    /// What holds of it, the list, the hand and the rest of cold ones taken together.
-    fn standing(&self, terms: &Terms, now: Micros) -> RosterEntry {
+    /// The entry after applying maintenance, the lease and the pause of cold runners.
+    fn effective_entry(&self, restrictions: &Restrictions, now: Micros) -> RosterEntry {
         let mut entry = self.entry.clone();
-        if entry.readiness == Readiness::Up && (self.out_since.is_some() || terms.lapsed) {
+        if entry.readiness == Readiness::Up
+            && (self.in_maintenance_since.is_some() || restrictions.lease_lapsed)
+        {
             entry.readiness = Readiness::Draining;
         }
-        // It was restarted while it was out, and the list may say so late: to take it for warm would be to
-        // push it over.
-        if let Some((from, until)) = self.was_out
+        // A runner is usually restarted during maintenance, and the roster may report that late. Treating it
+        // as warm until then would overload it.
+        if let Some((from, until)) = self.last_maintenance
             && entry.launched.is_none_or(|launched| launched < from)
         {
             entry.launched = Some(until);
         }
-        let cold = entry
-            .launched
-            .is_some_and(|launched| now < launched + terms.warm_within && launched < terms.before);
-        if entry.readiness == Readiness::Up && cold && now < terms.until {
+        let cold = entry.launched.is_some_and(|launched| {
+            now < launched + restrictions.warm_up_span && launched < restrictions.pause_started_before
+        });
+        if entry.readiness == Readiness::Up && cold && now < restrictions.pause_until {
             entry.readiness = Readiness::Draining;
         }
         entry
     }
 }
 
-/// What keeps listed ones out of use, whoever they are. Cold runners get nothing until then: another process of this
-/// dispatcher may have sent them their share. Whoever started later than that process can have ended had nothing
-/// from it.
-struct Terms {
-    until: Micros,
-    before: Micros,
-    warm_within: Micros,
-    /// The lease on the list has lapsed: anybody listed may have been told to drain, and nobody is sent anything.
-    /// Each word of discovery's renews it, and so does each sign that discovery cannot be reached, as nothing counts
-    /// as told meanwhile. A process begins without one: what it remembers may be of any age.
-    lapsed: bool,
+/// What excludes listed runners from new work, whichever runner it is.
+struct Restrictions {
+    /// Cold runners get no work before this time, as another process of this dispatcher may already have sent
+    /// them their slow-start share.
+    pause_until: Micros,
+    /// Only runners that started before this time are paused: one that started after the other process can
+    /// have ended has received nothing from it.
+    pause_started_before: Micros,
+    /// How long a runner is cold after its start.
+    warm_up_span: Micros,
+    /// The lease on the roster has lapsed: any listed runner may have been announced as draining, so none
+    /// gets new work. Each message from discovery renews the lease. So does each sign that discovery is
+    /// unreachable, as it can announce nothing then. A process starts without a lease, as its remembered
+    /// roster may be of any age.
+    lease_lapsed: bool,
 }
 
+/// The runners on the roster and those that were on it.
 pub struct Membership {
     by_id: BTreeMap<Id, Member>,
-    /// When discovery was heard before the list that is told next.
-    heard_before: Option<Micros>,
-    terms: Terms,
+    /// When discovery was last in contact before the roster that is applied next.
+    previous_contact: Option<Micros>,
+    restrictions: Restrictions,
 }
 
 impl Membership {
-    pub fn new(warm_within: Micros) -> Membership {
+    /// An empty roster without a lease; runners are cold for `warm_up_span` after their start.
+    pub fn new(warm_up_span: Micros) -> Membership {
         Membership {
             by_id: BTreeMap::new(),
-            heard_before: None,
-            terms: Terms { until: Micros::MIN, before: Micros::MAX, warm_within, lapsed: true },
+            previous_contact: None,
+            restrictions: Restrictions {
+                pause_until: Micros::MIN,
+                pause_started_before: Micros::MAX,
+                warm_up_span,
+                lease_lapsed: true,
+            },
         }
     }
 
-    /// Nothing that could be told before `sure_at` has been missed. Gives what holds of all listed ones where the lease
-    /// lapses now, or is renewed after that.
-    pub fn update_lease(&mut self, sure_at: Micros, now: Micros) -> Option<Vec<RosterEntry>> {
-        let lapsed = now >= sure_at + ROSTER_LEASE_TIMEOUT;
-        (std::mem::replace(&mut self.terms.lapsed, lapsed) != lapsed).then(|| self.effective_entries(now))
+    /// Updates the lease, given the time until which no announcement can have been missed. Returns the
+    /// effective entries of all listed runners if the lease has just lapsed or was just renewed.
+    pub fn update_lease(&mut self, certain_until: Micros, now: Micros) -> Option<Vec<RosterEntry>> {
+        let lapsed = now >= certain_until + ROSTER_LEASE_TIMEOUT;
+        (std::mem::replace(&mut self.restrictions.lease_lapsed, lapsed) != lapsed)
+            .then(|| self.effective_entries(now))
     }
 
+    /// Whether the lease on the roster has lapsed.
     pub fn lease_has_lapsed(&self) -> bool {
-        self.terms.lapsed
+        self.restrictions.lease_lapsed
     }
 
-    /// How long a runner is cold, from now on.
+    /// Sets how long a runner is cold after its start.
     pub fn set_warm_up_span(&mut self, span: Micros) {
-        self.terms.warm_within = span;
+        self.restrictions.warm_up_span = span;
     }
 
-    /// Has cold runners that started before `before` rest until then. Gives what holds of all listed ones now.
-    pub fn pause_cold_runners(&mut self, until: Micros, before: Micros, now: Micros) -> Vec<RosterEntry> {
-        (self.terms.until, self.terms.before) = (until, before);
+    /// Withholds work until `until` from cold runners that started before `started_before`. Returns the
+    /// effective entries of all listed runners.
+    pub fn pause_cold_runners(
+        &mut self,
+        until: Micros,
+        started_before: Micros,
+        now: Micros,
+    ) -> Vec<RosterEntry> {
+        (self.restrictions.pause_until, self.restrictions.pause_started_before) = (until, started_before);
         self.effective_entries(now)
     }
 
-    fn listed_now(&self) -> impl Iterator<Item = &Member> + Clone {
-        self.by_id.values().filter(|known| known.gone_since.is_none())
+    fn listed(&self) -> impl Iterator<Item = &Member> + Clone {
+        self.by_id.values().filter(|member| member.unlisted_since.is_none())
     }
 
-    /// The list as last told.
+    /// The listed runners as last reported, without overrides or restrictions.
     pub fn listed_entries(&self) -> impl Iterator<Item = &RosterEntry> {
-        self.listed_now().map(|known| &known.entry)
+        self.listed().map(|member| &member.entry)
     }
 
-    /// Who was listed once.
+    /// Ids of the runners that were listed and no longer are.
     pub fn unlisted_ids(&self) -> Vec<String> {
-        let gone = self.by_id.iter().filter(|(_, known)| known.gone_since.is_some());
-        gone.map(|(id, _)| id.to_string()).collect()
+        let unlisted = self.by_id.iter().filter(|(_, member)| member.unlisted_since.is_some());
+        unlisted.map(|(id, _)| id.to_string()).collect()
     }
 
-    /// What the hand has done to one runner: since when it is out, and when it last was.
+    /// The operators' override of one runner: since when it is in maintenance, and its last maintenance that
+    /// ended.
     pub fn admin_override(&self, id: &str) -> (Option<Micros>, Option<(Micros, Micros)>) {
-        self.by_id.get(id).map_or((None, None), |known| (known.out_since, known.was_out))
+        self.by_id
+            .get(id)
+            .map_or((None, None), |member| (member.in_maintenance_since, member.last_maintenance))
     }
 
+    /// Whether this runner is or was listed.
     pub fn is_known(&self, id: &str) -> bool {
         self.by_id.contains_key(id)
     }
 
-    /// Whoever the hand has touched.
+    /// Ids of the runners that are or were in maintenance.
     pub fn overridden_ids(&self) -> Vec<String> {
-        let touched = |known: &Member| known.out_since.is_some() || known.was_out.is_some();
-        self.by_id.iter().filter(|(_, known)| touched(known)).map(|(id, _)| id.to_string()).collect()
+        let overridden =
+            |member: &Member| member.in_maintenance_since.is_some() || member.last_maintenance.is_some();
+        self.by_id.iter().filter(|(_, member)| overridden(member)).map(|(id, _)| id.to_string()).collect()
     }
 
-    /// Listed ones that may be sent to, counted by how much of their full capacity they have, and all that are listed.
-    pub fn warm_capacity(&self, cold_from: f64, now: Micros) -> (f64, usize) {
-        let span = (cold_from, self.terms.warm_within);
+    /// The listed runners that accept work, each counted by the share of full capacity that it has by now,
+    /// and the number of all listed runners. `cold_share` is the share of a runner that has just started.
+    pub fn warm_capacity(&self, cold_share: f64, now: Micros) -> (f64, usize) {
+        let warm_up = (cold_share, self.restrictions.warm_up_span);
         let share = |entry: RosterEntry| match entry.readiness {
-            Readiness::Up => limits::warmth(entry.launched, span, now),
+            Readiness::Up => limits::warmth(entry.launched, warm_up, now),
             Readiness::Draining | Readiness::Removed => 0.0,
         };
-        let warm = self.listed_now().map(|known| share(known.standing(&self.terms, now))).sum();
-        (warm, self.listed_now().count())
+        let warm = self.listed().map(|member| share(member.effective_entry(&self.restrictions, now))).sum();
+        (warm, self.listed().count())
     }
 
-    /// Listed ones that are cold, whatever else keeps them out of use.
+    /// The listed runners that are cold, including those that get no work for other reasons.
     pub fn cold_runners(&self, now: Micros) -> Vec<Id> {
-        let cold = |known: &&Member| {
-            let launched = known.standing(&self.terms, now).launched;
-            launched.is_some_and(|launched| now < launched + self.terms.warm_within)
+        let cold = |member: &&Member| {
+            let launched = member.effective_entry(&self.restrictions, now).launched;
+            launched.is_some_and(|launched| now < launched + self.restrictions.warm_up_span)
         };
-        self.listed_now().filter(cold).map(|known| known.entry.runner.clone()).collect()
+        self.listed().filter(cold).map(|member| member.entry.runner.clone()).collect()
     }
 
-    /// What holds of all listed ones now.
+    /// The entries of all listed runners after applying maintenance, the lease and the pause of cold runners.
     pub fn effective_entries(&self, now: Micros) -> Vec<RosterEntry> {
-        self.listed_now().map(|known| known.standing(&self.terms, now)).collect()
+        self.listed().map(|member| member.effective_entry(&self.restrictions, now)).collect()
     }
 
-    /// Who is out by hand, and since when.
+    /// The runners in maintenance, and since when.
     pub fn runners_in_maintenance(&self) -> Vec<(String, Micros)> {
-        self.by_id.iter().filter_map(|(id, known)| Some((id.to_string(), known.out_since?))).collect()
+        self.by_id
+            .iter()
+            .filter_map(|(id, member)| Some((id.to_string(), member.in_maintenance_since?)))
+            .collect()
     }
 
-    /// Who was out by hand last, from when and until when.
+    /// The runners whose maintenance has ended, with its begin and end.
     pub fn past_maintenance(&self) -> Vec<(String, Micros, Micros)> {
-        let was = |(id, known): (&Id, &Member)| known.was_out.map(|(from, to)| (id.to_string(), from, to));
-        self.by_id.iter().filter_map(was).collect()
+        let past = |(id, member): (&Id, &Member)| {
+            member.last_maintenance.map(|(from, until)| (id.to_string(), from, until))
+        };
+        self.by_id.iter().filter_map(past).collect()
     }
 
-    /// What another process knew of a runner.
-    pub fn inherit(&mut self, id: &str, out_since: Option<Micros>, was_out: Option<(Micros, Micros)>) {
-        let known = self.by_id.entry(id.into()).or_insert_with(|| {
+    /// Adopts what another process knew of a runner. An unknown runner is added as no longer listed.
+    pub fn inherit(
+        &mut self,
+        id: &str,
+        in_maintenance_since: Option<Micros>,
+        last_maintenance: Option<(Micros, Micros)>,
+    ) {
+        let member = self.by_id.entry(id.into()).or_insert_with(|| {
             let entry = RosterEntry {
                 runner: id.into(),
                 cell: -1,
@@ -191,86 +231,92 @@
             };
             Member::new(entry, Some(0))
         });
-        known.out_since = out_since.or(known.out_since);
-        known.was_out = was_out.or(known.was_out);
+        member.in_maintenance_since = in_maintenance_since.or(member.in_maintenance_since);
+        member.last_maintenance = last_maintenance.or(member.last_maintenance);
     }
 
-    /// When discovery was heard before the list that is told next, if it was.
+    /// Sets when discovery was last in contact before the roster that is applied next, if it was.
     pub fn set_previous_contact(&mut self, at: Option<Micros>) {
-        self.heard_before = at;
+        self.previous_contact = at;
     }
 
-    /// When a runner counts as started, by this process's clock, which no step of the wall clock moves. It has not started
-    /// yet to come, and one that is new has not started long before the list in which it was not.
-    fn started(&self, told: &RosterEntry, now: Micros) -> Option<Micros> {
-        let launched = told.launched?;
-        let known = self.by_id.get(&told.runner).filter(|known| known.started == told.launched);
-        if let Some(known) = known {
-            return known.entry.launched;
+    /// The runner's start time by this process's clock, which steps of the wall clock do not change. It is
+    /// never in the future, and for a newly listed runner never long before the last roster in which it was
+    /// missing.
+    fn start_time(&self, entry: &RosterEntry, now: Micros) -> Option<Micros> {
+        let launched = entry.launched?;
+        let member = self.by_id.get(&entry.runner).filter(|member| member.reported_start == entry.launched);
+        if let Some(member) = member {
+            return member.entry.launched;
         }
-        let since = self.heard_before.filter(|since| launched + LISTED_WITHIN < *since);
-        Some(since.unwrap_or(launched).min(now))
+        let contact = self.previous_contact.filter(|contact| launched + MAX_ROSTER_DELAY < *contact);
+        Some(contact.unwrap_or(launched).min(now))
     }
 
-    /// What the list tells, as it holds.
+    /// Applies a roster or a change to it, and returns the effective entries of the runners that it names.
     pub fn apply_listing(
         &mut self,
         listing: Listing,
-        told: Vec<RosterEntry>,
+        entries: Vec<RosterEntry>,
         now: Micros,
     ) -> Vec<RosterEntry> {
         if matches!(listing, Listing::All | Listing::Remembered) {
-            self.by_id.values_mut().for_each(|known| known.gone_since = known.gone_since.or(Some(now)));
+            self.by_id
+                .values_mut()
+                .for_each(|member| member.unlisted_since = member.unlisted_since.or(Some(now)));
         }
-        let mut standing = Vec::new();
-        for mut entry in told {
-            let gone_since = Some(now).filter(|_| entry.readiness == Readiness::Removed);
-            let started = entry.launched;
-            entry.launched = self.started(&entry, now);
-            let known = self.by_id.entry(entry.runner.clone());
-            let known = known.or_insert_with(|| Member::new(entry.clone(), gone_since));
-            (known.entry, known.started, known.gone_since) = (entry, started, gone_since);
-            standing.push(known.standing(&self.terms, now));
+        let mut effective = Vec::new();
+        for mut entry in entries {
+            let unlisted_since = Some(now).filter(|_| entry.readiness == Readiness::Removed);
+            let reported_start = entry.launched;
+            entry.launched = self.start_time(&entry, now);
+            let member = self.by_id.entry(entry.runner.clone());
+            let member = member.or_insert_with(|| Member::new(entry.clone(), unlisted_since));
+            (member.entry, member.reported_start, member.unlisted_since) =
+                (entry, reported_start, unlisted_since);
+            effective.push(member.effective_entry(&self.restrictions, now));
         }
-        self.tidy();
-        standing
+        self.remove_long_unlisted();
+        effective
     }
 
-    /// Of those that are gone only so many are remembered, the latest; whoever is out by hand stays out.
-    fn tidy(&mut self) {
-        let gone = |known: &Member| known.gone_since.filter(|_| known.out_since.is_none());
-        let mut all: Vec<Micros> = self.by_id.values().filter_map(gone).collect();
-        if all.len() > GONE_MOST {
-            all.sort_unstable();
-            let from = all[all.len() - GONE_MOST / 2];
-            self.by_id.retain(|_, known| gone(known).is_none_or(|since| since >= from));
+    /// Bounds the number of remembered unlisted runners by dropping the ones that left first. Runners in
+    /// maintenance are kept, so that they are still in maintenance when they are listed again.
+    fn remove_long_unlisted(&mut self) {
+        let removable =
+            |member: &Member| member.unlisted_since.filter(|_| member.in_maintenance_since.is_none());
+        let mut unlisted: Vec<Micros> = self.by_id.values().filter_map(removable).collect();
+        if unlisted.len() > MAX_UNLISTED {
+            unlisted.sort_unstable();
+            let keep_from = unlisted[unlisted.len() - MAX_UNLISTED / 2];
+            self.by_id.retain(|_, member| removable(member).is_none_or(|since| since >= keep_from));
         }
     }
 
-    /// Takes a runner out by hand, or back in. Gives what holds of it now, where that is any news of a
-    /// listed one.
+    /// Puts a runner into maintenance, or ends its maintenance. Returns its effective entry if that is a
+    /// change and the runner is listed; fails for a runner that was never listed.
     pub fn set_maintenance(
         &mut self,
         id: &str,
         out: bool,
         now: Micros,
     ) -> Result<Option<RosterEntry>, &'static str> {
-        let known = self.by_id.get_mut(id).ok_or("this runner was never listed")?;
-        match (out, known.out_since) {
-            (true, None) => known.out_since = Some(now),
+        let member = self.by_id.get_mut(id).ok_or("this runner was never listed")?;
+        match (out, member.in_maintenance_since) {
+            (true, None) => member.in_maintenance_since = Some(now),
             (false, Some(from)) => {
-                known.out_since = None;
-                known.was_out = Some((from, now));
+                member.in_maintenance_since = None;
+                member.last_maintenance = Some((from, now));
             }
             _ => return Ok(None),
         }
-        Ok(Some(known.standing(&self.terms, now)).filter(|_| known.gone_since.is_none()))
+        Ok(Some(member.effective_entry(&self.restrictions, now)).filter(|_| member.unlisted_since.is_none()))
     }
 
-    /// Listed runners, and those of them that are out by hand.
+    /// The number of listed runners, and how many of them are in maintenance.
     pub fn count(&self) -> (usize, usize) {
-        let listed = self.listed_now();
-        let out = listed.clone().filter(|known| known.out_since.is_some()).count();
+        let listed = self.listed();
+        let out = listed.clone().filter(|member| member.in_maintenance_since.is_some()).count();
         (listed.count(), out)
     }
 }
