--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -1,7 +1,9 @@
-//! The list of runners: asks discovery, follows its watch, and turns lines into listings.
+//! The roster of runners: queries service discovery, follows its watch, and parses its lines into roster
+//! updates.
 //!
-//! It owns the one watch, how far it has come, and how long it may be silent. It must never decide whether to
-//! ask again, and never lose a change: a version counts as had only once its entries have been handed on.
+//! Holds the one watch, the generation that it has reached, and its timeouts. The routing policy decides
+//! whether to retry, not this module. No change may be lost: a generation counts as reached only once its
+//! entries have been handed on as an event.
 
 use std::net::SocketAddr;
 
@@ -16,48 +18,58 @@
 use crate::net::log::log;
 use crate::upstream::membership::ROSTER_LEASE_TIMEOUT;
 
-// What discovery has, and could tell, counts as told 6 s later at the latest. These spans and the brain's waits between
-// calls are its parts; docs/design.md has the sums for each order in which they can fail.
-
-/// Cut off from discovery a dial never comes up; the sooner it is given up, the sooner the next one gets
-/// through.
-const DIAL_WITHIN: Micros = 1_000_000;
-/// A call that has had no answer for so long is late: another one is made beside it. It is not ended by that: many
-/// callers make discovery slow, and whoever gives its turn up is never heard, and has the others wait for nothing.
-const ANSWER_WITHIN: Micros = ROSTER_LEASE_TIMEOUT / 2;
-/// The same where lists are pushed: an agent of one's own has no crowd of callers, and answers at once or not at all.
-const AGENT_WITHIN: Micros = 1_000_000;
-/// An empty line comes every 2 s; one that is late by this much is missing.
-const SILENT_MOST: Micros = 2_800_000;
-/// So many bytes of a long list, or of a long line, are a sign of life; fewer are none, or a trickle would keep a dead
-/// call for good. From its first byte on it has so long to be whole.
-const PROGRESS: usize = 1 << 10;
-const WHOLE_WITHIN: Micros = 10_000_000;
-/// Discovery that has turned every call away for so long is taken for down, whatever it said before: a start may take 30 s,
-/// and service has to begin before that.
-const DOWN_AFTER: Micros = 25_000_000;
-/// Calls that are out at a time.
-const CALLS_MOST: usize = 2;
-const LINE_MOST: usize = 4 << 20;
-
+// Discovery treats a change that it could deliver as known to the dispatcher after `ROSTER_LEASE_TIMEOUT`.
+// These timeouts and the routing policy's pauses between requests add up to less than that, in whatever order
+// requests fail; docs/design.md has the sums.
+
+/// While discovery is unreachable no dial succeeds, and the sooner one is given up, the sooner the next one
+/// can get through. In microseconds, like all times here.
+const DIAL_TIMEOUT: Micros = 1_000_000;
+/// A request without an answer for this long is late, and another one is sent beside it. The late one stays
+/// open: many callers make discovery slow, and a caller that gives up its place in the queue is never served
+/// and only lengthens the wait of the others.
+const ANSWER_TIMEOUT: Micros = ROSTER_LEASE_TIMEOUT / 2;
+/// The same where an agent of this dispatcher pushes the rosters: it has no queue of callers, and answers at
+/// once or not at all.
+const AGENT_ANSWER_TIMEOUT: Micros = 1_000_000;
+/// Discovery sends an empty line as a heartbeat every 2 s; a watch that has been silent for this long has
+/// missed one.
+const HEARTBEAT_TIMEOUT: Micros = 2_800_000;
+/// Receiving this many bytes of a long list or line counts as a sign of life. Fewer do not, or a trickle of
+/// bytes would keep a dead request open for good.
+const MIN_PROGRESS_BYTES: usize = 1 << 10;
+/// Time for a list or line to become complete, from its first byte on.
+const MESSAGE_TIMEOUT: Micros = 10_000_000;
+/// If discovery has failed every request for this long, it is taken to be down, even if its earlier failures
+/// looked like overload: a start may take 30 s, and service has to begin before that.
+const DOWN_TIMEOUT: Micros = 25_000_000;
+/// Maximum number of open requests to discovery.
+const MAX_REQUESTS: usize = 2;
+/// Maximum length of a list or line, in bytes.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
+
+/// A roster or a change to it, as discovery sends it.
 #[derive(Debug, Default, Deserialize)]
 pub struct RosterSnapshot {
     pub generation: u64,
+    /// Whether this is the whole roster and replaces what was known.
     #[serde(default)]
     pub reset: bool,
     instances: Vec<Value>,
 }
 
 impl RosterSnapshot {
+    /// Parses discovery's JSON. Entries are only checked by [`RosterSnapshot::entries`].
     pub fn from_value(value: Value) -> Result<RosterSnapshot, String> {
         serde_json::from_value(value).map_err(|error| error.to_string())
     }
 
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.instances.len()
     }
 
-    /// A list as discovery would tell it.
+    /// Encodes a whole roster in the JSON that discovery sends.
     pub fn to_json<'a>(
         generation: u64,
         entries: impl Iterator<Item = (&'a RosterEntry, SocketAddr)>,
@@ -78,24 +90,25 @@
         json!({ "generation": generation, "reset": true, "instances": instances })
     }
 
-    /// The entries that can be read; each of the others leaves a line in the log. The version counts as had all the
-    /// same, and nothing tells an entry twice: one that says of a runner that it is not up says so whatever else of
-    /// it cannot be read.
+    /// The valid entries, each with its address if it has one; each invalid entry is logged. The generation
+    /// counts as reached all the same, and discovery does not repeat an entry. An invalid entry is therefore
+    /// still used if it says that a runner is not up.
     pub fn entries(self) -> Vec<(RosterEntry, Option<SocketAddr>)> {
         let entry = |value: Value| {
-            let told = match Instance::deserialize(&value) {
-                Ok(instance) => instance.read(),
+            let parsed = match Instance::deserialize(&value) {
+                Ok(instance) => instance.into_entry(),
                 Err(error) => Err(error.to_string()),
             };
-            told.or_else(|fault| {
-                log!("bad-entry", "reason={fault:?}");
-                Instance::known_by(&value).and_then(|instance| instance.read().ok()).ok_or(())
+            parsed.or_else(|error| {
+                log!("bad-entry", "reason={error:?}");
+                Instance::salvage(&value).and_then(|instance| instance.into_entry().ok()).ok_or(())
             })
         };
         self.instances.into_iter().filter_map(|value| entry(value).ok()).collect()
     }
 }
 
+/// One runner in discovery's JSON.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Instance {
@@ -113,9 +126,9 @@
 }
 
 impl Instance {
-    /// What is left of an entry at fault: who it is about, if that is no longer up. A state that is not known is none
-    /// in which something new could go there.
-    fn known_by(value: &Value) -> Option<Instance> {
+    /// The id and the state from an invalid entry, if its runner is not up. A runner in an unknown state must
+    /// not get new work, so it counts as draining.
+    fn salvage(value: &Value) -> Option<Instance> {
         let state = value.get("lifecycle").and_then(Value::as_str).unwrap_or_default();
         let lifecycle = match state {
             "up" => return None,
@@ -126,20 +139,33 @@
         Some(Instance { instance_id: id.to_owned(), lifecycle: lifecycle.to_owned(), ..Instance::default() })
     }
 
-    fn read(self) -> Result<(RosterEntry, Option<SocketAddr>), String> {
-        // It stands in the log and is told back by runners.
+    /// Checks the entry; the error names the field, its value and what was expected.
+    fn into_entry(self) -> Result<(RosterEntry, Option<SocketAddr>), String> {
+        // The id appears in log lines, and runners send it back in call-backs.
         if self.instance_id.is_empty() || self.instance_id.contains(|c: char| c.is_control() || c == ' ') {
-            return Err(format!("bad id {:?}", self.instance_id));
+            return Err(format!(
+                "instanceId has the bad value {:?}: expected a name without blanks or control characters",
+                self.instance_id
+            ));
         }
         let readiness = match self.lifecycle.as_str() {
             "up" => Readiness::Up,
             "draining" => Readiness::Draining,
             "removed" => Readiness::Removed,
-            other => return Err(format!("{} has the unknown lifecycle {other}", self.instance_id)),
+            other => {
+                return Err(format!(
+                    "{}: lifecycle has the unknown value {other}: expected up, draining or removed",
+                    self.instance_id
+                ));
+            }
         };
         let address = match self.host_port.as_deref().filter(|text| !text.is_empty()) {
-            Some(text) => Some(text.parse().map_err(|_| format!("{} has a bad address", self.instance_id))?),
-            None if readiness == Readiness::Up => return Err(format!("{} has no address", self.instance_id)),
+            Some(text) => Some(text.parse().map_err(|_| {
+                format!("{}: hostPort has the bad value '{text}': expected IP:PORT", self.instance_id)
+            })?),
+            None if readiness == Readiness::Up => {
+                return Err(format!("{}: hostPort is missing, though lifecycle is up", self.instance_id));
+            }
             None => None,
         };
         let weight = self.weight.filter(|weight| weight.is_finite()).unwrap_or(1.0);
@@ -150,204 +176,215 @@
             machine_type: self.machine_type.into(),
             zone: self.zone.into(),
             readiness,
-            // Far beyond any real time, and far enough from the type's end.
+            // The bound is far beyond any real time, and leaves room for sums of times without overflow.
             launched: Some(self.started_at_ms).filter(|ms| (1..1 << 50).contains(ms)).map(|ms| ms * 1000),
         };
         Ok((entry, address))
     }
 }
 
+/// A roster, a change to it, or the failure of a request for it ([`Listing::Refused`]).
 #[derive(Debug)]
 pub struct RosterEvent {
     pub listing: Listing,
-    /// When discovery was heard last before this, if it was: who is new in this list was not listed then.
+    /// When discovery was last in contact before this, if it was: runners new in this roster were not listed
+    /// then.
     pub previous_contact: Option<Micros>,
     pub entries: Vec<(RosterEntry, Option<SocketAddr>)>,
 }
 
-/// A call to discovery, on its way to becoming the watch.
-struct Call {
+/// An open request to discovery. The first one on which a complete line arrives becomes the watch.
+struct WatchRequest {
     connection: ConnectionId,
-    asked_at: Micros,
-    up: bool,
-    /// How the body is framed, once the head has come.
+    sent_at: Micros,
+    connected: bool,
+    /// How the body is framed, once the head has arrived.
     framing: Option<Framing>,
-    /// Whether the connection outlives this answer.
-    keep: bool,
+    /// Whether the connection can be used again after this answer.
+    keep_alive: bool,
     chunks: Chunks,
-    text: Vec<u8>,
-    heard_at: Micros,
-    /// How much of `text` had come then, and when its first byte had.
-    progress: usize,
-    began_at: Option<Micros>,
-    /// A whole line has come on it: it is the watch.
-    spoke: bool,
-    /// It has been silent for too long: another one is made, and the first of them to speak is the watch.
-    late: bool,
+    /// The part of the body that is not yet processed.
+    body: Vec<u8>,
+    /// When it last showed a sign of life.
+    last_progress_at: Micros,
+    /// The length of `body` at that time.
+    progress_bytes: usize,
+    /// When the first byte of `body` arrived.
+    first_byte_at: Option<Micros>,
+    /// A complete line has arrived on it: it is the watch.
+    is_watch: bool,
+    /// It has been silent for too long: another one is sent, and the first of them to receive a line is the
+    /// watch.
+    is_late: bool,
 }
 
-impl Call {
-    fn new(connection: ConnectionId, up: bool, now: Micros) -> Call {
-        Call {
+impl WatchRequest {
+    fn new(connection: ConnectionId, connected: bool, now: Micros) -> WatchRequest {
+        WatchRequest {
             connection,
-            asked_at: now,
-            up,
+            sent_at: now,
+            connected,
             framing: None,
-            keep: false,
+            keep_alive: false,
             chunks: Chunks::default(),
-            text: Vec::new(),
-            heard_at: now,
-            progress: 0,
-            began_at: None,
-            spoke: false,
-            late: false,
+            body: Vec::new(),
+            last_progress_at: now,
+            progress_bytes: 0,
+            first_byte_at: None,
+            is_watch: false,
+            is_late: false,
         }
     }
 
-    /// When it counts as late, or as dead where it is that already.
-    fn due(&self, pushed: bool) -> Micros {
-        let most = match self.spoke {
-            _ if !self.up => DIAL_WITHIN,
-            false if pushed => AGENT_WITHIN,
-            false => ANSWER_WITHIN,
-            true => SILENT_MOST,
+    /// When it becomes late, or has to be given up if it is late already. `pushed` is as in [`Roster`].
+    fn deadline(&self, pushed: bool) -> Micros {
+        let timeout = match self.is_watch {
+            _ if !self.connected => DIAL_TIMEOUT,
+            false if pushed => AGENT_ANSWER_TIMEOUT,
+            false => ANSWER_TIMEOUT,
+            true => HEARTBEAT_TIMEOUT,
         };
-        let silent = self.heard_at + if self.late { 3 * most } else { most };
-        self.began_at.map_or(silent, |began| silent.min(began + WHOLE_WITHIN))
+        let silent = self.last_progress_at + if self.is_late { 3 * timeout } else { timeout };
+        self.first_byte_at.map_or(silent, |first_byte_at| silent.min(first_byte_at + MESSAGE_TIMEOUT))
     }
 
-    /// Takes what has come of the body, and sees whether it comes on.
-    fn take(&mut self, framing: Framing, input: &mut Vec<u8>, now: Micros) -> Result<(), &'static str> {
-        if self.text.is_empty() {
-            self.began_at = None;
+    /// Moves the received part of the body to `body`, and notes its progress.
+    fn receive(&mut self, framing: Framing, input: &mut Vec<u8>, now: Micros) -> Result<(), &'static str> {
+        if self.body.is_empty() {
+            self.first_byte_at = None;
         }
         match framing {
             Framing::Chunked => {
-                let used = self.chunks.feed(input, &mut self.text).map_err(|_| "bad_chunk")?;
+                let used = self.chunks.feed(input, &mut self.body).map_err(|_| "bad_chunk")?;
                 drop(input.drain(..used));
             }
-            Framing::Length(_) | Framing::UntilEnd => self.text.append(input),
+            Framing::Length(_) | Framing::UntilEnd => self.body.append(input),
         }
-        if !self.text.is_empty() {
-            self.began_at.get_or_insert(now);
+        if !self.body.is_empty() {
+            self.first_byte_at.get_or_insert(now);
         }
-        if self.text.len() >= self.progress + PROGRESS {
-            (self.progress, self.heard_at) = (self.text.len(), now);
+        if self.body.len() >= self.progress_bytes + MIN_PROGRESS_BYTES {
+            (self.progress_bytes, self.last_progress_at) = (self.body.len(), now);
         }
         Ok(())
     }
 }
 
+/// The connection to service discovery.
 pub struct Roster {
     discovery: SocketAddr,
-    /// How far discovery has been heard; none where it has not been heard at this address: then the whole
-    /// list is asked for first, as versions are its own there.
+    /// The last generation received; none if nothing has been received from this address yet. Generations of
+    /// another address do not count there, so the whole roster is requested first.
     generation: Option<u64>,
-    /// An agent of this dispatcher's own tells the list: it has learnt nothing where it does not answer, as discovery is
-    /// down then.
+    /// An agent of this dispatcher pushes the rosters. If it does not answer, it has learnt of no changes, as
+    /// discovery is down then.
     pushed: bool,
     /// Whether the watch is wanted at all.
-    follows: bool,
-    /// The calls that are out, the newest last; all but that one are late.
-    calls: Vec<Call>,
-    /// Since when discovery may have had something to tell, and could be reached, that has not been heard.
-    sure_at: Micros,
-    /// When the last line came.
-    heard_at: Option<Micros>,
-    /// It has ended the watch itself, and nothing has been heard since: it is down.
-    down: bool,
-    /// When the first call was made since something was heard.
-    unheard_since: Option<Micros>,
+    should_follow: bool,
+    /// The open requests, the newest last; all but the newest are late.
+    requests: Vec<WatchRequest>,
+    /// Until when no change can have been missed. Later on discovery could be reached, and may have had
+    /// changes that have not arrived.
+    certain_until: Micros,
+    /// When the last line arrived.
+    last_contact: Option<Micros>,
+    /// Discovery has closed the watch, and nothing has arrived since: it is down.
+    is_down: bool,
+    /// When the first request was sent since something arrived last.
+    failing_since: Option<Micros>,
+    /// Events that the owner has not processed yet.
     pub events: Vec<RosterEvent>,
 }
 
 impl Roster {
-    /// What is remembered up to this generation may be of any age.
+    /// Starts from a remembered roster of this generation, which may be of any age.
     pub fn new(discovery: SocketAddr, generation: u64, pushed: bool) -> Roster {
         Roster {
             discovery,
             generation: Some(generation),
             pushed,
-            follows: false,
-            calls: Vec::new(),
-            sure_at: 0,
-            heard_at: None,
-            down: false,
-            unheard_since: None,
+            should_follow: false,
+            requests: Vec::new(),
+            certain_until: 0,
+            last_contact: None,
+            is_down: false,
+            failing_since: None,
             events: Vec::new(),
         }
     }
 
-    /// Where the list comes from.
+    /// The address of discovery.
     pub fn discovery(&self) -> SocketAddr {
         self.discovery
     }
 
-    /// How far it has been heard there.
+    /// The last generation received from this address, if any.
     pub fn generation(&self) -> Option<u64> {
         self.generation
     }
 
-    /// The list to begin with is another one, known to be right at `sure_at`. Before the first call.
-    pub fn resume_from(&mut self, generation: u64, sure_at: Micros) {
-        (self.generation, self.sure_at) = (Some(generation), sure_at);
+    /// Starts from another roster instead, in which no change before `certain_until` is missing. To be called
+    /// before the first request.
+    pub fn resume_from(&mut self, generation: u64, certain_until: Micros) {
+        (self.generation, self.certain_until) = (Some(generation), certain_until);
     }
 
-    /// Whether lists are pushed, from now on.
+    /// Sets whether an agent of this dispatcher pushes the rosters.
     pub fn set_pushed(&mut self, pushed: bool) {
         self.pushed = pushed;
     }
 
-    /// Until when nothing can have been missed that could be told: what came up since may not have been heard.
+    /// Until when no change can have been missed that discovery could announce; later changes may not have
+    /// arrived.
     pub fn certain_until(&self) -> Micros {
-        self.sure_at
+        self.certain_until
     }
 
-    /// Asks for what has changed since, and for all changes to come; a watch that is under way is kept, and a call that
-    /// is late goes on beside the new one.
+    /// Requests the changes since the last generation and all future ones. An open watch is kept, and a late
+    /// request stays open beside the new one.
     pub fn follow(&mut self, driver: &mut dyn ConnectionDriver) {
-        self.follows = true;
-        if self.calls.iter().any(|call| !call.late) {
+        self.should_follow = true;
+        if self.requests.iter().any(|request| !request.is_late) {
             return;
         }
-        if self.calls.len() >= CALLS_MOST {
-            driver.abort(self.calls.remove(0).connection, CloseReason::WatchSilent);
+        if self.requests.len() >= MAX_REQUESTS {
+            driver.abort(self.requests.remove(0).connection, CloseReason::WatchSilent);
         }
         let connection = driver.dial(self.discovery, ConnectionRole::Roster);
-        self.ask(connection, false, driver);
+        self.send_request(connection, false, driver);
     }
 
-    fn ask(&mut self, connection: ConnectionId, up: bool, driver: &mut dyn ConnectionDriver) {
+    fn send_request(&mut self, connection: ConnectionId, connected: bool, driver: &mut dyn ConnectionDriver) {
         let target = match self.generation {
             Some(generation) => format!("/v1/servers?follow=1&since={generation}"),
             None => "/v1/servers".to_owned(),
         };
         driver.send(connection, &encode_bare("GET", &target, self.discovery));
-        let call = Call::new(connection, up, driver.now());
-        self.unheard_since.get_or_insert(call.asked_at);
-        driver.set_timer(Timer::Connection(connection), call.due(self.pushed));
-        self.calls.push(call);
+        let request = WatchRequest::new(connection, connected, driver.now());
+        self.failing_since.get_or_insert(request.sent_at);
+        driver.set_timer(Timer::Connection(connection), request.deadline(self.pushed));
+        self.requests.push(request);
     }
 
-    /// Discovery is elsewhere from now on. Versions are its own: what the old one counted says nothing there.
+    /// Moves to another address of discovery. Generations of the old address mean nothing there.
     pub fn set_discovery(&mut self, discovery: SocketAddr, driver: &mut dyn ConnectionDriver) {
         if discovery == self.discovery {
             return;
         }
         (self.discovery, self.generation) = (discovery, None);
-        (self.down, self.unheard_since, self.heard_at) = (false, None, None);
-        for call in std::mem::take(&mut self.calls) {
-            driver.abort(call.connection, CloseReason::WatchReplaced);
+        (self.is_down, self.failing_since, self.last_contact) = (false, None, None);
+        for request in std::mem::take(&mut self.requests) {
+            driver.abort(request.connection, CloseReason::WatchReplaced);
         }
-        if self.follows {
+        if self.should_follow {
             self.follow(driver);
         }
     }
 
-    fn lost(&mut self, why: &str) {
+    fn report_failure(&mut self, reason: &str) {
         let generation =
             self.generation.map_or_else(|| "none".to_owned(), |generation| generation.to_string());
-        log!("watch-lost", "generation={generation} reason={why}");
+        log!("watch-lost", "generation={generation} reason={reason}");
         self.events.push(RosterEvent {
             listing: Listing::Refused,
             previous_contact: None,
@@ -355,58 +392,66 @@
         });
     }
 
-    /// A call is out no more. Nothing is told of one for which another has been made.
-    fn drop_call(&mut self, at: usize, why: &str) {
-        let call = self.calls.remove(at);
-        // Whoever gets no connection could not have been told anything then. That a call fails says nothing by itself:
-        // one that has too many callers turns them away as one that is down does.
-        let long = self.unheard_since.is_some_and(|since| call.asked_at >= since + DOWN_AFTER);
-        if !call.up || (self.pushed || self.down || long) && !call.spoke {
-            self.sure_at = self.sure_at.max(call.asked_at);
+    /// Removes a request that has ended. Its failure is reported unless another request has been sent in its
+    /// place.
+    fn drop_request(&mut self, at: usize, reason: &str) {
+        let request = self.requests.remove(at);
+        // Without a connection discovery could not have announced anything. That a request fails on its
+        // connection proves nothing alone: overloaded discovery turns requests away in the same way as one
+        // that is down.
+        let fails_for_long = self.failing_since.is_some_and(|since| request.sent_at >= since + DOWN_TIMEOUT);
+        if !request.connected || (self.pushed || self.is_down || fails_for_long) && !request.is_watch {
+            self.certain_until = self.certain_until.max(request.sent_at);
         }
-        if !call.late {
-            self.lost(why);
+        if !request.is_late {
+            self.report_failure(reason);
         }
     }
 
-    /// The first call to say something is the watch; what the others would say is the same.
-    fn speaks(&mut self, connection: ConnectionId, sure_at: Micros, driver: &mut dyn ConnectionDriver) {
-        let (now, before) = (driver.now(), self.sure_at);
-        self.heard_at = Some(now);
-        self.sure_at = self.sure_at.max(sure_at);
-        for call in self.calls.extract_if(.., |call| call.connection != connection) {
-            driver.abort(call.connection, CloseReason::WatchReplaced);
+    /// The first request that receives a line becomes the watch. The others are closed, as they would receive
+    /// the same.
+    fn confirm_watch(
+        &mut self,
+        connection: ConnectionId,
+        certain_until: Micros,
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        let (now, certain_before) = (driver.now(), self.certain_until);
+        self.last_contact = Some(now);
+        self.certain_until = self.certain_until.max(certain_until);
+        for request in self.requests.extract_if(.., |request| request.connection != connection) {
+            driver.abort(request.connection, CloseReason::WatchReplaced);
         }
-        (self.down, self.unheard_since) = (false, None);
-        if let Some(call) = self.calls.first_mut() {
-            if !call.spoke {
-                let (generation, asked) = (self.generation.unwrap_or(0), (now - call.asked_at) / 1000);
-                let before = if before > 0 { before } else { call.asked_at };
+        (self.is_down, self.failing_since) = (false, None);
+        if let Some(request) = self.requests.first_mut() {
+            if !request.is_watch {
+                let (generation, asked_ms) = (self.generation.unwrap_or(0), (now - request.sent_at) / 1000);
+                let certain_before = if certain_before > 0 { certain_before } else { request.sent_at };
                 log!(
                     "watch-up",
-                    "generation={generation} asked_ms={asked} unsure_ms={}",
-                    (now - before) / 1000
+                    "generation={generation} asked_ms={asked_ms} unsure_ms={}",
+                    (now - certain_before) / 1000
                 );
             }
-            // It is looked at by other terms from here on.
-            let anew = call.late || !call.spoke;
-            (call.late, call.spoke, call.heard_at) = (false, true, now);
-            if anew {
-                driver.set_timer(Timer::Connection(connection), call.due(self.pushed));
+            // Another timeout applies from here on.
+            let deadline_changed = request.is_late || !request.is_watch;
+            (request.is_late, request.is_watch, request.last_progress_at) = (false, true, now);
+            if deadline_changed {
+                driver.set_timer(Timer::Connection(connection), request.deadline(self.pushed));
             }
         }
     }
 
-    /// All that `input` holds, or why the call is of no more use.
-    fn read(
+    /// Processes all of `input`; the error says why the request cannot be used any longer.
+    fn process_input(
         &mut self,
         connection: ConnectionId,
         input: &mut Vec<u8>,
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), &'static str> {
-        let (now, wants_whole) = (driver.now(), self.generation.is_none());
-        let Some(call) = self.on(connection) else { return Ok(()) };
-        let framing = match call.framing {
+        let (now, awaits_whole_list) = (driver.now(), self.generation.is_none());
+        let Some(request) = self.request_on(connection) else { return Ok(()) };
+        let framing = match request.framing {
             Some(framing) => framing,
             None => {
                 let Some((answer, framing, head)) = http::answer_head(input).map_err(|_| "bad_answer")?
@@ -416,126 +461,124 @@
                 if answer.status != 200 {
                     return Err("bad_status");
                 }
-                (call.keep, call.framing) = (answer.keep, Some(framing));
+                (request.keep_alive, request.framing) = (answer.keep, Some(framing));
                 drop(input.drain(..head));
                 framing
             }
         };
-        call.take(framing, input, now)?;
-        if wants_whole {
+        request.receive(framing, input, now)?;
+        if awaits_whole_list {
             let done = match framing {
-                Framing::Length(length) => call.text.len() >= length,
-                Framing::Chunked => call.chunks.done(),
+                Framing::Length(length) => request.body.len() >= length,
+                Framing::Chunked => request.chunks.done(),
                 Framing::UntilEnd => false,
             };
             return match done {
-                true => self.whole(connection, driver),
-                false if call.text.len() > LINE_MOST => Err("line_too_long"),
+                true => self.process_whole_list(connection, driver),
+                false if request.body.len() > MAX_MESSAGE_BYTES => Err("line_too_long"),
                 false => Ok(()),
             };
         }
-        self.lines(connection, driver)?;
-        match self.on(connection) {
-            Some(call) if call.text.len() > LINE_MOST => Err("line_too_long"),
-            Some(call) if call.chunks.done() => Err("watch_done"),
+        self.process_lines(connection, driver)?;
+        match self.request_on(connection) {
+            Some(request) if request.body.len() > MAX_MESSAGE_BYTES => Err("line_too_long"),
+            Some(request) if request.chunks.done() => Err("watch_done"),
             _ => Ok(()),
         }
     }
 
-    /// What a watch has said. A line is a sign of life, and a sign that nothing before it was missed. An object may be
-    /// indented, over several lines.
-    fn lines(
+    /// Processes the lines of a watch. A line shows that discovery is alive and that no earlier change was
+    /// missed. A JSON object may be indented and span several lines.
+    fn process_lines(
         &mut self,
         connection: ConnectionId,
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), &'static str> {
-        let Some(call) = self.calls.iter_mut().find(|call| call.connection == connection) else {
+        let Some(request) = self.requests.iter_mut().find(|request| request.connection == connection) else {
             return Ok(());
         };
-        let Some(end) = call.text.iter().rposition(|byte| *byte == b'\n') else { return Ok(()) };
+        let Some(end) = request.body.iter().rposition(|byte| *byte == b'\n') else { return Ok(()) };
         let mut lists =
-            serde_json::Deserializer::from_slice(&call.text[..=end]).into_iter::<RosterSnapshot>();
-        let mut read = 0;
+            serde_json::Deserializer::from_slice(&request.body[..=end]).into_iter::<RosterSnapshot>();
+        let mut used = 0;
         while let Some(listed) = lists.next() {
             let listed = match listed {
                 Ok(listed) => listed,
                 Err(error) if error.is_eof() => break,
                 Err(_) => return Err("bad_line"),
             };
-            read = lists.byte_offset();
+            used = lists.byte_offset();
             let listing = if listed.reset { Listing::All } else { Listing::Changes };
-            let back = !listed.reset && self.generation.is_some_and(|known| listed.generation < known);
-            self.generation = Some(listed.generation).filter(|_| !back);
+            let went_back = !listed.reset && self.generation.is_some_and(|known| listed.generation < known);
+            self.generation = Some(listed.generation).filter(|_| !went_back);
             self.events.push(RosterEvent {
                 listing,
-                previous_contact: self.heard_at,
+                previous_contact: self.last_contact,
                 entries: listed.entries(),
             });
-            if back {
-                // It counts anew, and what changed between is told by neither count: the whole list is asked for.
+            if went_back {
+                // Discovery counts from the start again, and neither count covers the changes between: the
+                // whole roster is requested.
                 return Err("generation_back");
             }
         }
-        let rest = call.text[read..=end].iter().position(|byte| !byte.is_ascii_whitespace());
-        drop(call.text.drain(..rest.map_or(end + 1, |at| read + at)));
-        call.progress = call.text.len();
-        // What came with it may be as old as its first byte.
-        let sure_at = call.began_at.filter(|_| rest.is_none()).unwrap_or(self.sure_at);
+        let rest = request.body[used..=end].iter().position(|byte| !byte.is_ascii_whitespace());
+        drop(request.body.drain(..rest.map_or(end + 1, |at| used + at)));
+        request.progress_bytes = request.body.len();
+        // The data may be as old as its first byte.
+        let certain_until = request.first_byte_at.filter(|_| rest.is_none()).unwrap_or(self.certain_until);
         if rest.is_none() {
-            call.began_at = Some(driver.now()).filter(|_| !call.text.is_empty());
+            request.first_byte_at = Some(driver.now()).filter(|_| !request.body.is_empty());
         }
-        self.speaks(connection, sure_at, driver);
+        self.confirm_watch(connection, certain_until, driver);
         Ok(())
     }
 
-    /// The whole list has come: what changes from here on is asked for, on the same connection if it is kept.
-    fn whole(
+    /// The whole roster has arrived: starts the watch for later changes, on the same connection if that is
+    /// kept open.
+    fn process_whole_list(
         &mut self,
         connection: ConnectionId,
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), &'static str> {
-        let Some(call) = self.on(connection) else { return Ok(()) };
-        let listed: RosterSnapshot = serde_json::from_slice(&call.text).map_err(|_| "bad_line")?;
-        let asked_at = call.asked_at;
+        let Some(request) = self.request_on(connection) else { return Ok(()) };
+        let listed: RosterSnapshot = serde_json::from_slice(&request.body).map_err(|_| "bad_line")?;
+        let sent_at = request.sent_at;
         self.generation = Some(listed.generation);
-        let heard_before = self.heard_at;
-        self.speaks(connection, asked_at, driver);
-        let Some(call) = self.calls.pop() else { return Ok(()) };
-        self.events.push(RosterEvent {
-            listing: Listing::All,
-            previous_contact: heard_before,
-            entries: listed.entries(),
-        });
-        if call.keep {
-            self.ask(call.connection, true, driver);
+        let previous_contact = self.last_contact;
+        self.confirm_watch(connection, sent_at, driver);
+        let Some(request) = self.requests.pop() else { return Ok(()) };
+        self.events.push(RosterEvent { listing: Listing::All, previous_contact, entries: listed.entries() });
+        if request.keep_alive {
+            self.send_request(request.connection, true, driver);
         } else {
-            driver.abort(call.connection, CloseReason::AnsweredLast);
+            driver.abort(request.connection, CloseReason::AnsweredLast);
             self.follow(driver);
         }
         Ok(())
     }
 
-    fn on(&mut self, connection: ConnectionId) -> Option<&mut Call> {
-        self.calls.iter_mut().find(|call| call.connection == connection)
+    fn request_on(&mut self, connection: ConnectionId) -> Option<&mut WatchRequest> {
+        self.requests.iter_mut().find(|request| request.connection == connection)
     }
 
-    fn nth(&self, connection: ConnectionId) -> Option<usize> {
-        self.calls.iter().position(|call| call.connection == connection)
+    fn request_index(&self, connection: ConnectionId) -> Option<usize> {
+        self.requests.iter().position(|request| request.connection == connection)
     }
 }
 
 impl ConnectionHandler for Roster {
     fn up(&mut self, connection: ConnectionId, _: &mut dyn ConnectionDriver) {
-        if let Some(call) = self.on(connection) {
-            call.up = true;
+        if let Some(request) = self.request_on(connection) {
+            request.connected = true;
         }
     }
 
     fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
-        let read = self.read(connection, input, driver);
-        if let Some((why, at)) = read.err().zip(self.nth(connection)) {
+        let result = self.process_input(connection, input, driver);
+        if let Some((reason, at)) = result.err().zip(self.request_index(connection)) {
             driver.abort(connection, CloseReason::BadAnswer);
-            self.drop_call(at, why);
+            self.drop_request(at, reason);
         }
     }
 
@@ -547,44 +590,46 @@
         _: &[u8],
         driver: &mut dyn ConnectionDriver,
     ) {
-        let Some(call) = self.on(connection) else { return };
-        // A whole list may be ended by the connection's end.
-        let until_end = call.framing == Some(Framing::UntilEnd) && end == CloseReason::PeerClosed;
-        if until_end && self.generation.is_none() && self.whole(connection, driver).is_ok() {
+        let Some(request) = self.request_on(connection) else { return };
+        // The close of the connection may delimit the whole roster.
+        let until_end = request.framing == Some(Framing::UntilEnd) && end == CloseReason::PeerClosed;
+        if until_end && self.generation.is_none() && self.process_whole_list(connection, driver).is_ok() {
             return;
         }
-        if let Some(at) = self.nth(connection) {
-            self.down |= self.calls[at].spoke && !self.calls[at].late;
-            self.drop_call(at, end.code());
+        if let Some(at) = self.request_index(connection) {
+            self.is_down |= self.requests[at].is_watch && !self.requests[at].is_late;
+            self.drop_request(at, end.code());
         }
     }
 
     fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
-        let Some(at) = self.nth(connection) else { return };
-        let call = &mut self.calls[at];
-        let due = call.due(self.pushed);
-        if now < due {
-            return driver.set_timer(Timer::Connection(connection), due);
+        let Some(at) = self.request_index(connection) else { return };
+        let request = &mut self.requests[at];
+        let deadline = request.deadline(self.pushed);
+        if now < deadline {
+            return driver.set_timer(Timer::Connection(connection), deadline);
         }
-        // One that comes in too slowly is of no use, whatever it still brings.
-        let too_slow = call.began_at.is_some_and(|began| now >= began + WHOLE_WITHIN);
-        if call.up && !call.late && !too_slow {
-            call.late = true;
-            self.down &= !call.spoke;
-            if self.pushed && !call.spoke {
-                self.sure_at = self.sure_at.max(call.asked_at);
+        // A message that arrives too slowly is given up, whatever is still to come.
+        let too_slow =
+            request.first_byte_at.is_some_and(|first_byte_at| now >= first_byte_at + MESSAGE_TIMEOUT);
+        if request.connected && !request.is_late && !too_slow {
+            request.is_late = true;
+            self.is_down &= !request.is_watch;
+            if self.pushed && !request.is_watch {
+                self.certain_until = self.certain_until.max(request.sent_at);
             }
-            driver.set_timer(Timer::Connection(connection), call.due(self.pushed));
-            return self.lost("silent");
+            driver.set_timer(Timer::Connection(connection), request.deadline(self.pushed));
+            return self.report_failure("silent");
         }
         if driver.postponed(connection) {
-            // That it never left is no fault of discovery's: something may have been missed all the same.
+            // The host kept the dial from starting, so nothing is known of discovery, and changes may have
+            // been missed.
             driver.abort(connection, CloseReason::WatchSilent);
-            self.calls.remove(at);
-            return self.lost("not_dialled");
+            self.requests.remove(at);
+            return self.report_failure("not_dialled");
         }
         driver.abort(connection, CloseReason::WatchSilent);
-        self.drop_call(at, "silent");
+        self.drop_request(at, "silent");
     }
 }
