--- a/node/src/upstream/mod.rs
+++ b/node/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Those whom this dispatcher goes to: runners, and discovery for the list of them.
+//! Connections that this dispatcher opens: to runners, and to service discovery for the roster.
 
 pub mod membership;
 pub mod roster;
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -1,7 +1,9 @@
-//! Connections to runners: a pool for each, and what is asked on them: forwards, probes and cancels.
+//! Connections to runners: a pool for each runner, and the requests sent on them: forwards, probes and
+//! cancels.
 //!
-//! It owns which connection carries what, and when that counts as not answered. It tells how each forward
-//! ended as far as its own connection shows; it must never send one twice, nor choose a runner.
+//! Tracks which connection carries which request and when a request counts as unanswered. Reports the outcome
+//! of each forward as far as its own connection shows it. It never sends a forward twice and does not choose
+//! runners.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,64 +18,48 @@
 use crate::net::http::{self, MESSAGE_MOST, Response, encode_bare};
 use crate::net::log::log;
 
-/// A cancel that gets no answer by then has failed: the runner is cut off or stands still.
-const CANCEL_WITHIN: Micros = 250_000;
-/// How long a runner's address is kept after it was listed last: its jobs may still have to be cancelled.
-const GONE_KEPT: Micros = 60_000_000;
-/// How long an answer that is too late to count may still come, so that its connection can be kept.
-const LATE_MOST: Micros = 2_000_000;
-/// A second answer may follow some milliseconds after the first. What comes within this is not believed to be the next
-/// task's where it would say that a job never ran, or has ended, that may be running.
-const SECOND_WITHIN: Micros = 10_000;
-
-/// From the first byte of a forward to its last: well within the slack of 0.15 s on the time that it tells its runner.
-const LEAVES_WITHIN: Micros = 100_000;
-
+/// A cancel without an answer after this time has failed: the runner is cut off or not running. In
+/// microseconds, like all times here.
+const CANCEL_TIMEOUT: Micros = 250_000;
+/// How long a runner's address is kept after it left the roster, as its jobs may still have to be cancelled.
+const UNLISTED_RETENTION: Micros = 60_000_000;
+/// How long to wait for an answer that is too late to count, so that its connection can be kept.
+const LATE_ANSWER_TIMEOUT: Micros = 2_000_000;
+/// A faulty runner may send a second answer some milliseconds after the first. An answer within this time of
+/// the last one is not attributed to the next task if it would mean that a job has not run, or has ended,
+/// while that job may be running.
+const DUPLICATE_ANSWER_WINDOW: Micros = 10_000;
+
+/// Time to write a forward from its first byte to its last: well within the slack of 0.15 s on the time left
+/// that it states to its runner.
+const SEND_TIMEOUT: Micros = 100_000;
+
+/// A request to a runner. `number` counts the forwards of an invocation.
 #[derive(Clone, Debug, PartialEq)]
 enum Task {
-    Forward { inv: Id, number: u32 },
+    Forward { invocation: Id, number: u32 },
     Probe,
-    Cancel { inv: Id, number: u32 },
+    Cancel { invocation: Id, number: u32 },
 }
 
+/// The outcome of a request to a runner. `number` counts the forwards of an invocation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RunnerEvent {
-    /// The runner has taken a forward: call-backs tell the rest.
-    Accepted {
-        invocation: Id,
-        number: u32,
-    },
-    Ended {
-        invocation: Id,
-        number: u32,
-        result: ForwardResult,
-        report: Vec<f64>,
-    },
-    /// A forward's client had left when it was to leave.
-    ClientLeft {
-        invocation: Id,
-        number: u32,
-    },
-    /// The runner will not take a forward as it was sent, and has not run it.
-    Unusable {
-        invocation: Id,
-        number: u32,
-    },
-    /// A forward is given up: it never got out, its runner has said so, or its process is gone.
-    Cancelled {
-        invocation: Id,
-        number: u32,
-    },
-    /// A cancel was not answered: the forward may still run.
-    NotCancelled {
-        invocation: Id,
-        number: u32,
-    },
-    Probed {
-        runner: Id,
-        alive: bool,
-        report: Vec<f64>,
-    },
+    /// The runner has accepted a forward; call-backs report the rest.
+    Accepted { invocation: Id, number: u32 },
+    /// A forward has ended without being accepted.
+    Ended { invocation: Id, number: u32, result: ForwardResult, report: Vec<f64> },
+    /// A forward was not sent, as its client had left by then.
+    ClientLeft { invocation: Id, number: u32 },
+    /// The runner has rejected a forward as malformed (status 4xx) and has not run it.
+    Unusable { invocation: Id, number: u32 },
+    /// A forward does not run any longer: it was never sent, its runner has confirmed the cancel, or the
+    /// process of the runner is gone.
+    Cancelled { invocation: Id, number: u32 },
+    /// A cancel was not confirmed: the forward may still run.
+    NotCancelled { invocation: Id, number: u32 },
+    /// A probe has ended; `report` holds the values of the load report, if there are any.
+    Probed { runner: Id, alive: bool, report: Vec<f64> },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,488 +69,555 @@
     Busy,
 }
 
-/// Who waits for a forward, and for how long: its runner is told what is left when it leaves, and not when it was decided
-/// on, in a line at this place of its message.
+/// The client that waits for a forward, and until when. The time left is stated to the runner in a header,
+/// inserted at `header_at` of the message when the forward is sent and not when it was decided on.
 #[derive(Clone, Copy)]
-struct Waits {
+struct ClientWait {
     client: ConnectionId,
-    until: Micros,
-    line_at: usize,
+    expires_at: Micros,
+    header_at: usize,
 }
 
-/// A task, with its message and when it must have come to an end.
-struct Asked {
+/// A task that is not yet sent, with its message and the time by which it must be answered.
+struct PendingTask {
     task: Task,
     message: Vec<u8>,
-    due: Micros,
-    waits: Option<Waits>,
+    deadline: Micros,
+    client_wait: Option<ClientWait>,
 }
 
-/// One connection.
-struct Line {
-    tgt: Id,
+/// The state of one connection.
+struct RunnerConnection {
+    runner_id: Id,
     phase: Phase,
+    /// When it entered this phase; while busy, when its task was sent.
     since: Micros,
     task: Option<Task>,
-    /// When it was answered on last, if it was: its runner may have let go of it since, or answer once more.
+    /// When the last answer arrived, if any did: its runner may have closed the connection since, or send a
+    /// second answer.
     answered_at: Option<Micros>,
-    /// The message of a task that waits for the dial, and when it must have left.
+    /// The message of a task that waits for the dial, and the time by which it must be sent.
     message: Vec<u8>,
-    leaves_by: Micros,
-    waits: Option<Waits>,
-    /// When what it is at must have come to an end.
-    due: Micros,
-    /// The task's end has been told as not answered; the answer may still come.
-    overdue: bool,
-    /// When it will next be looked at for having been idle too long.
-    rest_check: Micros,
+    send_by: Micros,
+    client_wait: Option<ClientWait>,
+    /// By when its task must be answered.
+    deadline: Micros,
+    /// The task has been reported as unanswered; the answer may still arrive.
+    is_overdue: bool,
+    /// When the idle timeout is checked next.
+    idle_check_at: Micros,
 }
 
-impl Line {
-    /// The task that waits for the dial, with its message and when it is due, if it may still leave.
-    fn take_waiting(&mut self, now: Micros) -> Option<Asked> {
-        let task = self.task.take_if(|_| self.phase == Phase::Dialling && now < self.leaves_by)?;
-        Some(Asked { task, message: std::mem::take(&mut self.message), due: self.due, waits: self.waits })
+impl RunnerConnection {
+    /// Takes the task that waits for the dial, if it may still be sent at `now`.
+    fn take_pending(&mut self, now: Micros) -> Option<PendingTask> {
+        let task = self.task.take_if(|_| self.phase == Phase::Dialling && now < self.send_by)?;
+        Some(PendingTask {
+            task,
+            message: std::mem::take(&mut self.message),
+            deadline: self.deadline,
+            client_wait: self.client_wait,
+        })
     }
 }
 
 struct Runner {
     address: SocketAddr,
-    /// Since when it is listed no more.
-    gone_since: Option<Micros>,
-    lines: Vec<ConnectionId>,
-    /// The most recently used last.
+    /// When it left the roster; none while it is listed.
+    unlisted_since: Option<Micros>,
+    connections: Vec<ConnectionId>,
+    /// Idle connections, the most recently used last.
     idle: Vec<ConnectionId>,
 }
 
+/// The connections to all runners.
 #[derive(Default)]
 pub struct Runners {
     by_id: BTreeMap<Id, Runner>,
-    lines: BTreeMap<ConnectionId, Line>,
+    connections: BTreeMap<ConnectionId, RunnerConnection>,
     report_fields: Vec<String>,
     dial_timeout: Micros,
-    probe_within: Micros,
-    idle_most: Micros,
+    probe_timeout: Micros,
+    idle_timeout: Micros,
     may_cancel: bool,
-    /// Forwards written whole, for the figures.
-    written: u64,
+    /// Forwards written completely, for the metrics.
+    forwards_written: u64,
+    /// Events that the owner has not processed yet.
     pub events: Vec<RunnerEvent>,
 }
 
 impl Runners {
+    /// Starts without runners.
     pub fn new(decoded: &DecodedSettings) -> Runners {
         let mut runners = Runners::default();
         runners.apply_settings(decoded);
         runners
     }
 
-    /// What holds from now on.
+    /// Applies new settings.
     pub fn apply_settings(&mut self, decoded: &DecodedSettings) {
         self.report_fields = decoded.report_fields.clone();
         self.dial_timeout = decoded.dial_timeout;
-        // A probe answers beside the queue: one as slow as a dial may be tells as much as none.
-        self.probe_within = decoded.dial_timeout / 2;
-        // Well before the runner does, or a request could cross its closing.
-        self.idle_most = decoded.idle_close / 2;
+        // Runners answer probes without queueing them, so an answer that takes as long as a dial may take
+        // says no more than a missing one.
+        self.probe_timeout = decoded.dial_timeout / 2;
+        // Well before the runner closes it, or a request could cross its close.
+        self.idle_timeout = decoded.idle_close / 2;
         self.may_cancel = decoded.settings.may_cancel;
     }
 
-    /// What the roster says of a runner's whereabouts.
+    /// Notes from the roster whether a runner is listed, and its address.
     pub fn update_runner(
         &mut self,
-        tgt: &Id,
+        runner_id: &Id,
         listed: bool,
         address: Option<SocketAddr>,
         driver: &mut dyn ConnectionDriver,
     ) {
-        if let Some(runner) = self.by_id.get_mut(tgt) {
+        if let Some(runner) = self.by_id.get_mut(runner_id) {
             let moved = address.is_some_and(|address| address != runner.address);
-            let since = runner.gone_since.unwrap_or(driver.now());
-            runner.gone_since = Some(since).filter(|_| !listed);
+            let since = runner.unlisted_since.unwrap_or(driver.now());
+            runner.unlisted_since = Some(since).filter(|_| !listed);
             runner.address = address.unwrap_or(runner.address);
             if moved || !listed {
-                self.stop_sending(tgt, driver);
+                self.stop_sending(runner_id, driver);
             }
         } else if let Some(address) = address.filter(|_| listed) {
-            let runner = Runner { address, gone_since: None, lines: Vec::new(), idle: Vec::new() };
-            self.by_id.insert(tgt.clone(), runner);
+            let runner = Runner { address, unlisted_since: None, connections: Vec::new(), idle: Vec::new() };
+            self.by_id.insert(runner_id.clone(), runner);
         }
     }
 
-    pub fn address(&self, tgt: &Id) -> Option<SocketAddr> {
-        self.by_id.get(tgt).map(|runner| runner.address)
+    /// The address of a runner that is known.
+    pub fn address(&self, runner_id: &Id) -> Option<SocketAddr> {
+        self.by_id.get(runner_id).map(|runner| runner.address)
     }
 
-    /// A whole list: whoever is not noted after this is gone.
+    /// Marks all runners as unlisted, before a whole roster is noted.
     pub fn mark_all_unlisted(&mut self, now: Micros) {
-        self.by_id.values_mut().for_each(|runner| runner.gone_since = runner.gone_since.or(Some(now)));
+        self.by_id
+            .values_mut()
+            .for_each(|runner| runner.unlisted_since = runner.unlisted_since.or(Some(now)));
     }
 
-    /// Lets go of those that are gone, once nobody can have work there any more.
+    /// Closes idle connections to unlisted runners, and forgets those runners once no work of theirs can
+    /// remain.
     pub fn remove_long_unlisted(&mut self, driver: &mut dyn ConnectionDriver) {
-        let gone = self.by_id.iter().filter(|(_, runner)| runner.gone_since.is_some());
-        let gone: Vec<Id> = gone.map(|(id, _)| id.clone()).collect();
-        gone.iter().for_each(|tgt| self.stop_sending(tgt, driver));
-        let long_gone = |since: Micros| driver.now() - since > GONE_KEPT;
-        self.by_id.retain(|_, runner| !runner.gone_since.is_some_and(long_gone) || !runner.lines.is_empty());
+        let unlisted = self.by_id.iter().filter(|(_, runner)| runner.unlisted_since.is_some());
+        let unlisted: Vec<Id> = unlisted.map(|(id, _)| id.clone()).collect();
+        unlisted.iter().for_each(|runner_id| self.stop_sending(runner_id, driver));
+        let long_unlisted = |since: Micros| driver.now() - since > UNLISTED_RETENTION;
+        self.by_id.retain(|_, runner| {
+            !runner.unlisted_since.is_some_and(long_unlisted) || !runner.connections.is_empty()
+        });
     }
 
-    /// Ends the connection that has been at rest for longest, if there is any.
+    /// Closes the connection that has been idle longest; whether there was one.
     pub fn make_room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
         let idle = self.by_id.values().flat_map(|runner| &runner.idle);
-        let oldest = idle.min_by_key(|connection| self.lines.get(connection).map(|line| line.since)).copied();
-        oldest.inspect(|connection| self.end_line(*connection, CloseReason::MadeRoom, driver)).is_some()
+        let oldest =
+            idle.min_by_key(|connection| self.connections.get(connection).map(|state| state.since)).copied();
+        oldest.inspect(|connection| self.close(*connection, CloseReason::MadeRoom, driver)).is_some()
     }
 
-    pub fn close_idle(&mut self, tgt: &Id, end: CloseReason, driver: &mut dyn ConnectionDriver) {
-        let idle = self.by_id.get_mut(tgt).map(|runner| std::mem::take(&mut runner.idle));
+    /// Closes the idle connections to a runner.
+    pub fn close_idle(&mut self, runner_id: &Id, end: CloseReason, driver: &mut dyn ConnectionDriver) {
+        let idle = self.by_id.get_mut(runner_id).map(|runner| std::mem::take(&mut runner.idle));
         for connection in idle.unwrap_or_default() {
-            self.end_line(connection, end, driver);
+            self.close(connection, end, driver);
         }
     }
 
-    /// A runner is to get nothing new: what waits for a connection there has not left, and connections at
-    /// rest would only break when it is restarted.
-    pub fn stop_sending(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
-        self.close_idle(tgt, CloseReason::Unlisted, driver);
-        self.drop_pending(tgt, driver);
-    }
-
-    /// What waits for a connection to a runner that drains or is gone would reach it whenever its dial comes up, long
-    /// after the grace.
-    pub fn drop_pending(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
-        let lines = self.by_id.get(tgt).map(|runner| runner.lines.clone()).unwrap_or_default();
-        for connection in lines {
-            let waits = |line: &&mut Line| matches!(line.task, Some(Task::Forward { .. }));
-            let waiting = self.lines.get_mut(&connection).filter(waits);
-            let waiting = waiting.and_then(|line| line.take_waiting(Micros::MIN));
-            if let Some(asked) = waiting {
-                self.end_line(connection, CloseReason::Unlisted, driver);
-                self.unanswered(tgt, asked.task, ForwardResult::Void, false);
+    /// Stops sending new work to a runner: drops the forwards that wait for a connection, and closes idle
+    /// connections, which would only break when the runner is restarted.
+    pub fn stop_sending(&mut self, runner_id: &Id, driver: &mut dyn ConnectionDriver) {
+        self.close_idle(runner_id, CloseReason::Unlisted, driver);
+        self.drop_pending(runner_id, driver);
+    }
+
+    /// Drops the forwards that wait for a connection to a runner. If the runner drains or is gone, they would
+    /// otherwise reach it whenever the dial completes, long after the grace period.
+    pub fn drop_pending(&mut self, runner_id: &Id, driver: &mut dyn ConnectionDriver) {
+        let connections =
+            self.by_id.get(runner_id).map(|runner| runner.connections.clone()).unwrap_or_default();
+        for connection in connections {
+            let is_forward = |state: &&mut RunnerConnection| matches!(state.task, Some(Task::Forward { .. }));
+            let pending = self.connections.get_mut(&connection).filter(is_forward);
+            let pending = pending.and_then(|state| state.take_pending(Micros::MIN));
+            if let Some(pending) = pending {
+                self.close(connection, CloseReason::Unlisted, driver);
+                self.report_unanswered(runner_id, pending.task, ForwardResult::Void, false);
             }
         }
     }
 
-    /// The same for all runners.
+    /// [`Runners::drop_pending`] for all runners.
     pub fn drop_all_pending(&mut self, driver: &mut dyn ConnectionDriver) {
         let all: Vec<Id> = self.by_id.keys().cloned().collect();
-        all.iter().for_each(|tgt| self.drop_pending(tgt, driver));
+        all.iter().for_each(|runner_id| self.drop_pending(runner_id, driver));
     }
 
-    /// `head` and `body` as they came, when nobody waits for the outcome any more, and when it must have left, if it
-    /// waits for a dial: runners remember an earlier one only for so long.
+    /// Sends a forward with the client's `head` and `body`. Its client gives up at `expires_at`; a forward
+    /// that still waits for its dial at `send_by` is not sent, as runners remember an earlier forward of the
+    /// invocation only for a limited time.
     pub fn forward(
         &mut self,
-        tgt: &Id,
-        (inv, number): (&Id, u32),
+        runner_id: &Id,
+        (invocation, number): (&Id, u32),
         (head, body): (&[u8], &[u8]),
-        (expires_at, by): (Micros, Option<Micros>),
+        (expires_at, send_by): (Micros, Option<Micros>),
         client: ConnectionId,
         driver: &mut dyn ConnectionDriver,
     ) {
         let mut message = head.to_vec();
         message.extend_from_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes());
         message.extend_from_slice(body);
-        let task = Task::Forward { inv: inv.clone(), number };
-        let waits = Some(Waits { client, until: expires_at, line_at: head.len() });
-        self.ask(tgt, Asked { task, message, due: expires_at + LATE_MOST, waits }, driver);
-        let connection = self.carrying(tgt, inv, number).filter(|_| by.is_some());
-        if let Some((by, connection)) = by.zip(connection)
-            && let Some(line) = self.lines.get_mut(&connection)
+        let task = Task::Forward { invocation: invocation.clone(), number };
+        let client_wait = Some(ClientWait { client, expires_at, header_at: head.len() });
+        self.submit(
+            runner_id,
+            PendingTask { task, message, deadline: expires_at + LATE_ANSWER_TIMEOUT, client_wait },
+            driver,
+        );
+        let connection = self.connection_of(runner_id, invocation, number).filter(|_| send_by.is_some());
+        if let Some((send_by, connection)) = send_by.zip(connection)
+            && let Some(state) = self.connections.get_mut(&connection)
         {
-            line.leaves_by = by;
-            driver.set_timer(Timer::Connection(connection), by);
+            state.send_by = send_by;
+            driver.set_timer(Timer::Connection(connection), send_by);
         }
     }
 
-    fn probe_message(&self, tgt: &Id) -> Vec<u8> {
+    fn probe_message(&self, runner_id: &Id) -> Vec<u8> {
         let target = if self.report_fields.is_empty() { "/healthz" } else { "/load" };
-        self.by_id.get(tgt).map(|r| encode_bare("GET", target, r.address)).unwrap_or_default()
+        self.by_id.get(runner_id).map(|runner| encode_bare("GET", target, runner.address)).unwrap_or_default()
     }
 
-    pub fn probe(&mut self, tgt: &Id, driver: &mut dyn ConnectionDriver) {
-        let message = self.probe_message(tgt);
-        let due = driver.now() + self.probe_within;
-        self.ask(tgt, Asked { task: Task::Probe, message, due, waits: None }, driver);
+    /// Sends a probe, which asks for the load report if the settings name its fields.
+    pub fn probe(&mut self, runner_id: &Id, driver: &mut dyn ConnectionDriver) {
+        let message = self.probe_message(runner_id);
+        let deadline = driver.now() + self.probe_timeout;
+        self.submit(
+            runner_id,
+            PendingTask { task: Task::Probe, message, deadline, client_wait: None },
+            driver,
+        );
     }
 
-    /// Nobody waits for this forward any more: what of it has not left does not leave. That is no cancel, and needs no
-    /// leave to send one. Whether it was held back.
+    /// Withdraws a forward that no client waits for, if it has not been sent completely; whether it has been
+    /// withdrawn. That is not a cancel, and is done even where the settings do not allow cancels.
     pub fn withdraw_unsent(
         &mut self,
-        tgt: &Id,
-        inv: &Id,
+        runner_id: &Id,
+        invocation: &Id,
         number: u32,
         driver: &mut dyn ConnectionDriver,
     ) -> bool {
-        let Some(connection) = self.carrying(tgt, inv, number) else { return false };
-        let Some(line) = self.lines.get_mut(&connection) else { return false };
-        if line.phase == Phase::Dialling {
-            line.task = None;
-            line.message.clear();
+        let Some(connection) = self.connection_of(runner_id, invocation, number) else { return false };
+        let Some(state) = self.connections.get_mut(&connection) else { return false };
+        if state.phase == Phase::Dialling {
+            state.task = None;
+            state.message.clear();
         } else if driver.unsent(connection) {
-            self.written -= 1;
-            self.end_line(connection, CloseReason::GivenUp, driver);
+            self.forwards_written -= 1;
+            self.close(connection, CloseReason::GivenUp, driver);
         } else {
             return false;
         }
-        self.events.push(RunnerEvent::Cancelled { invocation: inv.clone(), number });
+        self.events.push(RunnerEvent::Cancelled { invocation: invocation.clone(), number });
         true
     }
 
-    /// The connection that has a forward's request or still awaits its answer.
-    fn carrying(&self, tgt: &Id, inv: &Id, number: u32) -> Option<ConnectionId> {
-        let forward = Task::Forward { inv: inv.clone(), number };
-        let lines = self.by_id.get(tgt).map(|runner| runner.lines.as_slice()).unwrap_or_default();
-        let carries = |connection: &&ConnectionId| {
-            self.lines.get(connection).and_then(|l| l.task.as_ref()) == Some(&forward)
+    /// The connection on which a forward waits for its dial or its answer.
+    fn connection_of(&self, runner_id: &Id, invocation: &Id, number: u32) -> Option<ConnectionId> {
+        let forward = Task::Forward { invocation: invocation.clone(), number };
+        let connections =
+            self.by_id.get(runner_id).map(|runner| runner.connections.as_slice()).unwrap_or_default();
+        let is_carrier = |connection: &&ConnectionId| {
+            self.connections.get(connection).and_then(|state| state.task.as_ref()) == Some(&forward)
         };
-        lines.iter().find(carries).copied()
+        connections.iter().find(is_carrier).copied()
     }
 
-    /// Gives up a forward: unsent it is simply dropped; before its 202 its connection is closed, and the job
-    /// is deleted all the same, as the 202 may be under way. As long as the runner has not answered, the job
-    /// may go on there, and another forward would be a second copy.
-    pub fn cancel(&mut self, tgt: &Id, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
-        if self.withdraw_unsent(tgt, inv, number, driver) {
+    /// Cancels a forward. An unsent forward is withdrawn. Before its 202 its connection is closed, and the
+    /// job is deleted all the same, as the 202 may be in transit. Until the runner confirms, the job may
+    /// still run there, and another forward would be a second copy.
+    pub fn cancel(
+        &mut self,
+        runner_id: &Id,
+        invocation: &Id,
+        number: u32,
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        if self.withdraw_unsent(runner_id, invocation, number, driver) {
             return;
         }
-        if let Some(connection) = self.carrying(tgt, inv, number) {
-            self.end_line(connection, CloseReason::GivenUp, driver);
+        if let Some(connection) = self.connection_of(runner_id, invocation, number) {
+            self.close(connection, CloseReason::GivenUp, driver);
         }
-        // A runner that is listed no more may still be at it, cut off from whoever keeps the list.
-        let Some(runner) = self.by_id.get(tgt).filter(|_| self.may_cancel) else {
-            return self.events.push(RunnerEvent::NotCancelled { invocation: inv.clone(), number });
+        // An unlisted runner may still run the job, and only be cut off from discovery.
+        let Some(runner) = self.by_id.get(runner_id).filter(|_| self.may_cancel) else {
+            return self.events.push(RunnerEvent::NotCancelled { invocation: invocation.clone(), number });
         };
-        let message = encode_bare("DELETE", &format!("/jobs/{inv}"), runner.address);
-        let due = driver.now() + CANCEL_WITHIN;
-        let task = Task::Cancel { inv: inv.clone(), number };
-        self.ask(tgt, Asked { task, message, due, waits: None }, driver);
+        let message = encode_bare("DELETE", &format!("/jobs/{invocation}"), runner.address);
+        let deadline = driver.now() + CANCEL_TIMEOUT;
+        let task = Task::Cancel { invocation: invocation.clone(), number };
+        self.submit(runner_id, PendingTask { task, message, deadline, client_wait: None }, driver);
     }
 
-    fn ask(&mut self, tgt: &Id, asked: Asked, driver: &mut dyn ConnectionDriver) {
-        // One that has rested, if there is one: what is answered on it cannot be another's.
-        let rested = driver.now() - SECOND_WITHIN;
-        while let Some(runner) = self.by_id.get_mut(tgt)
+    /// Sends a task on an idle connection, or on a new one if there is none.
+    fn submit(&mut self, runner_id: &Id, pending: PendingTask, driver: &mut dyn ConnectionDriver) {
+        // Prefer a connection on which no second answer to an earlier task can still arrive.
+        let idle_before = driver.now() - DUPLICATE_ANSWER_WINDOW;
+        while let Some(runner) = self.by_id.get_mut(runner_id)
             && let Some(last) = runner.idle.len().checked_sub(1)
         {
-            let rests = |connection: &ConnectionId| {
-                self.lines.get(connection).is_none_or(|line| line.since <= rested)
+            let is_safe = |connection: &ConnectionId| {
+                self.connections.get(connection).is_none_or(|state| state.since <= idle_before)
             };
-            let connection = runner.idle.remove(runner.idle.iter().rposition(rests).unwrap_or(last));
+            let connection = runner.idle.remove(runner.idle.iter().rposition(is_safe).unwrap_or(last));
             if driver.is_reusable(connection) {
-                return self.start(connection, asked, driver);
+                return self.send_task(connection, pending, driver);
             }
-            self.end_line(connection, CloseReason::Stale, driver);
+            self.close(connection, CloseReason::Stale, driver);
         }
-        self.ask_anew(tgt, asked, driver);
+        self.submit_on_new_connection(runner_id, pending, driver);
     }
 
-    /// On a connection of its own, however many are idle.
-    fn ask_anew(&mut self, tgt: &Id, asked: Asked, driver: &mut dyn ConnectionDriver) {
-        let Asked { task, message, due, waits } = asked;
-        let Some(runner) = self.by_id.get_mut(tgt) else {
-            return self.unanswered(tgt, task, ForwardResult::Void, false);
+    /// Sends a task on a new connection, even if others are idle.
+    fn submit_on_new_connection(
+        &mut self,
+        runner_id: &Id,
+        pending: PendingTask,
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        let PendingTask { task, message, deadline, client_wait } = pending;
+        let Some(runner) = self.by_id.get_mut(runner_id) else {
+            return self.report_unanswered(runner_id, task, ForwardResult::Void, false);
         };
         let connection = driver.dial(runner.address, ConnectionRole::Runner);
-        runner.lines.push(connection);
+        runner.connections.push(connection);
         let since = driver.now();
-        let (phase, task, tgt) = (Phase::Dialling, Some(task), tgt.clone());
-        let (answered_at, leaves_by, overdue, rest_check) = (None, Micros::MAX, false, 0);
-        let line = Line {
-            tgt,
+        let (phase, task, runner_id) = (Phase::Dialling, Some(task), runner_id.clone());
+        let (answered_at, send_by, is_overdue, idle_check_at) = (None, Micros::MAX, false, 0);
+        let state = RunnerConnection {
+            runner_id,
             phase,
             since,
             task,
             answered_at,
             message,
-            leaves_by,
-            waits,
-            due,
-            overdue,
-            rest_check,
+            send_by,
+            client_wait,
+            deadline,
+            is_overdue,
+            idle_check_at,
         };
-        self.lines.insert(connection, line);
+        self.connections.insert(connection, state);
         driver.set_timer(Timer::Connection(connection), since + self.dial_timeout);
     }
 
-    /// What had to leave by now, and still waits for its dial, never leaves.
-    fn lapse(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
-        let late = |line: &&mut Line| line.phase == Phase::Dialling && driver.now() >= line.leaves_by;
-        let Some(line) = self.lines.get_mut(&connection).filter(late) else { return };
-        line.leaves_by = Micros::MAX;
-        if let Some(asked) = line.take_waiting(Micros::MIN) {
-            let tgt = line.tgt.clone();
-            self.unanswered(&tgt, asked.task, ForwardResult::Void, false);
+    /// Drops a task that still waits for its dial after its `send_by`.
+    fn expire_pending(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        let has_expired =
+            |state: &&mut RunnerConnection| state.phase == Phase::Dialling && driver.now() >= state.send_by;
+        let Some(state) = self.connections.get_mut(&connection).filter(has_expired) else { return };
+        state.send_by = Micros::MAX;
+        if let Some(pending) = state.take_pending(Micros::MIN) {
+            let runner_id = state.runner_id.clone();
+            self.report_unanswered(&runner_id, pending.task, ForwardResult::Void, false);
         }
     }
 
-    /// Writes a task's message to a connection that is up. A client that has left meanwhile is looked for once more:
-    /// against a forward for nobody, written at the end of a long turn or by a dial that comes up before its end is read.
-    fn start(&mut self, connection: ConnectionId, asked: Asked, driver: &mut dyn ConnectionDriver) {
-        let Asked { task, mut message, due, waits } = asked;
-        if let Task::Forward { inv, number } = &task
-            && waits.is_some_and(|waits| driver.peer_has_closed(waits.client))
+    /// Writes a task's message to an established connection. Checks once more that the client has not left:
+    /// at the end of a long loop turn, or when a dial completes before the client's close is read, the
+    /// forward would have no recipient.
+    fn send_task(
+        &mut self,
+        connection: ConnectionId,
+        pending: PendingTask,
+        driver: &mut dyn ConnectionDriver,
+    ) {
+        let PendingTask { task, mut message, deadline, client_wait } = pending;
+        if let Task::Forward { invocation, number } = &task
+            && client_wait.is_some_and(|wait| driver.peer_has_closed(wait.client))
         {
-            self.events.push(RunnerEvent::ClientLeft { invocation: inv.clone(), number: *number });
-            return self.rest(connection, driver);
+            self.events.push(RunnerEvent::ClientLeft { invocation: invocation.clone(), number: *number });
+            return self.release(connection, driver);
         }
-        if let Some(Waits { until, line_at, .. }) = waits {
-            let left = (until - driver.clock()).max(0) / 1000;
-            message.splice(line_at..line_at, format!("X-Deadline-Ms: {left}\r\n").into_bytes());
+        if let Some(ClientWait { expires_at, header_at, .. }) = client_wait {
+            let left_ms = (expires_at - driver.clock()).max(0) / 1000;
+            message.splice(header_at..header_at, format!("X-Deadline-Ms: {left_ms}\r\n").into_bytes());
         }
-        let Some(line) = self.lines.get_mut(&connection) else { return };
-        (line.phase, line.since, line.due, line.overdue) = (Phase::Busy, driver.now(), due, false);
-        self.written += u64::from(matches!(task, Task::Forward { .. }));
-        let forward = matches!(task, Task::Forward { .. });
-        line.task = Some(task);
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        (state.phase, state.since, state.deadline, state.is_overdue) =
+            (Phase::Busy, driver.now(), deadline, false);
+        self.forwards_written += u64::from(matches!(task, Task::Forward { .. }));
+        let is_forward = matches!(task, Task::Forward { .. });
+        state.task = Some(task);
         driver.send(connection, &message);
-        driver.set_timer(Timer::Connection(connection), due);
-        if forward && driver.unsent(connection) {
-            driver.set_timer(Timer::Connection(connection), driver.now() + LEAVES_WITHIN);
+        driver.set_timer(Timer::Connection(connection), deadline);
+        if is_forward && driver.unsent(connection) {
+            driver.set_timer(Timer::Connection(connection), driver.now() + SEND_TIMEOUT);
         }
     }
 
-    /// A forward that is not written whole in time: what it tells its runner of the time left is no longer true. Without
-    /// its last byte it does not run.
-    fn give_up_unsent(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
-        let late = |line: &Line| {
-            let forward = matches!(line.task, Some(Task::Forward { .. }));
-            forward && line.phase == Phase::Busy && driver.now() >= line.since + LEAVES_WITHIN
+    /// Aborts a forward that is not written completely in time: the time left that it states would no longer
+    /// be true. Without its last byte it does not run.
+    fn abort_unsent_forward(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        let is_too_slow = |state: &RunnerConnection| {
+            let is_forward = matches!(state.task, Some(Task::Forward { .. }));
+            is_forward && state.phase == Phase::Busy && driver.now() >= state.since + SEND_TIMEOUT
         };
-        if !self.lines.get(&connection).is_some_and(late) || !driver.unsent(connection) {
+        if !self.connections.get(&connection).is_some_and(is_too_slow) || !driver.unsent(connection) {
             return;
         }
-        let Some(Line { tgt, task: Some(task), .. }) = self.drop_line(connection) else { return };
+        let Some(RunnerConnection { runner_id, task: Some(task), .. }) = self.remove_connection(connection)
+        else {
+            return;
+        };
         driver.abort(connection, CloseReason::SlowReader);
-        self.written -= 1;
-        self.unanswered(&tgt, task, ForwardResult::Unreachable, false);
+        self.forwards_written -= 1;
+        self.report_unanswered(&runner_id, task, ForwardResult::Unreachable, false);
     }
 
-    /// A connection has come free: it takes over a task that waits for a dial, or is kept for the next one.
-    fn rest(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
-        let Some(tgt) = self.lines.get(&connection).map(|line| line.tgt.clone()) else { return };
-        let Some(runner) = self.by_id.get_mut(&tgt) else { return };
+    /// Reuses a connection that has become free for a task that waits for a dial, or keeps it idle.
+    fn release(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
+        let Some(runner_id) = self.connections.get(&connection).map(|state| state.runner_id.clone()) else {
+            return;
+        };
+        let Some(runner) = self.by_id.get_mut(&runner_id) else { return };
         let now = driver.now();
-        let mut waiting =
-            |other: &ConnectionId| self.lines.get_mut(other).and_then(|line| line.take_waiting(now));
-        if let Some(asked) = runner.lines.iter().find_map(&mut waiting) {
-            return self.start(connection, asked, driver);
+        let mut take_pending =
+            |other: &ConnectionId| self.connections.get_mut(other).and_then(|state| state.take_pending(now));
+        if let Some(pending) = runner.connections.iter().find_map(&mut take_pending) {
+            return self.send_task(connection, pending, driver);
         }
-        if runner.gone_since.is_some() {
-            return self.end_line(connection, CloseReason::Unlisted, driver);
+        if runner.unlisted_since.is_some() {
+            return self.close(connection, CloseReason::Unlisted, driver);
         }
         runner.idle.push(connection);
-        let Some(line) = self.lines.get_mut(&connection) else { return };
-        (line.phase, line.since, line.task, line.due) = (Phase::Idle, driver.now(), None, Micros::MAX);
-        if line.rest_check <= line.since {
-            line.rest_check = line.since + self.idle_most;
-            driver.set_timer(Timer::Connection(connection), line.rest_check);
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        (state.phase, state.since, state.task, state.deadline) =
+            (Phase::Idle, driver.now(), None, Micros::MAX);
+        if state.idle_check_at <= state.since {
+            state.idle_check_at = state.since + self.idle_timeout;
+            driver.set_timer(Timer::Connection(connection), state.idle_check_at);
         }
     }
 
-    fn drop_line(&mut self, connection: ConnectionId) -> Option<Line> {
-        let line = self.lines.remove(&connection)?;
-        if let Some(runner) = self.by_id.get_mut(&line.tgt) {
-            runner.lines.retain(|known| *known != connection);
+    fn remove_connection(&mut self, connection: ConnectionId) -> Option<RunnerConnection> {
+        let state = self.connections.remove(&connection)?;
+        if let Some(runner) = self.by_id.get_mut(&state.runner_id) {
+            runner.connections.retain(|known| *known != connection);
             runner.idle.retain(|known| *known != connection);
         }
-        Some(line)
+        Some(state)
     }
 
-    fn end_line(&mut self, connection: ConnectionId, end: CloseReason, driver: &mut dyn ConnectionDriver) {
-        self.drop_line(connection);
+    fn close(&mut self, connection: ConnectionId, end: CloseReason, driver: &mut dyn ConnectionDriver) {
+        self.remove_connection(connection);
         driver.abort(connection, end);
     }
 
-    /// A task that came to its end without an answer.
-    fn unanswered(&mut self, tgt: &Id, task: Task, ending: ForwardResult, refused: bool) {
-        let gone = self.by_id.get(tgt).is_none_or(|runner| runner.gone_since.is_some());
+    /// Reports a task that has ended without an answer.
+    fn report_unanswered(&mut self, runner_id: &Id, task: Task, result: ForwardResult, refused: bool) {
+        let unlisted = self.by_id.get(runner_id).is_none_or(|runner| runner.unlisted_since.is_some());
         self.events.push(match task {
-            Task::Forward { inv, number } => {
-                RunnerEvent::Ended { invocation: inv, number, result: ending, report: Vec::new() }
+            Task::Forward { invocation, number } => {
+                RunnerEvent::Ended { invocation, number, result, report: Vec::new() }
             }
-            // Listed no more, and nobody listens: the process is gone, and the job with it. A refusal alone
-            // may come from a runner whose connections are all taken.
-            Task::Cancel { inv, number } if refused && gone => {
-                RunnerEvent::Cancelled { invocation: inv, number }
+            // Unlisted, and nothing listens: the process is gone, and the job with it. A refused connection
+            // alone may also mean that all connections of the runner are in use.
+            Task::Cancel { invocation, number } if refused && unlisted => {
+                RunnerEvent::Cancelled { invocation, number }
+            }
+            Task::Cancel { invocation, number } => RunnerEvent::NotCancelled { invocation, number },
+            Task::Probe => {
+                RunnerEvent::Probed { runner: runner_id.clone(), alive: false, report: Vec::new() }
             }
-            Task::Cancel { inv, number } => RunnerEvent::NotCancelled { invocation: inv, number },
-            Task::Probe => RunnerEvent::Probed { runner: tgt.clone(), alive: false, report: Vec::new() },
         });
     }
 
-    fn answered(&mut self, tgt: &Id, task: Task, answer: &Response) {
+    /// Reports a task that has been answered.
+    fn report_answer(&mut self, runner_id: &Id, task: Task, answer: &Response) {
         self.events.push(match task {
-            Task::Cancel { inv, number } => match answer.status {
-                200..=299 | 404 | 410 => RunnerEvent::Cancelled { invocation: inv, number },
-                _ => RunnerEvent::NotCancelled { invocation: inv, number },
+            Task::Cancel { invocation, number } => match answer.status {
+                200..=299 | 404 | 410 => RunnerEvent::Cancelled { invocation, number },
+                _ => RunnerEvent::NotCancelled { invocation, number },
             },
             Task::Probe => {
                 let report = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
                 RunnerEvent::Probed {
-                    runner: tgt.clone(),
+                    runner: runner_id.clone(),
                     alive: answer.status == 200,
                     report: read_report(&self.report_fields, &report),
                 }
             }
-            Task::Forward { inv, number } if answer.status == 202 => {
-                RunnerEvent::Accepted { invocation: inv, number }
+            Task::Forward { invocation, number } if answer.status == 202 => {
+                RunnerEvent::Accepted { invocation, number }
             }
-            Task::Forward { inv, number } if matches!(answer.status, 400..=428 | 430..=499) => {
-                log!("forward-unusable", "inv={inv} runner={tgt} status={}", answer.status);
-                RunnerEvent::Unusable { invocation: inv, number }
+            Task::Forward { invocation, number } if matches!(answer.status, 400..=428 | 430..=499) => {
+                log!("forward-unusable", "inv={invocation} runner={runner_id} status={}", answer.status);
+                RunnerEvent::Unusable { invocation, number }
             }
-            Task::Forward { inv, number } => {
+            Task::Forward { invocation, number } => {
                 let load = answer.header("x-load").and_then(|text| serde_json::from_str(text).ok());
                 let report = load.map(|load| read_report(&self.report_fields, &load)).unwrap_or_default();
                 let not_run = answer.header("x-not-run") == Some("1");
-                let ending = match answer.status {
+                let result = match answer.status {
                     503 | 504 if not_run => ForwardResult::Overloaded,
                     status => {
-                        log!("forward-errored", "inv={inv} runner={tgt} status={status}");
+                        log!("forward-errored", "inv={invocation} runner={runner_id} status={status}");
                         ForwardResult::Errored
                     }
                 };
-                RunnerEvent::Ended { invocation: inv, number, result: ending, report }
+                RunnerEvent::Ended { invocation, number, result, report }
             }
         });
     }
 
-    /// What has come on a connection tells nothing of its task, which may have run; the connection ends with it.
-    fn unread(&mut self, connection: ConnectionId, why: &str, driver: &mut dyn ConnectionDriver) {
-        let Some(Line { tgt, task, overdue, .. }) = self.drop_line(connection) else { return };
-        log!("bad-answer", "link={connection} runner={tgt} reason={why}");
+    /// Closes a connection whose input is not an answer to its task. The task may have run, so a forward
+    /// counts as broken.
+    fn reject_answer(&mut self, connection: ConnectionId, reason: &str, driver: &mut dyn ConnectionDriver) {
+        let Some(RunnerConnection { runner_id, task, is_overdue, .. }) = self.remove_connection(connection)
+        else {
+            return;
+        };
+        log!("bad-answer", "link={connection} runner={runner_id} reason={reason}");
         driver.abort(connection, CloseReason::BadAnswer);
-        if let Some(task) = task.filter(|_| !overdue) {
-            self.unanswered(&tgt, task, ForwardResult::Broken, false);
+        if let Some(task) = task.filter(|_| !is_overdue) {
+            self.report_unanswered(&runner_id, task, ForwardResult::Broken, false);
         }
     }
 
+    /// The values of a load report, in the order of the settings; empty if one is missing.
     pub fn read_report(&self, load: &Value) -> Vec<f64> {
         read_report(&self.report_fields, load)
     }
 
-    /// Forwards that were written whole since the start.
+    /// The number of forwards written completely since the start.
     pub fn forwards_written(&self) -> u64 {
-        self.written
+        self.forwards_written
     }
 
-    /// How many connections there are to runners.
+    /// The number of connections to runners.
     pub fn open_connections(&self) -> usize {
-        self.lines.len()
+        self.connections.len()
     }
 
-    /// Whether a cancel is still on its way.
+    /// Whether a cancel is still unanswered and not overdue.
     pub fn has_pending_cancels(&self) -> bool {
-        self.lines.values().any(|line| matches!(line.task, Some(Task::Cancel { .. })) && !line.overdue)
+        self.connections
+            .values()
+            .any(|state| matches!(state.task, Some(Task::Cancel { .. })) && !state.is_overdue)
     }
 }
 
-/// The values of a load report in the order of the settings; none where one is missing or no number. The
-/// settings and the sockets have their own names for the same value.
+/// The values of a load report in the order of the settings; empty if one is missing or not a number. The
+/// settings and the wire format have different names for the same value.
 fn read_report(fields: &[String], load: &Value) -> Vec<f64> {
-    const ALSO: [(&str, &str); 6] = [
+    const ALIASES: [(&str, &str); 6] = [
         ("outstanding", "inflight"),
         ("backlog", "queue"),
         ("utilization", "util"),
@@ -573,64 +626,61 @@
         ("errors_per_s", "eps"),
     ];
     let value = |name: &String| {
-        let also = ALSO.iter().find(|(known, _)| known == name).and_then(|(_, also)| load.get(also));
-        load.get(name).or(also)?.as_f64().filter(|value| value.is_finite())
+        let alias = ALIASES.iter().find(|(known, _)| known == name).and_then(|(_, alias)| load.get(alias));
+        load.get(name).or(alias)?.as_f64().filter(|value| value.is_finite())
     };
     fields.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
 }
 
 impl ConnectionHandler for Runners {
     fn up(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
-        self.lapse(connection, driver);
-        let Some(line) = self.lines.get_mut(&connection) else { return };
-        match line.take_waiting(driver.now()) {
-            Some(asked) => self.start(connection, asked, driver),
-            None => self.rest(connection, driver),
+        self.expire_pending(connection, driver);
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        match state.take_pending(driver.now()) {
+            Some(pending) => self.send_task(connection, pending, driver),
+            None => self.release(connection, driver),
         }
     }
 
     fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
-        let Some(line) = self.lines.get_mut(&connection) else { return };
-        if line.phase != Phase::Busy {
-            return self.end_line(connection, CloseReason::Stale, driver);
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        if state.phase != Phase::Busy {
+            return self.close(connection, CloseReason::Stale, driver);
         }
-        let (tgt, now) = (line.tgt.clone(), driver.now());
-        let hasty = line.answered_at.is_some_and(|at| now < at + SECOND_WITHIN);
-        let harmless = |status: u16| match line.task {
+        let (runner_id, now) = (state.runner_id.clone(), driver.now());
+        let soon_after_answer = state.answered_at.is_some_and(|at| now < at + DUPLICATE_ANSWER_WINDOW);
+        let is_harmless = |status: u16| match state.task {
             Some(Task::Forward { .. }) => status == 202,
             Some(Task::Cancel { .. }) => false,
             Some(Task::Probe) | None => true,
         };
-        let doubted = |answer: &Response| hasty && !harmless(answer.status);
+        let is_dubious = |answer: &Response| soon_after_answer && !is_harmless(answer.status);
         let (keep, used) = match http::answer(input, false) {
-            Ok(Some((answer, _))) if doubted(&answer) => {
-                return self.unread(connection, "perhaps_anothers", driver);
+            Ok(Some((answer, _))) if is_dubious(&answer) => {
+                return self.reject_answer(connection, "perhaps_anothers", driver);
             }
             Ok(None) if input.len() < MESSAGE_MOST => return,
             Ok(Some((answer, used))) => {
-                // Late word on a probe says nothing any more; that a job is deleted still holds.
-                let counts = |task: &Task| !line.overdue || matches!(task, Task::Cancel { .. });
-                let task = line.task.take().filter(counts);
-                line.answered_at = Some(now);
+                // A late answer to a probe is outdated, but the confirmation that a job is deleted still
+                // holds.
+                let still_counts = |task: &Task| !state.is_overdue || matches!(task, Task::Cancel { .. });
+                let task = state.task.take().filter(still_counts);
+                state.answered_at = Some(now);
                 if let Some(task) = task {
-                    self.answered(&tgt, task, &answer);
+                    self.report_answer(&runner_id, task, &answer);
                 }
                 (answer.keep, used)
             }
-            unread => {
-                let why = unread.err().map_or("too_long", |fault| fault.1);
-                return self.unread(connection, why, driver);
+            malformed => {
+                let reason = malformed.err().map_or("too_long", |error| error.1);
+                return self.reject_answer(connection, reason, driver);
             }
         };
         drop(input.drain(..used));
         if keep && input.is_empty() {
-            self.rest(connection, driver);
+            self.release(connection, driver);
         } else {
-            self.end_line(
-                connection,
-                if keep { CloseReason::Stale } else { CloseReason::AnsweredLast },
-                driver,
-            );
+            self.close(connection, if keep { CloseReason::Stale } else { CloseReason::AnsweredLast }, driver);
         }
     }
 
@@ -642,67 +692,77 @@
         input: &[u8],
         driver: &mut dyn ConnectionDriver,
     ) {
-        let Some(line) = self.drop_line(connection) else { return };
-        let Some(task) = line.task.filter(|_| !line.overdue) else { return };
-        // A kept connection that breaks at its next request tells of the connection, not of the runner: a
-        // probe is asked once more. Anything else sent again might be a second copy.
-        if line.answered_at.is_some() && input.is_empty() && task == Task::Probe {
-            let message = self.probe_message(&line.tgt);
-            return self.ask_anew(&line.tgt, Asked { task, message, due: line.due, waits: None }, driver);
+        let Some(state) = self.remove_connection(connection) else { return };
+        let Some(task) = state.task.filter(|_| !state.is_overdue) else { return };
+        // If a kept connection breaks at its next request, that says nothing about the runner, so a probe is
+        // sent again. Anything else that is sent again might be a second copy.
+        if state.answered_at.is_some() && input.is_empty() && task == Task::Probe {
+            let message = self.probe_message(&state.runner_id);
+            return self.submit_on_new_connection(
+                &state.runner_id,
+                PendingTask { task, message, deadline: state.deadline, client_wait: None },
+                driver,
+            );
         }
-        if line.phase == Phase::Dialling || unsent {
-            // It was counted when its writing began.
-            let begun = line.phase == Phase::Busy && matches!(task, Task::Forward { .. });
-            self.written -= u64::from(begun);
-            return self.unanswered(&line.tgt, task, ForwardResult::Unreachable, end == CloseReason::Refused);
+        if state.phase == Phase::Dialling || unsent {
+            // It was counted when writing began.
+            let was_counted = state.phase == Phase::Busy && matches!(task, Task::Forward { .. });
+            self.forwards_written -= u64::from(was_counted);
+            return self.report_unanswered(
+                &state.runner_id,
+                task,
+                ForwardResult::Unreachable,
+                end == CloseReason::Refused,
+            );
         }
         match (http::answer(input, true), task) {
-            (Ok(Some((answer, _))), task) => self.answered(&line.tgt, task, &answer),
-            // Its runner knows nothing of that and may go on: another forward would be a second copy.
-            (_, Task::Forward { inv, number }) if end == CloseReason::PathLost && self.may_cancel => {
-                self.cancel(&line.tgt, &inv, number, driver);
+            (Ok(Some((answer, _))), task) => self.report_answer(&state.runner_id, task, &answer),
+            // The runner does not notice the lost path and may still run the job: another forward would be a
+            // second copy.
+            (_, Task::Forward { invocation, number }) if end == CloseReason::PathLost && self.may_cancel => {
+                self.cancel(&state.runner_id, &invocation, number, driver);
             }
-            (_, task) => self.unanswered(&line.tgt, task, ForwardResult::Broken, false),
+            (_, task) => self.report_unanswered(&state.runner_id, task, ForwardResult::Broken, false),
         }
     }
 
     fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
-        self.lapse(connection, driver);
-        self.give_up_unsent(connection, driver);
-        let Some(line) = self.lines.get_mut(&connection) else { return };
-        match line.phase {
-            Phase::Dialling if now >= line.since + self.dial_timeout => {
-                let (tgt, task) = (line.tgt.clone(), line.task.take());
-                // One that never began says nothing of its runner.
-                let ending = if driver.postponed(connection) {
+        self.expire_pending(connection, driver);
+        self.abort_unsent_forward(connection, driver);
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        match state.phase {
+            Phase::Dialling if now >= state.since + self.dial_timeout => {
+                let (runner_id, task) = (state.runner_id.clone(), state.task.take());
+                // A dial that the host never started says nothing about the runner.
+                let result = if driver.postponed(connection) {
                     ForwardResult::Void
                 } else {
                     ForwardResult::Unreachable
                 };
-                self.end_line(connection, CloseReason::DialTimeout, driver);
+                self.close(connection, CloseReason::DialTimeout, driver);
                 if let Some(task) = task {
-                    self.unanswered(&tgt, task, ending, false);
+                    self.report_unanswered(&runner_id, task, result, false);
                 }
             }
-            Phase::Idle if now >= line.since + self.idle_most => {
-                self.end_line(connection, CloseReason::Idle, driver);
+            Phase::Idle if now >= state.since + self.idle_timeout => {
+                self.close(connection, CloseReason::Idle, driver);
             }
-            Phase::Idle if now >= line.rest_check => {
-                line.rest_check = line.since + self.idle_most;
-                driver.set_timer(Timer::Connection(connection), line.rest_check);
+            Phase::Idle if now >= state.idle_check_at => {
+                state.idle_check_at = state.since + self.idle_timeout;
+                driver.set_timer(Timer::Connection(connection), state.idle_check_at);
             }
-            Phase::Busy if now >= line.due => {
-                // A forward is never told as not answered here: whoever waits for it has long given it up.
-                let told = |task: &Task| !line.overdue && !matches!(task, Task::Forward { .. });
-                let Some(task) = line.task.clone().filter(told) else {
-                    return self.end_line(connection, CloseReason::NoAnswer, driver);
+            Phase::Busy if now >= state.deadline => {
+                // An overdue forward is not reported: its client gave up long before this deadline.
+                let is_reported = |task: &Task| !state.is_overdue && !matches!(task, Task::Forward { .. });
+                let Some(task) = state.task.clone().filter(is_reported) else {
+                    return self.close(connection, CloseReason::NoAnswer, driver);
                 };
-                line.overdue = true;
-                line.due = now + LATE_MOST;
-                driver.set_timer(Timer::Connection(connection), line.due);
-                let tgt = line.tgt.clone();
-                self.unanswered(&tgt, task, ForwardResult::Broken, false);
+                state.is_overdue = true;
+                state.deadline = now + LATE_ANSWER_TIMEOUT;
+                driver.set_timer(Timer::Connection(connection), state.deadline);
+                let runner_id = state.runner_id.clone();
+                self.report_unanswered(&runner_id, task, ForwardResult::Broken, false);
             }
             _ => {}
         }
