--- a/node/src/ingress/clients.rs
+++ b/node/src/ingress/clients.rs
@@ -1,7 +1,9 @@
-//! Connections that others open to us: clients' invocations, runners' call-backs, and readiness.
+//! Connections that others open to the HTTP listener: clients' invocations, runners' call-backs, readiness
+//! requests.
 //!
-//! It owns what each such connection is about to say or is owed. It decodes an invocation or a call-back once
-//! and hands it on; it must never judge one, and never answer an invocation but as it is told.
+//! Tracks for each connection the request that is being read or the answer that is outstanding. Decodes an
+//! invocation or a call-back once and hands it on as an event. It takes no decisions on invocations: their
+//! answers come from the owner.
 
 use std::collections::BTreeMap;
 
@@ -13,35 +15,43 @@
 use crate::net::http::{self, HttpError, MESSAGE_MOST, Request, encode_answer};
 use crate::net::log::log;
 
-const READY: &str = "/healthz";
-const CALL_BACKS: &str = "/v1/job-events";
-/// A request that has begun must be whole by then, the first one so long after its connection was accepted.
-const REQUEST_WITHIN: Micros = 2_500_000;
-/// A newcomer that has asked nothing yet keeps its place for so long, however many others want it.
-const NEWCOMER_KEPT: Micros = 250_000;
-const IDLE_MOST: Micros = 120_000_000;
-/// No client waits longer than an hour; it keeps due times far from the end of their type.
-const TIMEOUT_MOST: Micros = 3_600_000_000;
-/// An answer on its way when the client's time ends is as good as none.
-const WAY_BACK: Micros = 20_000;
-const ID_MOST: usize = 128;
-
+const READINESS_PATH: &str = "/healthz";
+const CALLBACK_PATH: &str = "/v1/job-events";
+/// Time to receive a complete request from its first byte on, and the first request of a connection from
+/// accept on. In microseconds, like all times here.
+const REQUEST_TIMEOUT: Micros = 2_500_000;
+/// A new connection without a request is not closed for this long, even if its place is needed.
+const NEW_CONNECTION_GRACE: Micros = 250_000;
+/// How long a connection is kept between requests.
+const IDLE_TIMEOUT: Micros = 120_000_000;
+/// No client waits longer than an hour; the bound also keeps deadlines far from overflow.
+const MAX_CLIENT_TIMEOUT: Micros = 3_600_000_000;
+/// Subtracted from the client's timeout for the answer's way back: an answer that is in transit when the
+/// client gives up is lost.
+const RETURN_TIME: Micros = 20_000;
+/// Maximum length of an invocation's id, in bytes.
+const MAX_ID_BYTES: usize = 128;
+
+/// A client's request to run an operation.
 #[derive(Debug)]
 pub struct Invocation {
     pub connection: ConnectionId,
     pub id: Id,
+    /// The operation's index in [`Operations`].
     pub operation: usize,
-    /// When the client gives up, less the way back.
+    /// When the client gives up, less the time for the answer to reach it.
     pub expires_at: Micros,
     pub slots: f64,
-    /// Its work on a standard core, where the client tells.
+    /// Its work as time on a standard core, if the client states it.
     pub work_hint: Option<Micros>,
+    /// The session key, if the client sends one.
     pub key: Option<Id>,
-    /// Request line and headers as they go to runners, but for the time left and the length.
+    /// Request line and headers as sent to runners, except the time left and the length.
     pub head: Vec<u8>,
     pub body: Vec<u8>,
 }
 
+/// The state of a job as its runner reports it.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
@@ -53,7 +63,7 @@
     Lost,
 }
 
-/// What a runner tells of a job.
+/// A runner's report on a job.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct RunnerCallback {
     pub id: String,
@@ -63,128 +73,154 @@
     pub load: Option<serde_json::Value>,
 }
 
+/// What has arrived on a connection.
 #[derive(Debug)]
 pub enum ClientEvent {
     Invocation(Invocation),
-    /// With a hash of its bytes, by which a repeat may be known.
+    /// With a hash of its bytes, by which a repeated call-back can be recognised.
     RunnerCallback(RunnerCallback, u64),
+    /// The connection has ended while this invocation awaited its answer.
     Disconnected(ConnectionId, Id),
 }
 
 enum Phase {
     Idle,
-    /// A request has begun to come.
+    /// Part of a request has arrived.
     Reading,
-    Owed(Id),
+    /// An invocation with this id has been handed on.
+    AwaitingAnswer(Id),
 }
 
 struct Client {
     phase: Phase,
+    /// When it entered this phase.
     since: Micros,
-    /// From when the request that is being read counts: no later than it came.
-    began: Micros,
-    /// When it was accepted, until a first whole request has come.
-    newcomer: Option<Micros>,
-    keep: bool,
-    /// Whether an invocation has come on it.
-    invokes: bool,
-    /// A runner's, for call-backs.
-    caller: bool,
+    /// When the request that is being read began; no later than its first byte arrived.
+    request_began_at: Micros,
+    /// When it was accepted; none once a first request has arrived completely.
+    silent_since: Option<Micros>,
+    keep_alive: bool,
+    /// Whether an invocation has arrived on it.
+    has_invoked: bool,
+    /// Whether a call-back has arrived on it, so that its peer is a runner.
+    is_runner: bool,
 }
 
+/// The connections of clients, and of runners that call back.
 pub struct Clients {
-    conns: BTreeMap<ConnectionId, Client>,
+    by_connection: BTreeMap<ConnectionId, Client>,
     pub operations: Operations,
-    /// Nobody new is told that this dispatcher is ready, and then no connection is kept.
-    draining: bool,
-    letting_go: bool,
-    /// Connections of all sides beyond these cost an idle client its place; beyond the second figure nobody
-    /// is let in. The rest is kept back for runners and the watch.
-    most: (usize, usize),
+    /// Readiness requests are answered with 503.
+    is_draining: bool,
+    /// Each connection is closed after its next answer, except those of runners.
+    is_closing: bool,
+    /// Limits on the number of connections of all roles. Above the first, each new connection takes the place
+    /// of an idle client; above the second none is accepted. The rest is reserved for runners and the watch.
+    limits: (usize, usize),
+    /// Events that the owner has not processed yet.
     pub events: Vec<ClientEvent>,
 }
 
 impl Clients {
+    /// Starts without connections and without operations.
     pub fn new() -> Clients {
         Clients {
-            conns: BTreeMap::new(),
+            by_connection: BTreeMap::new(),
             operations: Operations::default(),
-            draining: false,
-            letting_go: false,
-            most: (0, 0),
+            is_draining: false,
+            is_closing: false,
+            limits: (0, 0),
             events: Vec::new(),
         }
     }
 
+    /// Sets the limits on connections for a process that may have this many sockets.
     pub fn set_limits(&mut self, sockets: usize) {
-        self.most = (sockets * 5 / 8, sockets * 3 / 4);
+        self.limits = (sockets * 5 / 8, sockets * 3 / 4);
     }
 
-    /// Whether one more can be let in. Room is made by ending one that only lingers, one that has not come to
-    /// ask anything yet, or the one that has been idle longest; those that have brought invocations go last,
-    /// as they will bring more.
+    /// Whether one more connection can be accepted. If there are too many, closes one first: one that only
+    /// waits for its peer to close, else one that has sent no request yet, else the one idle longest.
+    /// Connections that have carried invocations are closed last, as they are likely to carry more.
     pub fn ensure_room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
-        driver.connections() < self.most.0 || self.make_room(driver) || driver.connections() < self.most.1
+        driver.connections() < self.limits.0 || self.make_room(driver) || driver.connections() < self.limits.1
     }
 
-    /// Ends one connection that nothing is owed on, if there is any.
+    /// Closes one connection without an outstanding answer; whether there was one.
     pub fn make_room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
         if driver.end_lingering() {
             return true;
         }
         let now = driver.now();
-        let rank = |(connection, client): (&ConnectionId, &Client)| match (&client.phase, client.newcomer) {
+        let rank = |(connection, client): (&ConnectionId, &Client)| match (&client.phase, client.silent_since)
+        {
             (Phase::Idle | Phase::Reading, Some(at)) => {
-                (now >= at + NEWCOMER_KEPT).then_some((0, at, *connection))
+                (now >= at + NEW_CONNECTION_GRACE).then_some((0, at, *connection))
             }
-            (Phase::Idle, None) => Some((1 + u8::from(client.invokes), client.since, *connection)),
+            (Phase::Idle, None) => Some((1 + u8::from(client.has_invoked), client.since, *connection)),
             _ => None,
         };
-        let mut idle: Vec<(u8, Micros, ConnectionId)> = self.conns.iter().filter_map(rank).collect();
+        let mut idle: Vec<(u8, Micros, ConnectionId)> = self.by_connection.iter().filter_map(rank).collect();
         idle.sort_unstable();
         idle.iter().any(|(_, _, connection)| self.end_idle(*connection, CloseReason::MadeRoom, driver))
     }
 
+    /// Adds a connection that has been accepted.
     pub fn accepted(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         let since = driver.now();
-        let (phase, newcomer) = (Phase::Idle, Some(since));
-        let client =
-            Client { phase, since, began: since, newcomer, keep: true, invokes: false, caller: false };
-        self.conns.insert(connection, client);
-        driver.set_timer(Timer::Connection(connection), since + REQUEST_WITHIN);
+        let (phase, silent_since) = (Phase::Idle, Some(since));
+        let client = Client {
+            phase,
+            since,
+            request_began_at: since,
+            silent_since,
+            keep_alive: true,
+            has_invoked: false,
+            is_runner: false,
+        };
+        self.by_connection.insert(connection, client);
+        driver.set_timer(Timer::Connection(connection), since + REQUEST_TIMEOUT);
     }
 
-    /// The one final answer of an invocation.
+    /// Sends the one final answer of an invocation.
     pub fn answer(
         &mut self,
         connection: ConnectionId,
         status: u16,
-        come_back: Option<Micros>,
+        retry_after: Option<Micros>,
         body: &[u8],
         driver: &mut dyn ConnectionDriver,
     ) {
-        let more = come_back.map(|after| format!("Retry-After: {:.3}\r\n", after as f64 / 1e6));
-        self.reply(connection, status, more.as_deref().unwrap_or_default(), body, !self.letting_go, driver);
+        let headers = retry_after.map(|after| format!("Retry-After: {:.3}\r\n", after as f64 / 1e6));
+        self.reply(
+            connection,
+            status,
+            headers.as_deref().unwrap_or_default(),
+            body,
+            !self.is_closing,
+            driver,
+        );
     }
 
+    /// Sends an answer, and closes the connection after it unless both sides keep it.
     fn reply(
         &mut self,
         connection: ConnectionId,
         status: u16,
-        more: &str,
+        headers: &str,
         body: &[u8],
         may_keep: bool,
         driver: &mut dyn ConnectionDriver,
     ) {
-        let Some(client) = self.conns.get_mut(&connection) else { return };
-        let keep = client.keep && may_keep && !driver.has_overflowed(connection);
-        driver.send(connection, &encode_answer(status, more, body, keep));
+        let Some(client) = self.by_connection.get_mut(&connection) else { return };
+        let keep_alive = client.keep_alive && may_keep && !driver.has_overflowed(connection);
+        driver.send(connection, &encode_answer(status, headers, body, keep_alive));
         client.phase = Phase::Idle;
         client.since = driver.now();
-        if keep {
+        if keep_alive {
             driver.process_again(connection);
         } else {
-            self.conns.remove(&connection);
+            self.by_connection.remove(&connection);
             driver.finish(
                 connection,
                 if may_keep { CloseReason::AnsweredLast } else { CloseReason::Terminated },
@@ -192,30 +228,34 @@
         }
     }
 
-    /// Whether whoever asks is told that this dispatcher is ready, from now on.
+    /// Sets whether readiness requests are answered positively.
     pub fn set_ready(&mut self, ready: bool) {
-        self.draining = !ready;
+        self.is_draining = !ready;
     }
 
-    /// Whether each connection ends with its next answer, as another process goes on from here.
-    pub fn set_handed_over(&mut self, gone: bool) {
-        self.letting_go = gone;
+    /// Sets whether each connection is closed after its next answer, because another process takes over.
+    pub fn set_handed_over(&mut self, handed_over: bool) {
+        self.is_closing = handed_over;
     }
 
-    /// From now on clients' connections are not kept, and idle ones end; runners may still have something to
-    /// tell on theirs.
+    /// Closes idle client connections, and from now on the others after their next answer. Connections of
+    /// runners stay open, as they may still carry call-backs.
     pub fn drain(&mut self, driver: &mut dyn ConnectionDriver) {
-        self.letting_go = true;
-        let idle = |client: &Client| matches!(client.phase, Phase::Idle) && !client.caller;
-        let links: Vec<ConnectionId> =
-            self.conns.iter().filter(|(_, c)| idle(c)).map(|(connection, _)| *connection).collect();
-        for connection in links {
+        self.is_closing = true;
+        let is_idle = |client: &Client| matches!(client.phase, Phase::Idle) && !client.is_runner;
+        let idle_connections: Vec<ConnectionId> = self
+            .by_connection
+            .iter()
+            .filter(|(_, client)| is_idle(client))
+            .map(|(connection, _)| *connection)
+            .collect();
+        for connection in idle_connections {
             self.end_idle(connection, CloseReason::Terminated, driver);
         }
     }
 
-    /// Ends a connection between requests. Where one has just come it is read first: to end the connection
-    /// would be to lose what was taken.
+    /// Closes a connection between requests; whether it was closed. If a request has just arrived, the
+    /// connection stays open so that the request is not lost.
     fn end_idle(
         &mut self,
         connection: ConnectionId,
@@ -225,61 +265,63 @@
         if driver.unsent(connection) || !driver.is_reusable(connection) {
             return false;
         }
-        self.conns.remove(&connection);
+        self.by_connection.remove(&connection);
         driver.abort(connection, end);
         true
     }
 
-    /// Whether some client still has a connection: what comes on it would have been taken.
+    /// Whether a client is still connected: a request that arrives on its connection has to be answered.
     pub fn has_clients(&self) -> bool {
-        self.conns.values().any(|client| !client.caller || !matches!(client.phase, Phase::Idle))
+        self.by_connection.values().any(|client| !client.is_runner || !matches!(client.phase, Phase::Idle))
     }
 
+    /// Answers a bad request with its status and reason, and closes the connection.
     pub fn reject(
         &mut self,
         connection: ConnectionId,
-        HttpError(status, why): HttpError,
+        HttpError(status, reason): HttpError,
         driver: &mut dyn ConnectionDriver,
     ) {
-        log!("bad-request", "link={connection} status={status} reason={why}");
-        driver.send(connection, &encode_answer(status, "", why.as_bytes(), false));
-        self.conns.remove(&connection);
+        log!("bad-request", "link={connection} status={status} reason={reason}");
+        driver.send(connection, &encode_answer(status, "", reason.as_bytes(), false));
+        self.by_connection.remove(&connection);
         driver.finish(connection, CloseReason::BadInput);
     }
 
+    /// Processes one complete request.
     fn take(
         &mut self,
         connection: ConnectionId,
         request: Request,
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), HttpError> {
-        let Some(client) = self.conns.get_mut(&connection) else { return Ok(()) };
-        (client.keep, client.newcomer) = (request.keep, None);
+        let Some(client) = self.by_connection.get_mut(&connection) else { return Ok(()) };
+        (client.keep_alive, client.silent_since) = (request.keep, None);
         match (request.path(), request.method) {
-            (READY, "GET") => {
-                let status = if self.draining { 503 } else { 200 };
+            (READINESS_PATH, "GET") => {
+                let status = if self.is_draining { 503 } else { 200 };
                 self.answer(connection, status, None, b"", driver);
             }
-            (CALL_BACKS, "POST") => {
-                let told =
+            (CALLBACK_PATH, "POST") => {
+                let callback =
                     serde_json::from_slice(&request.body).map_err(|_| HttpError(400, "bad_call_back"))?;
-                client.caller = true;
-                self.events.push(ClientEvent::RunnerCallback(told, hash(&request.body)));
-                // Its runner needs the connection for the calls to come, also while we go down.
+                client.is_runner = true;
+                self.events.push(ClientEvent::RunnerCallback(callback, hash(&request.body)));
+                // The runner needs the connection for further call-backs, even while this process shuts down.
                 self.reply(connection, 200, "", b"", true, driver);
             }
-            (READY | CALL_BACKS, _) => return Err(HttpError(405, "wrong_method")),
+            (READINESS_PATH | CALLBACK_PATH, _) => return Err(HttpError(405, "wrong_method")),
             (path, method) => {
-                // One slash and the operation: a runner may read other forms otherwise than we do.
+                // One slash and the operation: runners may interpret other forms of path differently.
                 let name = path.strip_prefix('/').and_then(|path| path.split('/').next()).unwrap_or_default();
                 let operation = self.operations.number(name, driver.now());
                 let operation = operation.ok_or(HttpError(404, "unknown_operation"))?;
                 if method != "POST" {
                     return Err(HttpError(405, "wrong_method"));
                 }
-                let invocation = invocation(connection, operation, client.began, request)?;
-                client.phase = Phase::Owed(invocation.id.clone());
-                client.invokes = true;
+                let invocation = read_invocation(connection, operation, client.request_began_at, request)?;
+                client.phase = Phase::AwaitingAnswer(invocation.id.clone());
+                client.has_invoked = true;
                 self.events.push(ClientEvent::Invocation(invocation));
             }
         }
@@ -287,54 +329,59 @@
     }
 }
 
-fn invocation(
+/// Decodes an invocation from its request; the error is the status and reason of the refusal.
+fn read_invocation(
     connection: ConnectionId,
     operation: usize,
-    began: Micros,
+    request_began_at: Micros,
     request: Request,
 ) -> Result<Invocation, HttpError> {
     let id = request.only("x-request-id")?.ok_or(HttpError(400, "missing_id"))?;
-    // It stands in the path of a cancel, so that nothing may need escaping there.
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:~".contains(&byte);
-    if id.is_empty() || id.len() > ID_MOST || !id.bytes().all(plain) {
+    // The id becomes part of the path of a cancel, and must not need escaping there.
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:~".contains(&byte);
+    if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(is_plain) {
         return Err(HttpError(400, "bad_id"));
     }
     let timeout = request.only("x-deadline-ms")?.ok_or(HttpError(400, "missing_timeout"))?;
-    let digits = timeout.bytes().all(|byte| byte.is_ascii_digit());
-    let timeout = timeout.parse().ok().filter(|_| digits).and_then(|ms: Micros| ms.checked_mul(1000));
-    let timeout = timeout.filter(|timeout| *timeout <= TIMEOUT_MOST).ok_or(HttpError(400, "bad_timeout"))?;
+    let is_number = timeout.bytes().all(|byte| byte.is_ascii_digit());
+    let timeout = timeout.parse().ok().filter(|_| is_number).and_then(|ms: Micros| ms.checked_mul(1000));
+    let timeout =
+        timeout.filter(|timeout| *timeout <= MAX_CLIENT_TIMEOUT).ok_or(HttpError(400, "bad_timeout"))?;
     request.only("idempotency-key")?;
     if request.target.bytes().any(|byte| byte == b'#' || !byte.is_ascii_graphic()) {
         return Err(HttpError(400, "bad_target"));
     }
     let extras = request.only("x-extras")?.unwrap_or_default();
-    let slots = named(extras, ',', &["slots", "width"]).find_map(|value| value.parse::<f64>().ok());
-    let hint = request.only("x-cost-hint")?.and_then(|hint| hint.trim().parse::<f64>().ok());
+    let slots = values_of(extras, ',', &["slots", "width"]).find_map(|value| value.parse::<f64>().ok());
+    let work_hint = request.only("x-cost-hint")?.and_then(|hint| hint.trim().parse::<f64>().ok());
     let cookies = request.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("cookie"));
     let mut cookies = cookies.filter_map(|(_, value)| std::str::from_utf8(value).ok());
-    let key = cookies.find_map(|value| named(value, ';', &["sid"]).next());
+    let key = cookies.find_map(|value| values_of(value, ';', &["sid"]).next());
     Ok(Invocation {
         connection,
         id: id.into(),
         operation,
-        expires_at: began + timeout - WAY_BACK,
+        expires_at: request_began_at + timeout - RETURN_TIME,
         slots: slots.filter(|slots| slots.is_finite() && *slots > 0.0).unwrap_or(1.0),
-        work_hint: hint.map(|ms| (ms * 1000.0) as Micros).filter(|hint| (1..=TIMEOUT_MOST).contains(hint)),
+        work_hint: work_hint
+            .map(|ms| (ms * 1000.0) as Micros)
+            .filter(|hint| (1..=MAX_CLIENT_TIMEOUT).contains(hint)),
         key: key.map(Into::into),
         head: forwarded_head(&request),
         body: request.body,
     })
 }
 
-/// The values that go by one of these names in a list of `name=value`.
-fn named<'a>(list: &'a str, between: char, names: &[&str]) -> impl Iterator<Item = &'a str> {
-    let pairs = list.split(between).filter_map(|pair| pair.trim().split_once('='));
+/// The values with one of these names in a list of `name=value` pairs.
+fn values_of<'a>(list: &'a str, separator: char, names: &[&str]) -> impl Iterator<Item = &'a str> {
+    let pairs = list.split(separator).filter_map(|pair| pair.trim().split_once('='));
     pairs.filter(|(name, _)| names.contains(name)).map(|(_, value)| value)
 }
 
-/// Everything that is meant for the runner, unchanged; what concerns one connection only stays here.
+/// The request line and headers for the runner, unchanged except for the headers that concern one connection
+/// only.
 fn forwarded_head(request: &Request) -> Vec<u8> {
-    const OURS: [&str; 10] = [
+    const HOP_HEADERS: [&str; 10] = [
         "connection",
         "content-length",
         "expect",
@@ -348,7 +395,7 @@
     ];
     let mut head = format!("{} {} HTTP/1.1\r\n", request.method, request.target).into_bytes();
     for (name, value) in &request.headers {
-        if !OURS.iter().any(|ours| name.eq_ignore_ascii_case(ours)) {
+        if !HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop)) {
             head.extend_from_slice(name.as_bytes());
             head.extend_from_slice(b": ");
             head.extend_from_slice(value);
@@ -362,9 +409,12 @@
     fn up(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 
     fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
-        while let Some(client) = self.conns.get_mut(&connection) {
-            // Whoever does not read what it is owed is read no further: answers would pile up.
-            if input.is_empty() || matches!(client.phase, Phase::Owed(_)) || driver.unsent(connection) {
+        while let Some(client) = self.by_connection.get_mut(&connection) {
+            // A client that does not read its answers gets no more requests read, or answers would pile up.
+            if input.is_empty()
+                || matches!(client.phase, Phase::AwaitingAnswer(_))
+                || driver.unsent(connection)
+            {
                 return;
             }
             if driver.has_overflowed(connection) {
@@ -373,18 +423,19 @@
             if matches!(client.phase, Phase::Idle) {
                 client.phase = Phase::Reading;
                 client.since = driver.now();
-                // Its time runs from when it came, however long it has waited to be read or looked at.
-                client.began = driver.arrived(connection);
+                // The client's timeout runs from the arrival of the request, however long that has waited to
+                // be read or processed.
+                client.request_began_at = driver.arrived(connection);
             }
             let used = match http::request(input) {
                 Ok(None) if input.len() >= MESSAGE_MOST => Err(HttpError(413, "message_too_long")),
                 Ok(None) => return,
                 Ok(Some((request, used))) => self.take(connection, request, driver).map(|()| used),
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             };
             match used {
                 Ok(used) => drop(input.drain(..used)),
-                Err(fault) => return self.reject(connection, fault, driver),
+                Err(error) => return self.reject(connection, error, driver),
             }
         }
     }
@@ -397,30 +448,31 @@
         _: &[u8],
         _: &mut dyn ConnectionDriver,
     ) {
-        if let Some(Client { phase: Phase::Owed(id), .. }) = self.conns.remove(&connection) {
+        if let Some(Client { phase: Phase::AwaitingAnswer(id), .. }) = self.by_connection.remove(&connection)
+        {
             self.events.push(ClientEvent::Disconnected(connection, id));
         }
     }
 
     fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
-        let Some(client) = self.conns.get(&connection) else { return };
+        let Some(client) = self.by_connection.get(&connection) else { return };
         let now = driver.now();
-        let whole_by = client.newcomer.unwrap_or(client.since) + REQUEST_WITHIN;
-        let overdue = now >= whole_by;
+        let complete_by = client.silent_since.unwrap_or(client.since) + REQUEST_TIMEOUT;
+        let is_overdue = now >= complete_by;
         let end = match client.phase {
-            Phase::Reading if overdue => CloseReason::SlowRequest,
-            Phase::Idle if overdue && driver.unsent(connection) => CloseReason::SlowReader,
-            Phase::Idle if overdue && client.newcomer.is_some() => CloseReason::Silent,
-            Phase::Idle if now >= client.since + IDLE_MOST => CloseReason::Idle,
-            // One look at a time is asked for: a request that has begun since the last one is in time for it.
-            Phase::Reading => return driver.set_timer(Timer::Connection(connection), whole_by),
-            _ => return driver.set_timer(Timer::Connection(connection), now + REQUEST_WITHIN),
+            Phase::Reading if is_overdue => CloseReason::SlowRequest,
+            Phase::Idle if is_overdue && driver.unsent(connection) => CloseReason::SlowReader,
+            Phase::Idle if is_overdue && client.silent_since.is_some() => CloseReason::Silent,
+            Phase::Idle if now >= client.since + IDLE_TIMEOUT => CloseReason::Idle,
+            // There is only one timer: a request that began after it was set is checked by the next one.
+            Phase::Reading => return driver.set_timer(Timer::Connection(connection), complete_by),
+            _ => return driver.set_timer(Timer::Connection(connection), now + REQUEST_TIMEOUT),
         };
         if !matches!(end, CloseReason::Idle | CloseReason::Silent) {
-            self.conns.remove(&connection);
+            self.by_connection.remove(&connection);
             driver.abort(connection, end);
         } else if !self.end_idle(connection, end, driver) {
-            driver.set_timer(Timer::Connection(connection), now + REQUEST_WITHIN);
+            driver.set_timer(Timer::Connection(connection), now + REQUEST_TIMEOUT);
         }
     }
 }
--- a/node/src/ingress/mod.rs
+++ b/node/src/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! Those who come to this dispatcher: clients, runners with call-backs, operators.
+//! Connections that others open to this dispatcher: clients, runners with call-backs, and operators.
 
 pub mod clients;
 pub mod operations;
