--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -1,6 +1,6 @@
-//! The command line of the dispatcher on sockets.
+//! The command line of the dispatcher: its sub-commands and exit codes.
 //!
-//! It owns the sub-commands and the exit code. It must never serve by itself, nor swallow a fault.
+//! Every error is printed and ends the process with a failure code.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -16,60 +16,72 @@
 topazsail, a dispatcher that pushes jobs to runners
 
     topazsail serve [--config FILE]   serve until SIGTERM; SIGHUP reads the configuration again
-    topazsail check [--config FILE]   read the configuration and say what it holds
+    topazsail check [--config FILE]   read the configuration and print a summary
     topazsail migrate [--config FILE] --to FILE [--dry-run] [--dispatchers N] [--number N]
                       [--zones A,B] [--my-zone A]
-                                      write the configuration's counterpart for the new shape of deployment and
+                                      write the configuration for the new shape of deployment and
                                       list what could not be carried over; --dry-run only shows both
     topazsail store show --folder DIR [--json]
     topazsail store verify --folder DIR [--json]
-                                      what a dispatcher has kept, with each record or without; changes nothing, and
-                                      ends with 1 where something is spoilt
+                                      list what a dispatcher has stored, with each record (show) or without
+                                      (verify); changes nothing, and exits with 1 if something is damaged
     topazsail version
 
 Without --config the file is the one that RELAY_CONFIG names.
 ";
 
 fn run(open_disk: OpenDisk) -> Result<(), String> {
-    let mut words = pico_args::Arguments::from_env();
-    if words.contains(["-h", "--help"]) {
+    let mut arguments = pico_args::Arguments::from_env();
+    if arguments.contains(["-h", "--help"]) {
         print!("{HELP}");
         return Ok(());
     }
-    let command = words.subcommand().map_err(|error| error.to_string())?;
+    let command = arguments.subcommand().map_err(|error| error.to_string())?;
     if command.as_deref() == Some("store") {
-        return run_store(words);
+        return run_store(arguments);
     }
-    let path = words.opt_value_from_str("--config").map_err(|error| error.to_string())?;
+    let path = arguments.opt_value_from_str("--config").map_err(|error| error.to_string())?;
     if command.as_deref() == Some("migrate") {
-        return run_migrate(words, path);
+        return run_migrate(arguments, path);
     }
-    if let Some(more) = words.finish().first() {
-        return Err(format!("unexpected {more:?}; see --help"));
+    if let Some(unexpected) = arguments.finish().first() {
+        return Err(format!("unexpected argument {unexpected:?}; see --help"));
     }
     match command.as_deref() {
         Some("serve") => start::serve(&config::path(path)?, open_disk),
         Some("check") => {
-            let told = config::load(&config::path(path)?)?;
-            let operations = told.decoded.operations.join(", ");
-            println!("{} listens on {} and asks {}", told.name, told.listen, told.discovery);
-            match told.admin {
-                Some(address) => println!("operators call at {address}"),
-                None => println!("operators call nowhere: neither admin_addr nor RELAY_ADMIN_ADDR is set"),
+            let configuration = config::load(&config::path(path)?)?;
+            let operations = configuration.decoded.operations.join(", ");
+            println!(
+                "{} listens on {} and uses discovery at {}",
+                configuration.name, configuration.listen, configuration.discovery
+            );
+            match configuration.admin {
+                Some(address) => println!("operators' calls are accepted at {address}"),
+                None => println!(
+                    "operators' calls are not accepted: neither admin_addr nor RELAY_ADMIN_ADDR is set"
+                ),
             }
-            match &told.store {
+            match &configuration.store {
                 Some(store) => println!(
-                    "kept in {}; without it {}",
+                    "state is stored in {}; without the store {}",
                     store.folder.display(),
-                    if store.require { "there is no service" } else { "service goes on" }
+                    if store.require { "there is no service" } else { "service continues" }
                 ),
-                None => println!("nothing is kept over a restart: no store is set"),
+                None => println!("no state survives a restart: store is not set"),
             }
-            match &told.peers {
-                Some(peers) => println!("talks at {} to {} others", peers.listen, peers.members.len()),
-                None => println!("talks to no other dispatcher: no peers are set"),
+            match &configuration.peers {
+                Some(peers) => println!(
+                    "exchanges state with peers: listens on {}, {} peers",
+                    peers.listen,
+                    peers.members.len()
+                ),
+                None => println!("exchanges no state with other dispatchers: peers is not set"),
             }
-            println!("operations: {operations}; runners known: {}", told.initial_roster.entries().len());
+            println!(
+                "operations: {operations}; known runners: {}",
+                configuration.initial_roster.entries().len()
+            );
             Ok(())
         }
         Some("version") => {
@@ -81,60 +93,62 @@
     }
 }
 
-fn run_store(mut words: pico_args::Arguments) -> Result<(), String> {
-    let what = words.subcommand().map_err(|error| error.to_string())?;
-    let json = words.contains("--json");
-    let folder: Option<PathBuf> = words.opt_value_from_str("--folder").map_err(|error| error.to_string())?;
-    if let Some(more) = words.finish().first() {
-        return Err(format!("unexpected {more:?}; see --help"));
+fn run_store(mut arguments: pico_args::Arguments) -> Result<(), String> {
+    let command = arguments.subcommand().map_err(|error| error.to_string())?;
+    let json = arguments.contains("--json");
+    let folder: Option<PathBuf> =
+        arguments.opt_value_from_str("--folder").map_err(|error| error.to_string())?;
+    if let Some(unexpected) = arguments.finish().first() {
+        return Err(format!("unexpected argument {unexpected:?}; see --help"));
     }
-    let all = match what.as_deref() {
+    let all = match command.as_deref() {
         Some("show") => true,
         Some("verify") => false,
-        _ => return Err("store wants show or verify; see --help".to_owned()),
+        _ => return Err("store: expected show or verify; see --help".to_owned()),
     };
     let folder = folder.ok_or("--folder is missing; see --help")?;
     let report = report_store(&folder, all, json)?;
     print!("{}", report.text);
-    if report.well { Ok(()) } else { Err(format!("--folder {}: spoilt", folder.display())) }
+    if report.well { Ok(()) } else { Err(format!("--folder {}: the store is damaged", folder.display())) }
 }
 
-fn run_migrate(mut words: pico_args::Arguments, path: Option<String>) -> Result<(), String> {
-    let dry = words.contains("--dry-run");
-    let mut option =
-        |name: &'static str| words.opt_value_from_str::<_, String>(name).map_err(|error| error.to_string());
+fn run_migrate(mut arguments: pico_args::Arguments, path: Option<String>) -> Result<(), String> {
+    let dry_run = arguments.contains("--dry-run");
+    let mut option = |name: &'static str| {
+        arguments.opt_value_from_str::<_, String>(name).map_err(|error| error.to_string())
+    };
     let (to, zones, my_zone) = (option("--to")?, option("--zones")?, option("--my-zone")?);
-    let mut number = |name: &'static str| {
-        words.opt_value_from_str::<_, u32>(name).map_err(|error| format!("{name}: {error}"))
+    let mut number_option = |name: &'static str| {
+        arguments.opt_value_from_str::<_, u32>(name).map_err(|error| format!("{name}: {error}"))
     };
-    let (dispatchers, number) = (number("--dispatchers")?, number("--number")?);
-    if let Some(more) = words.finish().first() {
-        return Err(format!("unexpected {more:?}; see --help"));
+    let (dispatchers, number) = (number_option("--dispatchers")?, number_option("--number")?);
+    if let Some(unexpected) = arguments.finish().first() {
+        return Err(format!("unexpected argument {unexpected:?}; see --help"));
     }
     let to = to.ok_or("--to is missing; see --help")?;
     let zones = zones.iter().flat_map(|zones| zones.split(',')).map(str::to_owned).collect();
     let target = MigrationTarget { zones, my_zone, dispatchers, number };
     let migration = config::read(&config::path(path)?, |text| migrate::migrate(text, &target))?;
-    if dry {
+    if dry_run {
         print!("{}", migration.text);
     } else {
         migrate::write(&migration.text, &to)?;
     }
     migration.changed.iter().for_each(|line| eprintln!("changed: {line}"));
     migration.left.iter().for_each(|line| eprintln!("not carried over: {line}"));
-    eprintln!("{}", if dry { "nothing was written".to_owned() } else { format!("written: {to}") });
+    eprintln!("{}", if dry_run { "nothing was written".to_owned() } else { format!("written: {to}") });
     Ok(())
 }
 
-/// Runs the command that the process was started with; its exit code.
+/// Runs the command line of this process; returns its exit code.
 pub fn main() -> ExitCode {
     main_with_disk(|folder| Ok(Box::new(DirectoryDisk::new(folder))))
 }
 
-/// The same over another disk, for trials.
+/// [`main`] with another implementation of the disk, for tests.
 pub fn main_with_disk(open_disk: OpenDisk) -> ExitCode {
-    // A fault of our own is seen at once: where and why, and then the process ends with a code of its own.
-    std::panic::set_hook(Box::new(|fault| log!("panic", "{fault}")));
+    // A panic is logged at once with place and reason; the process then ends with an exit code of its own.
+    std::panic::set_hook(Box::new(|panic| log!("panic", "{panic}")));
     match run(open_disk) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/node/src/ingress/clients.rs
+++ b/node/src/ingress/clients.rs
@@ -115,7 +115,8 @@
     /// Each connection is closed after its next answer, except those of runners.
     is_closing: bool,
     /// Limits on the number of connections of all roles. Above the first, each new connection takes the place
-    /// of an idle client; above the second none is accepted. The rest is reserved for runners and the watch.
+    /// of an idle client if there is one; above the second none is accepted otherwise. The rest is reserved
+    /// for runners and the watch.
     limits: (usize, usize),
     /// Events that the owner has not processed yet.
     pub events: Vec<ClientEvent>,
--- a/node/src/ingress/operations.rs
+++ b/node/src/ingress/operations.rs
@@ -1,57 +1,62 @@
-//! Operations by name and number, over all settings that have held.
+//! Operations by name and number, across all settings since the start.
 //!
-//! It owns which number an operation has: one for each definition, never given to another. It does no I/O; it
-//! must never let an invocation that is under way change its operation.
+//! Assigns a number to each definition of an operation and never reuses it, so that an open invocation keeps
+//! its operation when the settings change. It does no I/O.
 
 use std::collections::BTreeMap;
 
 use topazsail::{Micros, Operation};
 
-/// Invocations of an operation that is no longer set may still be on their way.
-const LEAVES_WITHIN: Micros = 1_000_000;
+/// How long an operation that is no longer set is still accepted, in microseconds, as invocations of it may
+/// be in transit.
+const RETIREMENT_GRACE: Micros = 1_000_000;
 
+/// All operations that are or were set.
 #[derive(Default)]
 pub struct Operations {
-    /// In the order of their numbers.
-    all: Vec<(String, Operation)>,
+    /// All definitions, in the order of their numbers.
+    definitions: Vec<(String, Operation)>,
+    /// The numbers of the operations that are set, by name.
     set: BTreeMap<String, usize>,
-    /// Those that were set before, and until when they are still taken.
-    leaving: BTreeMap<String, (usize, Micros)>,
+    /// Operations that were set before, and until when they are still accepted.
+    retiring: BTreeMap<String, (usize, Micros)>,
 }
 
 impl Operations {
-    /// From now on these are set. Gives all that have ever been, in the order of their numbers, those that
-    /// are set marked as in use.
-    pub fn set(&mut self, told: Vec<(String, Operation)>, now: Micros) -> Vec<Operation> {
+    /// Replaces the operations that are set. Returns all definitions since the start, in the order of their
+    /// numbers; those that are set are marked as in use.
+    pub fn set(&mut self, operations: Vec<(String, Operation)>, now: Micros) -> Vec<Operation> {
         for (name, number) in std::mem::take(&mut self.set) {
-            self.all[number].1.in_use = false;
-            self.leaving.insert(name, (number, now + LEAVES_WITHIN));
+            self.definitions[number].1.in_use = false;
+            self.retiring.insert(name, (number, now + RETIREMENT_GRACE));
         }
-        for (name, operation) in told {
+        for (name, operation) in operations {
             let retired = Operation { in_use: false, ..operation.clone() };
-            let known = self.all.iter().position(|known| known.0 == name && known.1 == retired);
-            let number = known.unwrap_or(self.all.len());
+            let known = self.definitions.iter().position(|known| known.0 == name && known.1 == retired);
+            let number = known.unwrap_or(self.definitions.len());
             if known.is_none() {
-                self.all.push((name.clone(), operation));
+                self.definitions.push((name.clone(), operation));
             }
-            self.all[number].1.in_use = true;
-            self.leaving.remove(&name);
+            self.definitions[number].1.in_use = true;
+            self.retiring.remove(&name);
             self.set.insert(name, number);
         }
-        self.all.iter().map(|(_, operation)| operation.clone()).collect()
+        self.definitions.iter().map(|(_, operation)| operation.clone()).collect()
     }
 
-    /// The number under which an invocation is taken now.
+    /// The number of the operation under which an invocation is accepted now.
     pub fn number(&self, name: &str, now: Micros) -> Option<usize> {
-        let leaving = || self.leaving.get(name).filter(|(_, until)| now < *until).map(|(number, _)| *number);
-        self.set.get(name).copied().or_else(leaving)
+        let retiring =
+            || self.retiring.get(name).filter(|(_, until)| now < *until).map(|(number, _)| *number);
+        self.set.get(name).copied().or_else(retiring)
     }
 
+    /// The name of an operation, by its number.
     pub fn name(&self, number: usize) -> &str {
-        &self.all[number].0
+        &self.definitions[number].0
     }
 
-    /// Names of those that are set.
+    /// The names of the operations that are set.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.set.keys().map(String::as_str)
     }
--- a/node/src/ingress/operators.rs
+++ b/node/src/ingress/operators.rs
@@ -1,7 +1,7 @@
-//! Operators' calls: one line to a connection, one answer, then the end.
+//! Operators' calls: one line per connection, one answer, then the close.
 //!
-//! It owns who is calling and how long a call may take to come. It must never carry a call out by itself, nor
-//! keep anybody waiting for a caller that says nothing.
+//! Tracks the connections whose call is not yet complete, and their timeout. It does not carry out calls, and
+//! silent callers do not block others.
 
 use std::collections::BTreeSet;
 
@@ -10,25 +10,27 @@
 use crate::net::connection::{CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, Timer};
 use crate::net::log::log;
 
-/// A call must be whole by then; some callers send half of one and stay.
-const CALL_WITHIN: Micros = 5_000_000;
-const LINE_MOST: usize = 512;
-/// Callers that there may be at least, however few descriptors there are.
-const CALLERS_LEAST: usize = 16;
+/// Time to receive a complete call, in microseconds; some callers send half of one and keep the connection
+/// open.
+const CALL_TIMEOUT: Micros = 5_000_000;
+/// Maximum length of a call, in bytes.
+const MAX_LINE_BYTES: usize = 512;
+/// Minimum for the limit on incomplete calls, however few descriptors there are.
+const MIN_CALLERS: usize = 16;
 
+/// An operator's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
+    /// Whether this dispatcher serves.
     Status,
+    /// The metrics.
     Stats,
-    /// Take a runner out, or back in.
-    Maintain {
-        id: String,
-        out: bool,
-    },
+    /// Put a runner into maintenance, or end its maintenance.
+    Maintain { id: String, out: bool },
 }
 
-/// The call that a line makes, or why it is none.
-fn call(line: &str) -> Result<Call, &'static str> {
+/// Parses a call; the error says what was expected.
+fn parse_call(line: &str) -> Result<Call, &'static str> {
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
     match words.as_slice() {
         ["status"] => Ok(Call::Status),
@@ -41,40 +43,47 @@
     }
 }
 
+/// The connections of operators.
 #[derive(Default)]
 pub struct Operators {
-    /// Those who have not yet made a whole call.
-    calling: BTreeSet<ConnectionId>,
-    most: usize,
+    /// Connections whose call is not yet complete, the oldest first.
+    waiting: BTreeSet<ConnectionId>,
+    /// Limit on these connections.
+    max_waiting: usize,
+    /// Calls that the owner has not processed yet.
     pub events: Vec<(ConnectionId, Call)>,
 }
 
 impl Operators {
+    /// Sets the limit on incomplete calls for a process that may have this many sockets.
     pub fn set_limits(&mut self, sockets: usize) {
-        self.most = (sockets / 16).max(CALLERS_LEAST);
+        self.max_waiting = (sockets / 16).max(MIN_CALLERS);
     }
 
-    /// Sees that one more can be let in: whoever has been here longest without a whole call goes.
+    /// Makes room for one more connection by closing the ones that have waited longest without a complete
+    /// call.
     pub fn make_room(&mut self, driver: &mut dyn ConnectionDriver) {
-        while self.calling.len() >= self.most {
-            let Some(connection) = self.calling.pop_first() else { return };
+        while self.waiting.len() >= self.max_waiting {
+            let Some(connection) = self.waiting.pop_first() else { return };
             driver.abort(connection, CloseReason::MadeRoom);
         }
     }
 
+    /// Adds a connection that has been accepted.
     pub fn accepted(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
-        self.calling.insert(connection);
-        driver.set_timer(Timer::Connection(connection), driver.now() + CALL_WITHIN);
+        self.waiting.insert(connection);
+        driver.set_timer(Timer::Connection(connection), driver.now() + CALL_TIMEOUT);
     }
 
+    /// Sends the answer to a call, and closes the connection.
     pub fn answer(&mut self, connection: ConnectionId, text: &str, driver: &mut dyn ConnectionDriver) {
         driver.send(connection, text.as_bytes());
         driver.finish(connection, CloseReason::AnsweredLast);
     }
 
-    fn refuse(&mut self, connection: ConnectionId, why: &str, driver: &mut dyn ConnectionDriver) {
-        log!("bad-call", "link={connection} reason={why:?}");
-        self.answer(connection, &format!("NO {why}\n"), driver);
+    fn refuse(&mut self, connection: ConnectionId, reason: &str, driver: &mut dyn ConnectionDriver) {
+        log!("bad-call", "link={connection} reason={reason:?}");
+        self.answer(connection, &format!("NO {reason}\n"), driver);
     }
 }
 
@@ -82,24 +91,24 @@
     fn up(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 
     fn bytes(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
-        if !self.calling.contains(&connection) {
+        if !self.waiting.contains(&connection) {
             return input.clear();
         }
         let end = input.iter().position(|byte| *byte == b'\n');
-        if end.is_none() && input.len() <= LINE_MOST {
+        if end.is_none() && input.len() <= MAX_LINE_BYTES {
             return;
         }
-        self.calling.remove(&connection);
-        let line = end.filter(|end| *end <= LINE_MOST).map(|end| std::str::from_utf8(&input[..end]));
+        self.waiting.remove(&connection);
+        let line = end.filter(|end| *end <= MAX_LINE_BYTES).map(|end| std::str::from_utf8(&input[..end]));
         let call = match line {
-            Some(Ok(line)) => call(line),
+            Some(Ok(line)) => parse_call(line),
             Some(Err(_)) => Err("no text"),
             None => Err("the line is too long"),
         };
         input.clear();
         match call {
             Ok(call) => self.events.push((connection, call)),
-            Err(why) => self.refuse(connection, why, driver),
+            Err(reason) => self.refuse(connection, reason, driver),
         }
     }
 
@@ -111,11 +120,11 @@
         _: &[u8],
         _: &mut dyn ConnectionDriver,
     ) {
-        self.calling.remove(&connection);
+        self.waiting.remove(&connection);
     }
 
     fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
-        if self.calling.remove(&connection) {
+        if self.waiting.remove(&connection) {
             driver.abort(connection, CloseReason::SlowRequest);
         }
     }
