--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,7 +1,7 @@
-//! What a dispatcher is told at its start and again on SIGHUP: the file that `RELAY_CONFIG` names, decoded
-//! once each time.
+//! The configuration file that `RELAY_CONFIG` names, read at the start and again on SIGHUP.
 //!
-//! It owns the form of that file. It must never guess at what is missing: a fault names its field.
+//! Defines the format of that file. Missing values that are required are not guessed: an error names the
+//! field.
 
 use std::env;
 use std::fmt;
@@ -17,80 +17,96 @@
 use crate::net::errno;
 use crate::upstream::roster::RosterSnapshot;
 
-/// Other dispatchers that there may be.
-const PEERS_MOST: usize = 4_096;
+/// Maximum number of other dispatchers.
+const MAX_PEERS: usize = 4_096;
 
+/// A decoded configuration file.
 #[derive(Debug)]
 pub struct Configuration {
+    /// The name of this dispatcher.
     pub name: String,
+    /// The address for clients and for call-backs of runners.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The address for operators' calls, if they are accepted.
     pub admin: Option<SocketAddr>,
+    /// The address of service discovery.
     pub discovery: SocketAddr,
+    /// The seed of the random numbers.
     pub seed: u64,
+    /// The memory limit of this process.
     pub memory_bytes: usize,
+    /// The limit on sockets of this process.
     pub max_sockets: usize,
-    /// Where to keep what outlives the process, if anything is to.
+    /// Where state is stored across restarts, if it is.
     pub store: Option<StoreConfiguration>,
-    /// The other dispatchers, where they may talk.
+    /// The other dispatchers, if this one exchanges state with them.
     pub peers: Option<PeersConfiguration>,
-    /// The whole file, by which a key that is gone is known.
+    /// The whole file, to detect keys that a later version of it lacks.
     pub file: Value,
+    /// The settings in the file.
     pub decoded: DecodedSettings,
-    /// The list of runners as this dispatcher last had it.
+    /// The roster as the file remembers it.
     pub initial_roster: RosterSnapshot,
 }
 
+/// Where state is stored across restarts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreConfiguration {
+    /// The directory of the store.
     pub folder: PathBuf,
-    /// Without it there is no service.
+    /// Whether the dispatcher refuses to serve without the store.
     pub require: bool,
 }
 
+/// The exchange of state with other dispatchers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeersConfiguration {
+    /// The address on which packets of other dispatchers are received.
     pub listen: SocketAddr,
+    /// The other dispatchers.
     pub members: Vec<Member>,
 }
 
-/// The file named on the command line, or else in the environment.
-pub fn path(named: Option<String>) -> Result<String, String> {
-    named
+/// The path of the configuration file: from the command line, or else from the environment.
+pub fn path(argument: Option<String>) -> Result<String, String> {
+    argument
         .or_else(|| env::var("RELAY_CONFIG").ok())
         .ok_or_else(|| "no configuration: RELAY_CONFIG is not set and no file is named".to_owned())
 }
 
-/// Names where operators call, before the file does: of two processes by one file each has its own.
-const ADMIN: &str = "RELAY_ADMIN_ADDR";
+/// Overrides the file's address for operators' calls, so that two processes with the same file can each have
+/// their own.
+const ADMIN_ENV: &str = "RELAY_ADMIN_ADDR";
 
-/// Where clients connect, as far as that is known without the file.
+/// The address for clients, if it is known without the file.
 pub fn listen() -> Option<SocketAddr> {
     env::var("RELAY_LISTEN").ok()?.parse().ok()
 }
 
-/// What a dispatcher cannot do without.
-const SOCKETS_LEAST: usize = 16;
-/// Descriptors that are no connections: standard ones, the poller's, signals, listeners, a store.
-const OTHERS: usize = 24;
+/// The number of sockets below which a dispatcher cannot work.
+const MIN_SOCKETS: usize = 16;
+/// Descriptors that are not connections: standard streams, poller, signals, listeners, a store.
+const RESERVED_DESCRIPTORS: usize = 24;
 
-/// Connections that this process may have, by the limit that it was started with.
-fn descriptors() -> usize {
+/// The number of connections that this process's limit on descriptors allows.
+fn descriptor_limit() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX).saturating_sub(OTHERS))
+    limit.map_or(usize::MAX, |limit| {
+        usize::try_from(limit).unwrap_or(usize::MAX).saturating_sub(RESERVED_DESCRIPTORS)
+    })
 }
 
-/// Why a configuration cannot be used; the file, and the field where one is at fault.
+/// Why a configuration cannot be used: names the file, and the field if one is wrong.
 #[derive(Debug)]
 pub enum LoadError {
     /// The file cannot be read.
     Unreadable { path: String, error: io::Error },
-    /// What it holds, or what the environment adds, is no configuration.
+    /// The content of the file or the environment is not a valid configuration.
     Bad(String),
 }
 
 impl LoadError {
-    /// Whether the host failed to read the file for a reason that may pass by itself.
+    /// Whether the file could not be read for a reason that may go away by itself.
     pub fn is_transient(&self) -> bool {
         match self {
             LoadError::Unreadable { error, .. } => errno::file(error).passes(),
@@ -103,7 +119,7 @@
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
             LoadError::Unreadable { path, error } => write!(to, "configuration {path}: {error}"),
-            LoadError::Bad(fault) => to.write_str(fault),
+            LoadError::Bad(error) => to.write_str(error),
         }
     }
 }
@@ -116,29 +132,33 @@
     }
 }
 
+/// Reads and decodes a configuration file, and applies the environment.
 pub fn load(path: &str) -> Result<Configuration, LoadError> {
-    with_admin(read(path, decode)?).map_err(LoadError::Bad)
+    with_admin_address(read(path, decode)?).map_err(LoadError::Bad)
 }
 
-/// The configuration that another process of this dispatcher goes by.
+/// Decodes the configuration text that another process of this dispatcher has in force, and applies the
+/// environment.
 pub fn in_force(text: &str) -> Result<Configuration, String> {
-    with_admin(decode(text)?)
+    with_admin_address(decode(text)?)
 }
 
-fn with_admin(mut told: Configuration) -> Result<Configuration, String> {
-    if let Some(text) = env::var(ADMIN).ok().filter(|text| !text.is_empty()) {
-        told.admin = Some(text.parse().map_err(|_| format!("{ADMIN} has the bad address '{text}'"))?);
+fn with_admin_address(mut configuration: Configuration) -> Result<Configuration, String> {
+    if let Some(text) = env::var(ADMIN_ENV).ok().filter(|text| !text.is_empty()) {
+        configuration.admin =
+            Some(text.parse().map_err(|_| format!("{ADMIN_ENV} has the bad address '{text}'"))?);
     }
-    Ok(told)
+    Ok(configuration)
 }
 
-/// What is made of a file's text; a fault names the file.
-pub fn read<T>(path: &str, make: impl FnOnce(&str) -> Result<T, String>) -> Result<T, LoadError> {
+/// Reads a file and parses its text with `parse`; an error names the file.
+pub fn read<T>(path: &str, parse: impl FnOnce(&str) -> Result<T, String>) -> Result<T, LoadError> {
     let unreadable = |error| LoadError::Unreadable { path: path.to_owned(), error };
     let text = fs::read_to_string(path).map_err(unreadable)?;
-    make(&text).map_err(|fault| LoadError::Bad(format!("configuration {path}: {fault}")))
+    parse(&text).map_err(|error| LoadError::Bad(format!("configuration {path}: {error}")))
 }
 
+/// Decodes a configuration; an error names the field and its value.
 pub fn decode(text: &str) -> Result<Configuration, String> {
     let json: Value = serde_json::from_str(text).map_err(|error| format!("no JSON: {error}"))?;
     let field = |name: &str| json.get(name).ok_or_else(|| format!("{name} is missing"));
@@ -157,12 +177,12 @@
         },
     };
     let seed = string("seed")?;
-    numbers(field("settings")?)?;
+    check_numbers(field("settings")?)?;
     let mut pairs = Vec::new();
     flatten("", field("settings")?, &mut pairs);
     let decoded =
         topazsail_settings::decode(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())))
-            .map_err(|fault| format!("settings: {fault}"))?;
+            .map_err(|error| format!("settings: {error}"))?;
     Ok(Configuration {
         name: string("name")?,
         listen: address("listen")?,
@@ -171,25 +191,25 @@
             Some(_) => Some(address("admin_addr")?),
         },
         discovery: address("discovery")?,
-        peers: peers_at(&json, &string("name")?)?,
-        store: store_at(json.get("store"))?,
+        peers: decode_peers(&json, &string("name")?)?,
+        store: decode_store(json.get("store"))?,
         seed: u64::from_str_radix(&seed, 16).map_err(|_| format!("seed has the bad value '{seed}'"))?,
         memory_bytes: (limit("memory_mb", 192)? as usize).saturating_mul(1 << 20),
-        max_sockets: (limit("sockets", 1024)? as usize).max(64).min(descriptors().max(SOCKETS_LEAST)),
+        max_sockets: (limit("sockets", 1024)? as usize).max(64).min(descriptor_limit().max(MIN_SOCKETS)),
         decoded,
         initial_roster: match json.get("known") {
             None | Some(Value::Null) => RosterSnapshot::default(),
             Some(known) => {
-                RosterSnapshot::from_value(known.clone()).map_err(|fault| format!("known: {fault}"))?
+                RosterSnapshot::from_value(known.clone()).map_err(|error| format!("known: {error}"))?
             }
         },
         file: json,
     })
 }
 
-fn store_at(told: Option<&Value>) -> Result<Option<StoreConfiguration>, String> {
-    let Some(told) = told.filter(|told| !told.is_null()) else { return Ok(None) };
-    let fields = told.as_object().ok_or_else(|| format!("store has the bad value {told}"))?;
+fn decode_store(store: Option<&Value>) -> Result<Option<StoreConfiguration>, String> {
+    let Some(store) = store.filter(|store| !store.is_null()) else { return Ok(None) };
+    let fields = store.as_object().ok_or_else(|| format!("store has the bad value {store}"))?;
     if let Some(unknown) = fields.keys().find(|key| !["folder", "require"].contains(&key.as_str())) {
         return Err(format!("store.{unknown} is unknown"));
     }
@@ -206,43 +226,43 @@
     Ok(Some(StoreConfiguration { folder, require }))
 }
 
-fn peers_at(json: &Value, own: &str) -> Result<Option<PeersConfiguration>, String> {
-    let Some(told) = json.get("peers").filter(|told| !told.is_null()) else { return Ok(None) };
-    let fields = told.as_object().ok_or_else(|| format!("peers has the bad value {told}"))?;
+fn decode_peers(json: &Value, own: &str) -> Result<Option<PeersConfiguration>, String> {
+    let Some(peers) = json.get("peers").filter(|peers| !peers.is_null()) else { return Ok(None) };
+    let fields = peers.as_object().ok_or_else(|| format!("peers has the bad value {peers}"))?;
     if let Some(unknown) = fields.keys().find(|key| !["listen", "members"].contains(&key.as_str())) {
         return Err(format!("peers.{unknown} is unknown"));
     }
     if json.get("store").is_none_or(Value::is_null) {
-        return Err("peers is set and store is missing: lives are numbered there".to_owned());
+        return Err("peers is set and store is missing: boot numbers are stored there".to_owned());
     }
     let address = |field: &str, value: Option<&Value>| {
         let value = value.ok_or_else(|| format!("peers.{field} is missing"))?;
-        let read = value.as_str().and_then(|text| text.parse::<SocketAddr>().ok());
-        read.ok_or_else(|| format!("peers.{field} has the bad address {value}"))
+        let parsed = value.as_str().and_then(|text| text.parse::<SocketAddr>().ok());
+        parsed.ok_or_else(|| format!("peers.{field} has the bad address {value}"))
     };
     let listen = address("listen", fields.get("listen"))?;
-    let told = fields.get("members").ok_or("peers.members is missing")?;
-    let told = told.as_array().filter(|told| !told.is_empty() && told.len() <= PEERS_MOST);
-    let told = told.ok_or_else(|| format!("peers.members must name 1 to {PEERS_MOST} others"))?;
+    let listed = fields.get("members").ok_or("peers.members is missing")?;
+    let listed = listed.as_array().filter(|listed| !listed.is_empty() && listed.len() <= MAX_PEERS);
+    let listed = listed.ok_or_else(|| format!("peers.members must name 1 to {MAX_PEERS} others"))?;
     let mut members: Vec<Member> = Vec::new();
-    for (nth, member) in told.iter().enumerate() {
+    for (nth, member) in listed.iter().enumerate() {
         let name = member.get("name").and_then(Value::as_str).filter(|name| !name.is_empty());
         let name = name.ok_or_else(|| format!("peers.members.{nth}.name is missing"))?;
-        let at = address(&format!("members.{nth}.address"), member.get("address"))?;
-        if name == own || at == listen {
+        let member_address = address(&format!("members.{nth}.address"), member.get("address"))?;
+        if name == own || member_address == listen {
             return Err(format!("peers.members.{nth} is this dispatcher itself"));
         }
-        if members.iter().any(|known| known.name == name || known.address == at) {
+        if members.iter().any(|known| known.name == name || known.address == member_address) {
             return Err(format!("peers.members.{nth} is named twice"));
         }
-        members.push(Member { name: name.to_owned(), address: at });
+        members.push(Member { name: name.to_owned(), address: member_address });
     }
     Ok(Some(PeersConfiguration { listen, members }))
 }
 
-/// Client timeouts and the number of forwards are numbers above 0 and nothing that only reads like one: what
-/// is wrong there is wrong for every invocation.
-fn numbers(settings: &Value) -> Result<(), String> {
+/// Checks that client timeouts and the maximum number of forwards are JSON numbers above 0. Strings that
+/// contain a number are refused, as an error there would affect every invocation.
+fn check_numbers(settings: &Value) -> Result<(), String> {
     let check = |path: String, value: Option<&Value>| match value {
         Some(value) if value.as_f64().is_some_and(|number| number > 0.0) => Ok(()),
         Some(value) => Err(format!("settings: {path} has the bad value {value}")),
@@ -255,18 +275,18 @@
     timeouts.enumerate().try_for_each(|(nth, value)| check(path(nth), value))
 }
 
-/// The first key that a file has and one that is to take its place lacks: half a file may still be readable,
-/// and what it does not say would silently become something else. Of a list, items must have what all had.
+/// The first key of a configuration that its replacement lacks. Half a file may still be valid JSON, and what
+/// its missing keys set would silently change. The items of a list must have the keys that all its items had.
 pub fn missing_key(before: &Value, now: &Value) -> Option<String> {
-    let within =
+    let join =
         |key: &str, rest: String| if rest.is_empty() { key.to_owned() } else { format!("{key}.{rest}") };
     match (before, now) {
         (Value::Null, _) => None,
         (_, Value::Null) => Some(String::new()),
         (Value::Object(before), _) => before.iter().find_map(|(key, value)| {
-            // Who is listed differs from time to time.
+            // The remembered roster changes all the time.
             let value = if key == "known" { &Value::Bool(true) } else { value };
-            missing_key(value, now.get(key).unwrap_or(&Value::Null)).map(|rest| within(key, rest))
+            missing_key(value, now.get(key).unwrap_or(&Value::Null)).map(|rest| join(key, rest))
         }),
         (Value::Array(before), Value::Array(now)) => {
             let first = before.first().and_then(Value::as_object)?;
@@ -281,30 +301,31 @@
     }
 }
 
-/// Nested JSON as the pairs that the decoder of settings takes.
+/// Flattens nested JSON to the pairs of path and value that the decoder of settings reads.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let path_of = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
         Value::Null => {}
         Value::Object(fields) => {
             for (name, value) in fields {
-                flatten(&below(name), value, pairs);
+                flatten(&path_of(name), value, pairs);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.push((below("count"), items.len().to_string()));
+            pairs.push((path_of("count"), items.len().to_string()));
             for (nth, item) in items.iter().enumerate() {
-                flatten(&below(&nth.to_string()), item, pairs);
+                flatten(&path_of(&nth.to_string()), item, pairs);
             }
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(plain).collect();
+            let items: Vec<String> = items.iter().map(unquoted).collect();
             pairs.push((path.to_owned(), items.join(",")));
         }
-        value => pairs.push((path.to_owned(), plain(value))),
+        value => pairs.push((path.to_owned(), unquoted(value))),
     }
 }
 
-fn plain(value: &Value) -> String {
+/// The text of a JSON value, of a string without its quotes.
+fn unquoted(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -99,8 +99,8 @@
                 Ok(instance) => instance.into_entry(),
                 Err(error) => Err(error.to_string()),
             };
-            parsed.or_else(|error| {
-                log!("bad-entry", "reason={error:?}");
+            parsed.or_else(|fault| {
+                log!("bad-entry", "reason={fault:?}");
                 Instance::salvage(&value).and_then(|instance| instance.into_entry().ok()).ok_or(())
             })
         };
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -342,26 +342,20 @@
     /// Cancels a forward. An unsent forward is withdrawn. Before its 202 its connection is closed, and the
     /// job is deleted all the same, as the 202 may be in transit. Until the runner confirms, the job may
     /// still run there, and another forward would be a second copy.
-    pub fn cancel(
-        &mut self,
-        runner_id: &Id,
-        invocation: &Id,
-        number: u32,
-        driver: &mut dyn ConnectionDriver,
-    ) {
-        if self.withdraw_unsent(runner_id, invocation, number, driver) {
+    pub fn cancel(&mut self, runner_id: &Id, inv: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
+        if self.withdraw_unsent(runner_id, inv, number, driver) {
             return;
         }
-        if let Some(connection) = self.connection_of(runner_id, invocation, number) {
+        if let Some(connection) = self.connection_of(runner_id, inv, number) {
             self.close(connection, CloseReason::GivenUp, driver);
         }
         // An unlisted runner may still run the job, and only be cut off from discovery.
         let Some(runner) = self.by_id.get(runner_id).filter(|_| self.may_cancel) else {
-            return self.events.push(RunnerEvent::NotCancelled { invocation: invocation.clone(), number });
+            return self.events.push(RunnerEvent::NotCancelled { invocation: inv.clone(), number });
         };
-        let message = encode_bare("DELETE", &format!("/jobs/{invocation}"), runner.address);
+        let message = encode_bare("DELETE", &format!("/jobs/{inv}"), runner.address);
         let deadline = driver.now() + CANCEL_TIMEOUT;
-        let task = Task::Cancel { invocation: invocation.clone(), number };
+        let task = Task::Cancel { invocation: inv.clone(), number };
         self.submit(runner_id, PendingTask { task, message, deadline, client_wait: None }, driver);
     }
 
