--- a/node/src/ingress/clients.rs
+++ b/node/src/ingress/clients.rs
@@ -41,6 +41,7 @@
     pub operation: usize,
     /// When the client gives up, less the time for the answer to reach it.
     pub expires_at: Micros,
+    /// How many of a runner's slots it takes; 1 if the client does not state it.
     pub slots: f64,
     /// Its work as time on a standard core, if the client states it.
     pub work_hint: Option<Micros>,
@@ -55,21 +56,31 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
+    /// The job has begun to run.
     Started,
+    /// The job has made progress.
     Running,
+    /// The job has succeeded.
     Done,
+    /// The job has ended with an error.
     Failed,
+    /// The runner has turned the job away because of overload.
     Returned,
+    /// The runner no longer has the job, which may have run in part.
     Lost,
 }
 
 /// A runner's report on a job.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct RunnerCallback {
+    /// The id of the invocation.
     pub id: String,
+    /// The id of the runner.
     pub from: String,
     pub state: JobState,
+    /// The answer for the client, if the job has succeeded.
     pub result: Option<String>,
+    /// The runner's load report, if it sends one.
     pub load: Option<serde_json::Value>,
 }
 
@@ -84,6 +95,7 @@
 }
 
 enum Phase {
+    /// Between requests.
     Idle,
     /// Part of a request has arrived.
     Reading,
@@ -290,7 +302,7 @@
     }
 
     /// Processes one complete request.
-    fn take(
+    fn process_request(
         &mut self,
         connection: ConnectionId,
         request: Request,
@@ -431,7 +443,7 @@
             let used = match http::request(input) {
                 Ok(None) if input.len() >= MESSAGE_MOST => Err(HttpError(413, "message_too_long")),
                 Ok(None) => return,
-                Ok(Some((request, used))) => self.take(connection, request, driver).map(|()| used),
+                Ok(Some((request, used))) => self.process_request(connection, request, driver).map(|()| used),
                 Err(error) => Err(error),
             };
             match used {
--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -51,6 +51,7 @@
 /// A roster or a change to it, as discovery sends it.
 #[derive(Debug, Default, Deserialize)]
 pub struct RosterSnapshot {
+    /// Discovery's version of the roster.
     pub generation: u64,
     /// Whether this is the whole roster and replaces what was known.
     #[serde(default)]
@@ -290,7 +291,7 @@
     last_contact: Option<Micros>,
     /// Discovery has closed the watch, and nothing has arrived since: it is down.
     is_down: bool,
-    /// When the first request was sent since something arrived last.
+    /// When the first request was sent after the last data arrived, if any was.
     failing_since: Option<Micros>,
     /// Events that the owner has not processed yet.
     pub events: Vec<RosterEvent>,
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -64,8 +64,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// The connection is not yet established.
     Dialling,
+    /// Established, without a task.
     Idle,
+    /// Its task has been sent and awaits the answer.
     Busy,
 }
 
