--- a/node/src/lifecycle/start.rs
+++ b/node/src/lifecycle/start.rs
@@ -178,7 +178,7 @@
 ///
 /// The configuration cannot be used, and no process has handed one over.
 fn load_and_inherit(path: &str) -> Result<(config::Configuration, Option<handover::Inherited>), String> {
-    let configuration = retry_while(LoadError::passes, || config::load(path));
+    let configuration = retry_while(LoadError::is_transient, || config::load(path));
     let listen = configuration.as_ref().map_or_else(|_| config::listen(), |loaded| Some(loaded.listen));
     let inherited = listen.and_then(handover::socket_path).and_then(|path| handover::request_handover(&path));
     let inherited = inherited.filter(|other| other.listener.local_addr().ok() == listen);
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -283,7 +283,7 @@
     fn read_configuration(&mut self, table: &mut RequestTable, path: &str) {
         match config::load(path) {
             Ok(configuration) => table.reload(configuration, self),
-            Err(error) if error.passes() && self.now < self.reload_deadline => {
+            Err(error) if error.is_transient() && self.now < self.reload_deadline => {
                 log!("configuration-delayed", "reason={:?}", error.to_string());
                 self.set_timer(Timer::Reload, self.now + RELOAD_RETRY_INTERVAL);
             }
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -21,7 +21,7 @@
 use topazsail_settings::DecodedSettings;
 
 use crate::config::{self, Configuration};
-use crate::ingress::clients::{self, Clients, Invocation, RunnerCallback, State};
+use crate::ingress::clients::{self, Clients, Invocation, JobState, RunnerCallback};
 use crate::ingress::operators::{Call, Operators};
 use crate::lifecycle::handover::{HandoverMessage, HandoverPeer, HandoverState};
 use crate::lifecycle::store_thread::StoreThread;
@@ -29,7 +29,7 @@
 use crate::net::connection::{ConnectionDriver, ConnectionHandler, ConnectionId, ConnectionRole, Timer};
 use crate::net::http::HttpError;
 use crate::net::log::log;
-use crate::upstream::membership::{Membership, TOLD_WITHIN};
+use crate::upstream::membership::{Membership, ROSTER_LEASE_TIMEOUT};
 use crate::upstream::roster::{self, Roster, RosterSnapshot};
 use crate::upstream::runners::{self, Runners};
 
@@ -248,7 +248,7 @@
             metrics,
             runners: Runners::new(&decoded),
             membership: Membership::new(warm_up_span),
-            roster: Roster::new(configuration.discovery, configuration.known.generation, is_pushed),
+            roster: Roster::new(configuration.discovery, configuration.initial_roster.generation, is_pushed),
             policy: RoutingPolicy::new(decoded.settings, configuration.seed),
             name: configuration.name,
             listen: configuration.listen,
@@ -266,7 +266,7 @@
             longest_client_timeout: decoded.longest_timeout,
             handover_peer: HandoverPeer::default(),
             overlap: None,
-            resource_limits: (configuration.sockets, configuration.memory),
+            resource_limits: (configuration.max_sockets, configuration.memory_bytes),
             max_connections: 0,
             predecessor_connections: 0,
             dispatcher_count,
@@ -277,10 +277,10 @@
             peer_exchange,
         };
         table.apply_resource_limits();
-        driver.set_timer(Timer::Lease, started_at + TOLD_WITHIN);
+        driver.set_timer(Timer::Lease, started_at + ROSTER_LEASE_TIMEOUT);
         if inherited.is_none() && store_thread.is_none() {
             table.is_starting = true;
-            table.clients.ready(false);
+            table.clients.set_ready(false);
             driver.set_timer(Timer::ReadinessTimeout, started_at + READY_TIMEOUT);
         }
         let persistence = |store_thread, file| {
@@ -289,20 +289,20 @@
         if inherited.is_none()
             && let Some(store_thread) = store_thread
         {
-            table.persistence = Some(persistence(store_thread, Some(configuration.known)));
+            table.persistence = Some(persistence(store_thread, Some(configuration.initial_roster)));
             table.begin_recovery(driver);
             return table;
         }
         // The state handed over by a running process is more recent than what is on the disk.
         table.persistence = store_thread.map(|store_thread| persistence(store_thread, None).in_service());
         let (known, slow_start_usage) = match inherited {
-            Some(inherited) => table.inherit(inherited, configuration.known, started_at),
-            None => (configuration.known, Vec::new()),
+            Some(inherited) => table.inherit(inherited, configuration.initial_roster, started_at),
+            None => (configuration.initial_roster, Vec::new()),
         };
         table.apply_listing(
             roster::RosterEvent {
                 listing: Listing::Remembered,
-                heard_before: None,
+                previous_contact: None,
                 entries: known.entries(),
             },
             driver,
@@ -340,9 +340,9 @@
             Some(Ok(roster)) => {
                 // A predecessor that does not send it still has its roster from the watch.
                 let certain_until = if inherited.sure_at > 0 { inherited.sure_at } else { now };
-                self.roster.begin(roster.generation, certain_until);
+                self.roster.resume_from(roster.generation, certain_until);
                 // The lease is held from the start, and no runner is listed yet whose state it could change.
-                let _ = self.membership.sure(certain_until, now);
+                let _ = self.membership.update_lease(certain_until, now);
                 (roster, slow_start_usage)
             }
             _ => (known, slow_start_usage),
@@ -376,11 +376,11 @@
         let state = HandoverState {
             discovery: discovery.to_string(),
             roster: self.current_roster().map(|(_, list)| list).unwrap_or_default(),
-            sure_at: self.roster.sure_at(),
+            sure_at: self.roster.certain_until(),
             connections: driver.connection_count(),
-            gone: self.membership.gone(),
-            out: self.membership.out(),
-            was_out: self.membership.was_out(),
+            gone: self.membership.unlisted_ids(),
+            out: self.membership.runners_in_maintenance(),
+            was_out: self.membership.past_maintenance(),
             ids: self.closed_ids.0.iter().chain(self.invocations.keys()).map(|id| id.to_string()).collect(),
             configuration: self.active_file.to_string(),
             slow_start_usage: slow_start_usage.into_iter().map(|(id, work)| (id.to_string(), work)).collect(),
@@ -390,7 +390,7 @@
         self.handover_peer.attach(connection);
         self.handover_peer.send(&state, driver);
         self.overlap = Some(Overlap::Successor);
-        self.clients.hand_over(true);
+        self.clients.set_handed_over(true);
         self.apply_resource_limits();
         self.pause_cold_runners(Micros::MAX, driver);
     }
@@ -398,9 +398,9 @@
     /// The roster in discovery's format, and the generation that it reflects.
     fn current_roster(&self) -> Option<(u64, serde_json::Value)> {
         let generation = self.roster.generation()?;
-        let entries = self.membership.as_listed();
+        let entries = self.membership.listed_entries();
         let entries = entries.filter_map(|entry| Some((entry, self.runners.address(&entry.runner)?)));
-        Some((generation, RosterSnapshot::of(generation, entries)))
+        Some((generation, RosterSnapshot::to_json(generation, entries)))
     }
 
     /// Whether this process accepts new connections, and not its successor.
@@ -410,7 +410,7 @@
 
     /// Keeps cold runners out of use until `until`.
     fn pause_cold_runners(&mut self, until: Micros, driver: &mut dyn ConnectionDriver) {
-        let entries = self.membership.rest(until, Micros::MAX, driver.now());
+        let entries = self.membership.pause_cold_runners(until, Micros::MAX, driver.now());
         self.pending_events.push(Event::Roster(RosterUpdate { listing: Listing::Local, entries }));
     }
 
@@ -422,7 +422,7 @@
         self.apply_resource_limits();
         if previous == Some(Overlap::Successor) {
             self.release_store(self.shutdown_since.is_some());
-            self.clients.hand_over(self.shutdown_since.is_some());
+            self.clients.set_handed_over(self.shutdown_since.is_some());
             self.pause_cold_runners(driver.now() + self.overload_window, driver);
             driver.set_timer(Timer::ColdRunnerPause, driver.now() + self.overload_window);
         }
@@ -442,8 +442,8 @@
             ),
         };
         self.max_connections = sockets - sockets / 8;
-        self.clients.limit(sockets);
-        self.operators.limit(sockets);
+        self.clients.set_limits(sockets);
+        self.operators.set_limits(sockets);
         self.max_held_bytes = memory / 6;
     }
 
@@ -451,7 +451,7 @@
     /// roster in the file is older than the watch, and the seed is for a new process only, so both are
     /// ignored. A file that lacks a key of the previous one is rejected.
     pub fn reload(&mut self, configuration: Configuration, driver: &mut dyn ConnectionDriver) {
-        if let Some(key) = config::lacks(&self.active_file, &configuration.file) {
+        if let Some(key) = config::missing_key(&self.active_file, &configuration.file) {
             return self.reject_configuration(&format!("{key} is missing"));
         }
         let not_applied = [
@@ -471,7 +471,7 @@
             "discovery={} retuned={settings_changed} changed_but_kept={not_applied}",
             configuration.discovery
         );
-        self.resource_limits = (configuration.sockets, configuration.memory);
+        self.resource_limits = (configuration.max_sockets, configuration.memory_bytes);
         self.apply_resource_limits();
         self.active_file = configuration.file;
         self.store_settings();
@@ -480,13 +480,13 @@
         if settings_changed {
             self.change_settings(configuration.decoded, driver);
         }
-        self.roster.move_to(configuration.discovery, driver);
+        self.roster.set_discovery(configuration.discovery, driver);
         self.collect_events(driver);
     }
 
     /// Applies new settings to all parts of the node and to the routing policy.
     fn change_settings(&mut self, mut decoded: DecodedSettings, driver: &mut dyn ConnectionDriver) {
-        self.roster.pushed(!decoded.settings.must_subscribe);
+        self.roster.set_pushed(!decoded.settings.must_subscribe);
         let slow_start_is_shared = self.peer_exchange.is_some();
         adapt_settings(
             &mut decoded,
@@ -497,8 +497,8 @@
         );
         let names: Vec<&str> = self.clients.operations.names().collect();
         log!("retuned", "operations={} forwards={}", names.join(","), decoded.settings.max_forwards);
-        self.runners.retune(&decoded);
-        self.membership.warm_within(decoded.settings.warm_up_span);
+        self.runners.apply_settings(&decoded);
+        self.membership.set_warm_up_span(decoded.settings.warm_up_span);
         (self.overload_retry_after, self.max_retry_after) =
             (overload_retry_after(&decoded), decoded.settings.max_retry_after);
         (self.cold_capacity_share, self.operation_values) =
@@ -526,7 +526,7 @@
                 self.operators.make_room(driver);
                 true
             }
-            _ => self.clients.room(driver),
+            _ => self.clients.ensure_room(driver),
         }
     }
 
@@ -561,9 +561,14 @@
             return;
         }
         let now = driver.now();
-        log!("going-down", "open={} runner_connections={}", self.invocations.len(), self.runners.open());
+        log!(
+            "going-down",
+            "open={} runner_connections={}",
+            self.invocations.len(),
+            self.runners.open_connections()
+        );
         self.shutdown_since = Some(now);
-        self.clients.ready(false);
+        self.clients.set_ready(false);
         driver.set_timer(Timer::Shutdown, now + self.shutdown_spans().0);
     }
 
@@ -586,11 +591,12 @@
     /// Whether the shutdown is complete: nothing unanswered, no client connections, no cancels under way.
     pub fn is_shutdown_complete(&self, now: Micros) -> bool {
         let Some(since) = self.shutdown_since else { return false };
-        let clients_remain = self.clients.remain();
+        let clients_remain = self.clients.has_clients();
         let (client_span, answer_span) = self.shutdown_spans();
         // Cancels are waited for no longer than answers; clients may use their connections until the process
         // is killed.
-        let is_cancelling = self.runners.cancelling() && now < since + answer_span + 2 * FINAL_ANSWER_TIMEOUT;
+        let is_cancelling =
+            self.runners.has_pending_cancels() && now < since + answer_span + 2 * FINAL_ANSWER_TIMEOUT;
         !self.has_unanswered() && !clients_remain && !is_cancelling && now >= since + client_span
     }
 
@@ -620,8 +626,8 @@
             Timer::ReadinessTimeout => self.finish_starting(),
             Timer::Lease => {
                 self.update_lease(driver);
-                let at =
-                    (self.roster.sure_at() + TOLD_WITHIN).max(driver.now() + LAPSED_LEASE_CHECK_INTERVAL);
+                let at = (self.roster.certain_until() + ROSTER_LEASE_TIMEOUT)
+                    .max(driver.now() + LAPSED_LEASE_CHECK_INTERVAL);
                 driver.set_timer(Timer::Lease, at);
             }
             Timer::RecoveryStage => self.recovery_timer_fired(driver),
@@ -644,7 +650,7 @@
         if now < since + client_span {
             return driver.set_timer(Timer::Shutdown, since + client_span);
         }
-        self.clients.let_go(driver);
+        self.clients.drain(driver);
         if now < since + answer_span {
             return driver
                 .set_timer(Timer::Shutdown, (now + SHUTDOWN_STEP_INTERVAL).min(since + answer_span));
@@ -747,7 +753,7 @@
     fn cancel(&mut self, invocation: &Id, number: u32, driver: &mut dyn ConnectionDriver) {
         let forward = self.invocations.get(invocation).and_then(|open| open.forwards.get(number as usize));
         if let Some(forward) = forward.filter(|forward| forward.is_outstanding) {
-            self.runners.give_up(&forward.runner, invocation, number, driver);
+            self.runners.cancel(&forward.runner, invocation, number, driver);
         }
     }
 
@@ -788,7 +794,7 @@
             None => drop(self.invocations.remove(invocation)),
             Some(number) => {
                 let runner = open.forwards[number as usize].runner.clone();
-                self.runners.hold_back(&runner, invocation, number, driver);
+                self.runners.withdraw_unsent(&runner, invocation, number, driver);
             }
         }
         self.remember_closed_id(invocation.clone());
@@ -866,11 +872,11 @@
         let Some(number) = open.outstanding_forward() else { return };
         let runner = open.forwards[number as usize].runner.clone();
         // A forward that was not sent cannot have run, and does not count as timed out.
-        let was_held_back = self.runners.hold_back(&runner, invocation, number, driver);
+        let was_held_back = self.runners.withdraw_unsent(&runner, invocation, number, driver);
         let result = if was_held_back { ForwardResult::Void } else { ForwardResult::TimedOut };
         self.end_forward(invocation, number, result, Vec::new(), driver.now());
         if !was_held_back {
-            self.runners.give_up(&runner, invocation, number, driver);
+            self.runners.cancel(&runner, invocation, number, driver);
         }
     }
 
@@ -883,20 +889,22 @@
     /// Turns everything received since the last call into events.
     pub fn collect_events(&mut self, driver: &mut dyn ConnectionDriver) {
         self.collect_store_events(driver);
-        for event in std::mem::take(&mut self.roster.heard) {
+        for event in std::mem::take(&mut self.roster.events) {
             self.apply_listing(event, driver);
         }
         self.update_lease(driver);
-        for (connection, call) in std::mem::take(&mut self.operators.heard) {
+        for (connection, call) in std::mem::take(&mut self.operators.events) {
             self.handle_operator_call(connection, call, driver);
         }
-        for event in std::mem::take(&mut self.clients.heard) {
+        for event in std::mem::take(&mut self.clients.events) {
             match event {
                 clients::ClientEvent::Invocation(invocation) => self.accept_invocation(invocation, driver),
                 clients::ClientEvent::RunnerCallback(callback, hash) => {
                     self.handle_callback(callback, hash, true, driver)
                 }
-                clients::ClientEvent::Gone(connection, id) => self.handle_client_left(connection, id, driver),
+                clients::ClientEvent::Disconnected(connection, id) => {
+                    self.handle_client_left(connection, id, driver)
+                }
             }
         }
         for message in std::mem::take(&mut self.handover_peer.incoming) {
@@ -917,31 +925,31 @@
         if std::mem::take(&mut self.handover_peer.ended) {
             self.end_overlap(driver);
         }
-        for event in std::mem::take(&mut self.runners.heard) {
+        for event in std::mem::take(&mut self.runners.events) {
             match event {
-                runners::RunnerEvent::Taken { inv: invocation, number } => {
+                runners::RunnerEvent::Accepted { invocation, number } => {
                     if let Some(forward) = self.forward_mut(&invocation, number) {
                         forward.is_accepted = true;
                     }
                 }
-                runners::RunnerEvent::Ended { inv: invocation, number, ending: result, report } => {
+                runners::RunnerEvent::Ended { invocation, number, result, report } => {
                     self.end_forward(&invocation, number, result, report, driver.now());
                 }
-                runners::RunnerEvent::Unwanted { inv: invocation, number } => {
+                runners::RunnerEvent::ClientLeft { invocation, number } => {
                     if let Some(connection) = self.invocations.get(&invocation).map(|open| open.connection) {
                         self.handle_client_left(connection, invocation.clone(), driver);
                     }
                     self.end_forward(&invocation, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
-                runners::RunnerEvent::Unusable { inv: invocation, number } => {
+                runners::RunnerEvent::Unusable { invocation, number } => {
                     // No runner would accept the request, and the rejection is no failure of this one.
                     self.answer(&invocation, STATUS_BAD_REQUEST, None, b"", driver);
                     self.end_forward(&invocation, number, ForwardResult::Void, Vec::new(), driver.now());
                 }
-                runners::RunnerEvent::Dropped { inv: invocation, number } => {
+                runners::RunnerEvent::Cancelled { invocation, number } => {
                     self.end_forward(&invocation, number, ForwardResult::Withdrawn, Vec::new(), driver.now());
                 }
-                runners::RunnerEvent::NotDropped { inv: invocation, number } => {
+                runners::RunnerEvent::NotCancelled { invocation, number } => {
                     if let Some(forward) =
                         self.forward_mut(&invocation, number).filter(|forward| forward.is_outstanding)
                     {
@@ -952,7 +960,7 @@
                         driver.set_timer(Timer::Cancel(invocation, number), driver.now() + after);
                     }
                 }
-                runners::RunnerEvent::Probed { tgt: runner, alive, report } => {
+                runners::RunnerEvent::Probed { runner, alive, report } => {
                     self.pending_events.push(Event::ProbeEnded { runner, alive, report });
                 }
             }
@@ -982,7 +990,7 @@
                     in_progress: self.invocations.values().filter(|open| !open.is_answered).count(),
                     known_runners,
                     skipped_runners: self.policy.ejected_runners(driver.now()) + out,
-                    forwards_written: self.runners.written(),
+                    forwards_written: self.runners.forwards_written(),
                 };
                 let stored = self.persistence.as_ref().map(Persistence::metrics).unwrap_or_default();
                 let peers = self.peer_exchange.as_ref().map(PeerExchange::metrics).unwrap_or_default();
@@ -1027,12 +1035,12 @@
         out: bool,
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), &'static str> {
-        let change = self.membership.by_hand(id, out, driver.now());
+        let change = self.membership.set_maintenance(id, out, driver.now());
         let code = if out { "maint-on" } else { "maint-off" };
         log!(code, "runner={id:?} answer={}", change.as_ref().err().unwrap_or(&"yes"));
         let Some(entry) = change? else { return Ok(()) };
         if out {
-            self.runners.recall(&entry.runner, driver);
+            self.runners.stop_sending(&entry.runner, driver);
         }
         self.pending_events
             .push(Event::Roster(RosterUpdate { listing: Listing::Local, entries: vec![entry] }));
@@ -1043,18 +1051,18 @@
     /// nothing is sent to a runner whose drain counts as notified but was missed: discovery was reachable,
     /// and its changes did not arrive for as long as the lease lasts.
     fn update_lease(&mut self, driver: &mut dyn ConnectionDriver) {
-        let (certain_until, now) = (self.roster.sure_at(), driver.now());
-        let Some(entries) = self.membership.sure(certain_until, now) else { return };
+        let (certain_until, now) = (self.roster.certain_until(), driver.now());
+        let Some(entries) = self.membership.update_lease(certain_until, now) else { return };
         // Either the roster is confirmed, or discovery cannot be reached.
         self.finish_starting();
         log!(
             "lease",
             "state={} unsure_ms={}",
-            if self.membership.lapsed() { "lapsed" } else { "renewed" },
+            if self.membership.lease_has_lapsed() { "lapsed" } else { "renewed" },
             (now - certain_until) / 1000
         );
-        if self.membership.lapsed() {
-            self.runners.recall_all_waiting(driver);
+        if self.membership.lease_has_lapsed() {
+            self.runners.drop_all_pending(driver);
         }
         self.pending_events.push(Event::Roster(RosterUpdate { listing: Listing::Local, entries }));
     }
@@ -1062,8 +1070,8 @@
     /// Reports this process ready if it was still starting.
     fn finish_starting(&mut self) {
         if std::mem::take(&mut self.is_starting) {
-            log!("ready", "lease={}", if self.membership.lapsed() { "none" } else { "held" });
-            self.clients.ready(self.shutdown_since.is_none());
+            log!("ready", "lease={}", if self.membership.lease_has_lapsed() { "none" } else { "held" });
+            self.clients.set_ready(self.shutdown_since.is_none());
         }
     }
 
@@ -1071,20 +1079,20 @@
     fn apply_listing(&mut self, event: roster::RosterEvent, driver: &mut dyn ConnectionDriver) {
         let is_whole_list = matches!(event.listing, Listing::All | Listing::Remembered);
         if is_whole_list {
-            self.runners.forget_all(driver.now());
+            self.runners.mark_all_unlisted(driver.now());
         }
         let mut entries = Vec::new();
         for (entry, address) in event.entries {
             let is_listed = entry.readiness != Readiness::Removed;
-            self.runners.note(&entry.runner, is_listed, address, driver);
+            self.runners.update_runner(&entry.runner, is_listed, address, driver);
             if entry.readiness != Readiness::Up {
-                self.runners.recall_waiting(&entry.runner, driver);
+                self.runners.drop_pending(&entry.runner, driver);
             }
             entries.push(entry);
         }
-        self.runners.tidy(driver);
-        self.membership.heard_before(event.heard_before);
-        let entries = self.membership.listed(event.listing, entries, driver.now());
+        self.runners.remove_long_unlisted(driver);
+        self.membership.set_previous_contact(event.previous_contact);
+        let entries = self.membership.apply_listing(event.listing, entries, driver.now());
         self.note_listing(event.listing, driver);
         self.pending_events.push(Event::Roster(RosterUpdate { listing: event.listing, entries }));
         self.update_slow_start_shares(driver.now());
@@ -1139,7 +1147,7 @@
         driver.set_timer(Timer::Invocation(request.id.clone()), request.expires_at);
         let (invocation, operation, slots, key) =
             (request.id.clone(), request.operation, request.slots, request.key);
-        let (time_left, work_hint) = (request.expires_at - now, request.hint);
+        let (time_left, work_hint) = (request.expires_at - now, request.work_hint);
         self.pending_events.push(Event::Arrival(Arrival {
             invocation,
             operation,
@@ -1210,17 +1218,17 @@
         }
         let (is_outstanding, answered, now) = (forward.is_outstanding, open.is_answered, driver.now());
         let result = match callback.state {
-            State::Started if is_outstanding => {
+            JobState::Started if is_outstanding => {
                 return self.pending_events.push(Event::Started { invocation, forward: number });
             }
-            State::Running if is_outstanding => {
+            JobState::Running if is_outstanding => {
                 return self.pending_events.push(Event::Progress { invocation, forward: number });
             }
-            State::Started | State::Running => return,
-            State::Done => ForwardResult::Succeeded,
-            State::Failed => ForwardResult::Errored,
-            State::Returned => ForwardResult::Overloaded,
-            State::Lost => ForwardResult::Broken,
+            JobState::Started | JobState::Running => return,
+            JobState::Done => ForwardResult::Succeeded,
+            JobState::Failed => ForwardResult::Errored,
+            JobState::Returned => ForwardResult::Overloaded,
+            JobState::Lost => ForwardResult::Broken,
         };
         if result == ForwardResult::Succeeded && !answered {
             let body = callback.result.unwrap_or_default();
--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -135,7 +135,7 @@
 
     /// Announces an operator's call made here to the peers.
     pub(super) fn announce_admin_override(&mut self, id: &str, driver: &mut dyn ConnectionDriver) {
-        let (out_since, was_out) = self.membership.hand(id);
+        let (out_since, was_out) = self.membership.admin_override(id);
         let Some(peers) = self.peers() else { return };
         let (_, actions) = peers.set_override(id, out_since, was_out, driver.now());
         self.apply_peer_actions(actions, driver);
@@ -178,7 +178,7 @@
         if self.peers().is_none() {
             return;
         }
-        let cold = self.membership.cold(now);
+        let cold = self.membership.cold_runners(now);
         let Some(peers) = self.peers() else { return };
         let shares = peers.slow_start_shares(cold.iter().map(|id| &**id), now);
         if !cold.is_empty() {
@@ -228,22 +228,22 @@
     /// they are of another clock.
     fn apply_peer_override(&mut self, id: &str, out: bool, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
-        let is_out = self.membership.hand(id).0.is_some();
+        let is_out = self.membership.admin_override(id).0.is_some();
         if is_out != out {
             log!("hand-heard", "runner={id:?} out={out}");
-            if !self.membership.knows(id) {
+            if !self.membership.is_known(id) {
                 self.membership.inherit(id, None, None);
             }
             _ = self.set_maintenance(id, out, driver);
         }
-        debug_assert!(self.membership.hand(id).0.is_some() == out, "at {now}");
+        debug_assert!(self.membership.admin_override(id).0.is_some() == out, "at {now}");
         self.store_admin_override(id, None, driver);
     }
 
     /// Passes the state of all listed runners to the routing policy again, after admin overrides have been
     /// restored.
     pub(super) fn republish_members(&mut self, driver: &mut dyn ConnectionDriver) {
-        let entries = self.membership.stand(driver.now());
+        let entries = self.membership.effective_entries(driver.now());
         if !entries.is_empty() {
             self.pending_events.push(Event::Roster(topazsail::Roster { listing: Listing::Local, entries }));
         }
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -139,7 +139,7 @@
     /// Begins a start without a predecessor but with a store: nothing is listed before the store has been
     /// read.
     pub(super) fn begin_recovery(&mut self, driver: &mut dyn ConnectionDriver) {
-        self.clients.ready(false);
+        self.clients.set_ready(false);
         self.arm_recovery_timer(driver);
     }
 
@@ -174,7 +174,7 @@
         let persistence =
             self.persistence.as_mut().filter(|persistence| persistence.stage() == Stage::Limited)?;
         if now >= persistence.cached_warmth.1 + WARMTH_CACHE_WINDOW {
-            let (warm, listed_count) = self.membership.warmth(self.cold_capacity_share, now);
+            let (warm, listed_count) = self.membership.warm_capacity(self.cold_capacity_share, now);
             let expected_count = listed_count.max(persistence.initial_runners).max(1);
             persistence.cached_warmth = (warm / expected_count as f64, now);
             let warmth = persistence.cached_warmth.0;
@@ -249,7 +249,7 @@
                     self.announce_stage();
                 }
                 Action::ChooseRoster => self.begin_with_roster(driver),
-                Action::Serve => self.clients.ready(self.shutdown_since.is_none()),
+                Action::Serve => self.clients.set_ready(self.shutdown_since.is_none()),
             }
         }
         self.arm_recovery_timer(driver);
@@ -303,7 +303,7 @@
             Some((_, snapshot)) if source == Source::Store => snapshot,
             _ => configured_roster,
         };
-        self.roster.begin(chosen.generation, self.roster.sure_at());
+        self.roster.resume_from(chosen.generation, self.roster.certain_until());
         (persistence.initial_runners, persistence.admission_limits) =
             (chosen.len(), AdmissionLimits::new(self.operation_values.iter().copied(), now));
         let mut pause = 0;
@@ -312,7 +312,7 @@
             self.restore_admin_overrides(loaded, driver);
         }
         if pause > 0 {
-            let entries = self.membership.rest(now + pause, started_at, now);
+            let entries = self.membership.pause_cold_runners(now + pause, started_at, now);
             debug_assert!(entries.is_empty(), "no runner may be listed yet");
             log!("trusts", "item=spent belief=dropped rest_ms={}", pause / 1000);
             driver.set_timer(Timer::ColdRunnerPause, now + pause);
@@ -320,7 +320,7 @@
         self.apply_listing(
             roster::RosterEvent {
                 listing: Listing::Remembered,
-                heard_before: None,
+                previous_contact: None,
                 entries: chosen.entries(),
             },
             driver,
@@ -352,7 +352,7 @@
         log!("trusts", "item=hands belief={trust:?} out={out} reason={why:?}");
         for (id, admin_override) in &loaded.admin_overrides {
             // An override made since the start takes precedence.
-            if self.membership.hand(id) == (None, None) {
+            if self.membership.admin_override(id) == (None, None) {
                 self.membership.inherit(id, admin_override.out_since, admin_override.was_out);
             }
         }
@@ -462,7 +462,7 @@
     fn store_all(&mut self, driver: &mut dyn ConnectionDriver) {
         self.store_settings();
         self.store_roster();
-        for id in self.membership.by_hands() {
+        for id in self.membership.overridden_ids() {
             self.store_admin_override(&id, None, driver);
         }
     }
@@ -474,7 +474,7 @@
         call: Option<(ConnectionId, Call)>,
         driver: &mut dyn ConnectionDriver,
     ) {
-        let (out_since, was_out) = self.membership.hand(id);
+        let (out_since, was_out) = self.membership.admin_override(id);
         let (count, author) = self.override_version(id);
         let Some(persistence) = &mut self.persistence else { return };
         let admin_override = StoredOverride { out_since, was_out, count, author };
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -9,7 +9,7 @@
 use topazsail::{Id, Listing, Micros, Readiness, RosterEntry};
 
 use crate::config;
-use crate::ingress::clients::{ClientEvent, Clients, State};
+use crate::ingress::clients::{ClientEvent, Clients, JobState};
 use crate::ingress::operations::Operations;
 use crate::lifecycle::handover;
 use crate::net::connection::{
@@ -254,7 +254,7 @@
 
     /// Accepts a client's connection.
     fn accept(&mut self) -> ConnectionId {
-        assert!(self.table.clients.room(&mut self.driver));
+        assert!(self.table.clients.ensure_room(&mut self.driver));
         let connection = self.driver.open_connection(ConnectionRole::Client);
         self.table.clients.accepted(connection, &mut self.driver);
         connection
@@ -422,7 +422,7 @@
     let configuration = config::decode(&configuration(&RUNNERS[..1])).unwrap();
     let mut runners = Runners::new(&configuration.decoded);
     let runner = Id::from("s-a");
-    runners.note(&runner, true, Some("127.0.0.1:3001".parse().unwrap()), &mut driver);
+    runners.update_runner(&runner, true, Some("127.0.0.1:3001".parse().unwrap()), &mut driver);
     runners.probe(&runner, &mut driver);
     runners.connected(1, &mut driver);
     let mut answer = b"HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"x0\":1,\"inflight\":0} ".to_vec();
@@ -431,7 +431,7 @@
     runners.closed(1, CloseReason::Reset, false, b"", &mut driver);
     runners.connected(2, &mut driver);
     runners.closed(2, CloseReason::Reset, false, b"", &mut driver);
-    for event in runners.heard {
+    for event in runners.events {
         driver.record(&format!("{event:?}"));
     }
     expect![[r#"
@@ -440,8 +440,8 @@
         0     #1 < GET /load; Host: 127.0.0.1:3001
         0     #2 dials 127.0.0.1:3001
         0     #2 < GET /load; Host: 127.0.0.1:3001
-        0     Probed { tgt: "s-a", alive: true, report: [1.0, 0.0] }
-        0     Probed { tgt: "s-a", alive: false, report: [] }
+        0     Probed { runner: "s-a", alive: true, report: [1.0, 0.0] }
+        0     Probed { runner: "s-a", alive: false, report: [] }
     "#]]
     .assert_eq(&driver.trace);
 }
@@ -1829,10 +1829,10 @@
         clients.accepted(7, &mut driver);
         let mut input = request.as_bytes()[..cut].to_vec();
         clients.received(7, &mut input, &mut driver);
-        assert!(clients.heard.is_empty());
+        assert!(clients.events.is_empty());
         input.extend_from_slice(&request.as_bytes()[cut..]);
         clients.received(7, &mut input, &mut driver);
-        let Some(ClientEvent::Invocation(invocation)) = clients.heard.pop() else {
+        let Some(ClientEvent::Invocation(invocation)) = clients.events.pop() else {
             panic!("no invocation received, cut at {cut}")
         };
         assert_eq!((invocation.operation, invocation.slots, invocation.key), (1, 2.0, Some(Id::from("k"))));
@@ -1855,14 +1855,14 @@
         roster.received(1, &mut input, &mut driver);
         input.extend_from_slice(&watch.as_bytes()[cut..]);
         roster.received(1, &mut input, &mut driver);
-        let events: Vec<_> = roster.heard.iter().map(|event| (event.listing, event.entries.len())).collect();
+        let events: Vec<_> = roster.events.iter().map(|event| (event.listing, event.entries.len())).collect();
         assert_eq!(format!("{events:?}"), "[(All, 0), (Changes, 0)]", "cut at {cut}");
     }
     assert_eq!(
         http::parse_request(b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n").unwrap_err(),
         HttpError(400, "bad_length")
     );
-    assert!(serde_json::from_str::<State>("\"lost\"").is_ok());
+    assert!(serde_json::from_str::<JobState>("\"lost\"").is_ok());
 }
 
 #[test]
@@ -1903,7 +1903,7 @@
     let other = r#"{"name":"n1","address":"127.0.0.1:7001"}"#;
     assert_eq!(decode_peers(&members(other), store), Ok(1));
     assert_eq!(decode_peers("null", ""), Ok(0));
-    let missing = "peers is set and store is missing: lives are numbered there";
+    let missing = "peers is set and store is missing: boot numbers are stored there";
     assert_eq!(decode_peers(&members(other), ""), Err(missing.to_owned()));
     for (peers, message) in [
         ("7".to_owned(), "peers has the bad value 7"),
@@ -2058,21 +2058,27 @@
         launched,
     };
     let mut members = Membership::new(0);
-    assert!(members.sure(0, 0).is_some());
-    assert!(members.by_hand("s-a", true, 0).is_err());
-    members.listed(Listing::All, vec![entry(Some(5))], 10);
-    assert_eq!(members.by_hand("s-a", true, 20).unwrap().unwrap().readiness, Readiness::Draining);
-    assert!(members.by_hand("s-a", true, 25).unwrap().is_none());
+    assert!(members.update_lease(0, 0).is_some());
+    assert!(members.set_maintenance("s-a", true, 0).is_err());
+    members.apply_listing(Listing::All, vec![entry(Some(5))], 10);
+    assert_eq!(members.set_maintenance("s-a", true, 20).unwrap().unwrap().readiness, Readiness::Draining);
+    assert!(members.set_maintenance("s-a", true, 25).unwrap().is_none());
     // Updates from discovery in between change nothing, not even its removal.
-    assert_eq!(members.listed(Listing::Changes, vec![entry(Some(5))], 30)[0].readiness, Readiness::Draining);
-    members.listed(Listing::All, vec![], 35);
+    assert_eq!(
+        members.apply_listing(Listing::Changes, vec![entry(Some(5))], 30)[0].readiness,
+        Readiness::Draining
+    );
+    members.apply_listing(Listing::All, vec![], 35);
     assert_eq!(members.count(), (0, 0));
-    assert_eq!(members.listed(Listing::All, vec![entry(Some(5))], 40)[0].readiness, Readiness::Draining);
-    let back = members.by_hand("s-a", false, 50).unwrap().unwrap();
+    assert_eq!(
+        members.apply_listing(Listing::All, vec![entry(Some(5))], 40)[0].readiness,
+        Readiness::Draining
+    );
+    let back = members.set_maintenance("s-a", false, 50).unwrap().unwrap();
     assert_eq!((back.readiness, back.launched), (Readiness::Up, Some(50)));
-    assert!(members.by_hand("s-a", false, 55).unwrap().is_none());
-    assert_eq!(members.listed(Listing::Changes, vec![entry(Some(5))], 60)[0].launched, Some(50));
-    assert_eq!(members.listed(Listing::Changes, vec![entry(Some(33))], 70)[0].launched, Some(33));
+    assert!(members.set_maintenance("s-a", false, 55).unwrap().is_none());
+    assert_eq!(members.apply_listing(Listing::Changes, vec![entry(Some(5))], 60)[0].launched, Some(50));
+    assert_eq!(members.apply_listing(Listing::Changes, vec![entry(Some(33))], 70)[0].launched, Some(33));
 }
 
 const PEER: ConnectionId = 50;
@@ -2357,11 +2363,12 @@
     let now = START + 100 * SECOND;
     let age_when_listed = |heard_before: Option<Micros>, launched| {
         let mut members = Membership::new(10 * SECOND);
-        members.heard_before(heard_before);
-        let first = members.listed(Listing::Changes, vec![entry(launched)], now)[0].launched;
+        members.set_previous_contact(heard_before);
+        let first = members.apply_listing(Listing::Changes, vec![entry(launched)], now)[0].launched;
         // Listed again, it has the same start.
-        members.heard_before(Some(now + 50 * SECOND));
-        let again = members.listed(Listing::Changes, vec![entry(launched)], now + 60 * SECOND)[0].launched;
+        members.set_previous_contact(Some(now + 50 * SECOND));
+        let again =
+            members.apply_listing(Listing::Changes, vec![entry(launched)], now + 60 * SECOND)[0].launched;
         assert_eq!(first, again);
         first.map(|started| now - started)
     };
