--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts topazsail instances on the drill wire. It translates and decides nothing.
+//! Runs topazsail instances for the operators' simulator: reads its messages from standard input and writes the
+//! instances' actions to standard output. It only translates; every decision is the policy's.
 
 mod wire;
 
@@ -10,69 +11,80 @@
 use topazsail::{Event, Micros, RoutingPolicy};
 use wire::{Message, Reader};
 
+/// One simulated dispatcher.
 struct Instance {
     policy: RoutingPolicy,
+    /// Operation names, by index.
     operations: Vec<String>,
-    happened: Vec<Event>,
+    /// Events of the current batch, not yet given to the policy.
+    events: Vec<Event>,
 }
 
+/// All instances of this process, by the simulator's id.
 #[derive(Default)]
-struct House {
+struct Host {
     instances: BTreeMap<u64, Instance>,
-    /// Those that something has happened to in this batch.
-    stirred: BTreeSet<u64>,
+    /// Instances that received events in the current batch.
+    with_events: BTreeSet<u64>,
 }
 
-impl House {
-    fn take(&mut self, message: Message) {
+impl Host {
+    /// Creates or removes an instance, or queues an event for one. Messages for unknown instances are ignored.
+    fn apply(&mut self, message: Message) {
         match message {
-            Message::Create { inst, seed, settings, operations } => {
+            Message::Create { instance_id, seed, settings, operations } => {
                 let policy = RoutingPolicy::new(settings, seed);
-                self.instances.insert(inst, Instance { policy, operations, happened: Vec::new() });
+                self.instances.insert(instance_id, Instance { policy, operations, events: Vec::new() });
             }
-            Message::Kill { inst } => {
-                self.instances.remove(&inst);
+            Message::Kill { instance_id } => {
+                self.instances.remove(&instance_id);
             }
-            Message::Event { inst, event } => {
-                if let Some(instance) = self.instances.get_mut(&inst) {
-                    instance.happened.push(event);
-                    self.stirred.insert(inst);
+            Message::Event { instance_id, event } => {
+                if let Some(instance) = self.instances.get_mut(&instance_id) {
+                    instance.events.push(event);
+                    self.with_events.insert(instance_id);
                 }
             }
-            Message::PassedOver => {}
+            Message::Ignored => {}
         }
     }
 
-    fn operations(&self, inst: u64) -> Option<&[String]> {
-        self.instances.get(&inst).map(|i| i.operations.as_slice())
+    /// Returns the operation names of an instance, or `None` if it does not exist.
+    fn operations(&self, instance_id: u64) -> Option<&[String]> {
+        self.instances.get(&instance_id).map(|instance| instance.operations.as_slice())
     }
 
+    /// Runs the policies of all instances with events and writes their actions, then the end of the batch. A policy
+    /// that panics is reported for its instance only.
     fn reply(&mut self, now: Micros, out: &mut String) {
-        for inst in std::mem::take(&mut self.stirred) {
-            let Some(instance) = self.instances.get_mut(&inst).filter(|i| !i.happened.is_empty()) else {
+        for instance_id in std::mem::take(&mut self.with_events) {
+            let Some(instance) =
+                self.instances.get_mut(&instance_id).filter(|instance| !instance.events.is_empty())
+            else {
                 continue;
             };
-            let happened = std::mem::take(&mut instance.happened);
-            match panic::catch_unwind(AssertUnwindSafe(|| instance.policy.decide(now, happened))) {
-                Ok(actions) => actions.iter().for_each(|action| wire::write(out, inst, action)),
-                Err(fault) => wire::write_fault(out, inst, fault.as_ref()),
+            let events = std::mem::take(&mut instance.events);
+            match panic::catch_unwind(AssertUnwindSafe(|| instance.policy.decide(now, events))) {
+                Ok(actions) => actions.iter().for_each(|action| wire::write(out, instance_id, action)),
+                Err(panic) => wire::write_panic(out, instance_id, panic.as_ref()),
             }
         }
         out.push_str("NEXT\n");
     }
 }
 
+/// Answers batches until the input ends.
 fn serve() -> Result<(), Box<dyn std::error::Error>> {
     let mut reader = Reader::new(io::stdin().lock());
     let mut writer = BufWriter::new(io::stdout().lock());
-    let mut house = House::default();
+    let mut host = Host::default();
     let mut out = String::new();
-    while let Some(now) = reader.round()? {
-        while let Some(message) = reader.message(|inst| house.operations(inst))? {
-            house.take(message);
+    while let Some(now) = reader.begin_batch()? {
+        while let Some(message) = reader.next_message(|instance_id| host.operations(instance_id))? {
+            host.apply(message);
         }
         out.clear();
-        house.reply(now, &mut out);
+        host.reply(now, &mut out);
         writer.write_all(out.as_bytes())?;
         writer.flush()?;
     }
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,4 +1,7 @@
-//! The lines of the wire, both ways.
+//! The simulator's line protocol: parses its messages and formats actions.
+//!
+//! A message is a line of fields separated by spaces; `-` stands for an absent value. A batch begins with `ROUND` and
+//! ends with `COMMIT`.
 
 use std::any::Any;
 use std::fmt::{self, Display, Write};
@@ -10,106 +13,128 @@
     Settings,
 };
 
-/// The one timer that an instance keeps needs no more than one handle.
-const TICK: u64 = 1;
+/// Handle of an instance's timer. Each instance has only one timer, so all use the same handle.
+const TIMER_HANDLE: u64 = 1;
 
+/// An input line that cannot be parsed, or a failed read.
 #[derive(Debug)]
-pub struct Malformed {
+pub struct MalformedInput {
+    /// Line number, from 1; 0 for an I/O error.
     line: u64,
-    fault: String,
+    reason: String,
 }
 
-impl Display for Malformed {
+impl Display for MalformedInput {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.fault)
+        write!(f, "line {}: {}", self.line, self.reason)
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for MalformedInput {}
 
-impl From<io::Error> for Malformed {
+impl From<io::Error> for MalformedInput {
     fn from(error: io::Error) -> Self {
-        Malformed { line: 0, fault: format!("standard input: {error}") }
+        MalformedInput { line: 0, reason: format!("standard input: {error}") }
     }
 }
 
+/// A message from the simulator.
 pub enum Message {
-    Create { inst: u64, seed: u64, settings: Settings, operations: Vec<String> },
-    Kill { inst: u64 },
-    Event { inst: u64, event: Event },
-    PassedOver,
+    /// Starts an instance.
+    Create { instance_id: u64, seed: u64, settings: Settings, operations: Vec<String> },
+    /// Ends an instance.
+    Kill { instance_id: u64 },
+    /// An event for an instance.
+    Event { instance_id: u64, event: Event },
+    /// A message without effect: one between peers, or an arrival for an unknown instance.
+    Ignored,
 }
 
-/// The parts of one line, taken in the order in which the wire lists them.
-struct Parts<'a> {
+/// The fields of one line, read in the order in which the protocol defines them. Each method takes the field's name for
+/// error messages.
+struct Fields<'a> {
     line: u64,
     name: &'a str,
-    parts: SplitN<'a, char>,
+    fields: SplitN<'a, char>,
 }
 
-impl<'a> Parts<'a> {
-    fn new(line: u64, text: &'a str, most: usize) -> Parts<'a> {
-        let mut parts = text.splitn(most, ' ');
-        let name = parts.next().unwrap_or_default();
-        Parts { line, name, parts }
+impl<'a> Fields<'a> {
+    /// Splits a line into at most `limit` fields, the first of which is the message's name.
+    fn new(line: u64, text: &'a str, limit: usize) -> Fields<'a> {
+        let mut fields = text.splitn(limit, ' ');
+        let name = fields.next().unwrap_or_default();
+        Fields { line, name, fields }
     }
 
-    fn fault(&self, field: &str, what: impl Display) -> Malformed {
-        Malformed { line: self.line, fault: format!("{} {field}: {what}", self.name) }
+    fn error(&self, field: &str, what: impl Display) -> MalformedInput {
+        MalformedInput { line: self.line, reason: format!("{} {field}: {what}", self.name) }
     }
 
-    fn optional(&mut self, field: &str) -> Result<Option<&'a str>, Malformed> {
-        match self.parts.next() {
-            None | Some("") => Err(self.fault(field, "missing")),
+    /// Reads a field; `None` if it is `-`.
+    fn optional(&mut self, field: &str) -> Result<Option<&'a str>, MalformedInput> {
+        match self.fields.next() {
+            None | Some("") => Err(self.error(field, "missing")),
             Some("-") => Ok(None),
             Some(text) => Ok(Some(text)),
         }
     }
 
-    fn text(&mut self, field: &str) -> Result<&'a str, Malformed> {
-        self.optional(field)?.ok_or_else(|| self.fault(field, "absent"))
+    /// Reads a field that must have a value.
+    fn text(&mut self, field: &str) -> Result<&'a str, MalformedInput> {
+        self.optional(field)?.ok_or_else(|| self.error(field, "expected a value, found '-'"))
     }
 
-    fn parsed<T: FromStr>(&self, field: &str, text: &str) -> Result<T, Malformed> {
-        text.parse().map_err(|_| self.fault(field, format!("bad value '{text}'")))
+    fn parsed<T: FromStr>(&self, field: &str, text: &str) -> Result<T, MalformedInput> {
+        text.parse().map_err(|_| self.error(field, format!("expected a number, found '{text}'")))
     }
 
-    fn number<T: FromStr>(&mut self, field: &str) -> Result<T, Malformed> {
+    fn number<T: FromStr>(&mut self, field: &str) -> Result<T, MalformedInput> {
         let text = self.text(field)?;
         self.parsed(field, text)
     }
 
-    fn number_or<T: FromStr>(&mut self, field: &str, absent: T) -> Result<T, Malformed> {
+    fn number_or<T: FromStr>(&mut self, field: &str, absent: T) -> Result<T, MalformedInput> {
         match self.optional(field)? {
             Some(text) => self.parsed(field, text),
             None => Ok(absent),
         }
     }
 
-    fn real(&mut self, field: &str, absent: f64) -> Result<f64, Malformed> {
+    fn real(&mut self, field: &str, absent: f64) -> Result<f64, MalformedInput> {
         let value: f64 = self.number_or(field, absent)?;
-        if value.is_finite() { Ok(value) } else { Err(self.fault(field, "not finite")) }
+        if value.is_finite() {
+            Ok(value)
+        } else {
+            Err(self.error(field, format!("expected a finite number, found {value}")))
+        }
     }
 
-    fn span(&mut self, field: &str) -> Result<Micros, Malformed> {
+    /// Reads a time or duration in microseconds; 0 if absent.
+    fn duration(&mut self, field: &str) -> Result<Micros, MalformedInput> {
         let value: Micros = self.number_or(field, 0)?;
-        // Far beyond any day, and far enough from the type's end that sums of such values hold.
-        if value.abs() > 1 << 60 { Err(self.fault(field, "out of range")) } else { Ok(value) }
+        // Far beyond any simulated time, and far enough below the type's limit that sums of such values cannot overflow.
+        if value.abs() > 1 << 60 {
+            Err(self.error(field, format!("expected -2^60 to 2^60, found {value}")))
+        } else {
+            Ok(value)
+        }
     }
 
-    fn flag(&mut self, field: &str) -> Result<bool, Malformed> {
+    /// Reads `1` or `0`; false if absent.
+    fn flag(&mut self, field: &str) -> Result<bool, MalformedInput> {
         match self.optional(field)? {
             Some("1") => Ok(true),
             Some("0") | None => Ok(false),
-            Some(other) => Err(self.fault(field, format!("bad value '{other}'"))),
+            Some(other) => Err(self.error(field, format!("expected 0 or 1, found '{other}'"))),
         }
     }
 
-    fn id(&mut self, field: &str) -> Result<Id, Malformed> {
+    fn id(&mut self, field: &str) -> Result<Id, MalformedInput> {
         self.text(field).map(Id::from)
     }
 
-    fn row(&mut self, field: &str) -> Result<Vec<f64>, Malformed> {
+    /// Reads numbers separated by commas, with 0 for each `-`; empty if the whole field is absent.
+    fn numbers(&mut self, field: &str) -> Result<Vec<f64>, MalformedInput> {
         let Some(text) = self.optional(field)? else { return Ok(Vec::new()) };
         text.split(',')
             .map(|value| match value {
@@ -119,14 +144,16 @@
             .collect()
     }
 
-    fn end(mut self) -> Result<(), Malformed> {
-        match self.parts.next() {
+    /// Checks that no fields are left.
+    fn finish(mut self) -> Result<(), MalformedInput> {
+        match self.fields.next() {
             None => Ok(()),
-            Some(more) => Err(self.fault("end of line", format!("unexpected '{more}'"))),
+            Some(more) => Err(self.error("end of line", format!("unexpected '{more}'"))),
         }
     }
 }
 
+/// Reads batches of messages, line by line.
 pub struct Reader<R> {
     input: R,
     line: u64,
@@ -134,119 +161,122 @@
 }
 
 impl<R: BufRead> Reader<R> {
+    /// Creates a reader at the start of `input`.
     pub fn new(input: R) -> Reader<R> {
         Reader { input, line: 0, text: String::new() }
     }
 
-    fn fault(&self, fault: impl Into<String>) -> Malformed {
-        Malformed { line: self.line, fault: fault.into() }
+    fn error(&self, reason: impl Into<String>) -> MalformedInput {
+        MalformedInput { line: self.line, reason: reason.into() }
     }
 
-    /// The next line, or false at the end of input.
-    fn advance(&mut self) -> Result<bool, Malformed> {
+    /// Reads the next line into `text`. Returns false at the end of input.
+    fn advance(&mut self) -> Result<bool, MalformedInput> {
         self.text.clear();
         self.line += 1;
-        let read = self.input.read_line(&mut self.text).map_err(|error| self.fault(error.to_string()))?;
+        let read = self.input.read_line(&mut self.text).map_err(|error| self.error(error.to_string()))?;
         if self.text.ends_with('\n') {
             self.text.pop();
         }
         Ok(read > 0)
     }
 
-    /// Opens a batch and gives its clock; `None` where the input ends between batches.
-    pub fn round(&mut self) -> Result<Option<Micros>, Malformed> {
+    /// Reads the first line of a batch and returns the time of its clock in microseconds, or `None` if the input ended
+    /// after the previous batch.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the line is not a valid `ROUND`, or if reading fails.
+    pub fn begin_batch(&mut self) -> Result<Option<Micros>, MalformedInput> {
         if !self.advance()? {
             return Ok(None);
         }
-        let mut parts = Parts::new(self.line, &self.text, usize::MAX);
-        if parts.name != "ROUND" {
-            return Err(self.fault(format!("expected ROUND, found '{}'", parts.name)));
+        let mut fields = Fields::new(self.line, &self.text, usize::MAX);
+        if fields.name != "ROUND" {
+            return Err(self.error(format!("expected ROUND, found '{}'", fields.name)));
         }
-        let now = parts.number("clock")?;
-        parts.end()?;
+        let now = fields.number("clock")?;
+        fields.finish()?;
         Ok(Some(now))
     }
 
-    /// The next message of the batch; `None` at its end.
-    pub fn message<'h>(
+    /// Reads the next message of the batch; `None` at its end. `operations` returns an instance's operation names.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the message is unknown or malformed, if the input ends inside the batch, or if reading fails.
+    pub fn next_message<'h>(
         &mut self,
         operations: impl Fn(u64) -> Option<&'h [String]>,
-    ) -> Result<Option<Message>, Malformed> {
+    ) -> Result<Option<Message>, MalformedInput> {
         if !self.advance()? {
-            return Err(self.fault("truncated batch: no COMMIT"));
+            return Err(self.error("truncated batch: no COMMIT"));
         }
         if self.text.starts_with("DIRECTORY_UPDATE ") {
-            return self.roster().map(Some);
+            return self.read_roster().map(Some);
         }
-        let mut parts = Parts::new(self.line, &self.text, usize::MAX);
-        if parts.name == "COMMIT" {
-            parts.end()?;
+        let mut fields = Fields::new(self.line, &self.text, usize::MAX);
+        if fields.name == "COMMIT" {
+            fields.finish()?;
             return Ok(None);
         }
         let known = ["CREATE", "KILL", "KNOCK", "FLOWING", "NOTICE", "RESOLVED", "GONE", "RING"];
-        if !known.contains(&parts.name) && !["PROBE_RESULT", "FROM_PEER"].contains(&parts.name) {
-            return Err(self.fault(format!("unknown message '{}'", parts.name)));
+        if !known.contains(&fields.name) && !["PROBE_RESULT", "FROM_PEER"].contains(&fields.name) {
+            return Err(self.error(format!("unknown message '{}'", fields.name)));
         }
-        let inst = parts.number("dispatcherId")?;
-        let event = match parts.name {
+        let instance_id = fields.number("dispatcherId")?;
+        let event = match fields.name {
             "CREATE" => {
-                let mut parts = Parts::new(self.line, &self.text, 4);
-                parts.text("dispatcherId")?;
-                let seed = parts.number("seed")?;
-                let info = parts.text("info")?;
-                let decoded = pairs(info)
+                let mut fields = Fields::new(self.line, &self.text, 4);
+                fields.text("dispatcherId")?;
+                let seed = fields.number("seed")?;
+                let info = fields.text("info")?;
+                let decoded = parse_pairs(info)
                     .and_then(topazsail_settings::decode)
-                    .map_err(|fault| parts.fault("info", fault))?;
+                    .map_err(|reason| fields.error("info", reason))?;
                 let (settings, operations) = (decoded.settings, decoded.operations);
-                return Ok(Some(Message::Create { inst, seed, settings, operations }));
+                return Ok(Some(Message::Create { instance_id, seed, settings, operations }));
             }
             "KILL" => {
-                parts.end()?;
-                return Ok(Some(Message::Kill { inst }));
+                fields.finish()?;
+                return Ok(Some(Message::Kill { instance_id }));
             }
             "FROM_PEER" => {
-                parts.number::<u64>("from")?;
-                parts.optional("raw")?;
-                parts.end()?;
-                return Ok(Some(Message::PassedOver));
+                fields.number::<u64>("from")?;
+                fields.optional("raw")?;
+                fields.finish()?;
+                return Ok(Some(Message::Ignored));
             }
             "KNOCK" => {
-                let inv = parts.id("ticket")?;
-                let hint = parts.span("weightHint")?;
-                parts.optional("team")?;
-                let expires_in = parts.span("expiresIn")?;
-                parts.real("ramUnits", 0.0)?;
-                let slots = parts.real("width", 1.0)?;
-                let name = parts.text("type")?;
-                let told = parts.number_or("bits", 0u64)? & 1 > 0 && hint > 0;
-                let hint = Some(hint).filter(|_| told);
-                let key = parts.optional("partitionKey")?.map(Id::from);
-                let Some(names) = operations(inst) else { return Ok(Some(Message::PassedOver)) };
+                let inv = fields.id("ticket")?;
+                let work_hint = fields.duration("weightHint")?;
+                fields.optional("team")?;
+                let time_left = fields.duration("expiresIn")?;
+                fields.real("ramUnits", 0.0)?;
+                let slots = fields.real("width", 1.0)?;
+                let name = fields.text("type")?;
+                let has_hint = fields.number_or("bits", 0u64)? & 1 > 0 && work_hint > 0;
+                let work_hint = Some(work_hint).filter(|_| has_hint);
+                let key = fields.optional("partitionKey")?.map(Id::from);
+                let Some(names) = operations(instance_id) else { return Ok(Some(Message::Ignored)) };
                 let Some(operation) = names.iter().position(|known| known == name) else {
-                    return Err(parts.fault("type", format!("unknown operation '{name}'")));
+                    return Err(fields.error("type", format!("unknown operation '{name}'")));
                 };
-                Event::Arrival(Arrival {
-                    invocation: inv,
-                    operation,
-                    time_left: expires_in,
-                    slots,
-                    work_hint: hint,
-                    key,
-                })
+                Event::Arrival(Arrival { invocation: inv, operation, time_left, slots, work_hint, key })
             }
             "FLOWING" => {
-                let inv = parts.id("ticket")?;
-                parts.span("elapsed")?;
-                let forward = parts.number("roundNo")?;
-                parts.text("runner")?;
+                let inv = fields.id("ticket")?;
+                fields.duration("elapsed")?;
+                let forward = fields.number("roundNo")?;
+                fields.text("runner")?;
                 Event::ResponseStarted { invocation: inv, forward }
             }
             "NOTICE" => {
-                let inv = parts.id("ticket")?;
-                let forward = parts.number("roundNo")?;
-                parts.real("level", 0.0)?;
-                let started = parts.number_or("what", 0u64)? == 1;
-                parts.text("runner")?;
+                let inv = fields.id("ticket")?;
+                let forward = fields.number("roundNo")?;
+                fields.real("level", 0.0)?;
+                let started = fields.number_or("what", 0u64)? == 1;
+                fields.text("runner")?;
                 if started {
                     Event::Started { invocation: inv, forward }
                 } else {
@@ -254,94 +284,100 @@
                 }
             }
             "RESOLVED" => {
-                let inv = parts.id("ticket")?;
-                let tgt = parts.id("runner")?;
-                let how = parts.text("how")?;
-                let ending =
-                    ending(how).ok_or_else(|| parts.fault("how", format!("unknown outcome '{how}'")))?;
-                let forward = parts.number("roundNo")?;
-                let finished = parts.flag("finished")?;
-                parts.number_or("remark", 0i64)?;
-                let elapsed = parts.span("elapsed")?;
-                let report = parts.row("gauge")?;
+                let inv = fields.id("ticket")?;
+                let runner = fields.id("runner")?;
+                let how = fields.text("how")?;
+                let result = parse_result(how)
+                    .ok_or_else(|| fields.error("how", format!("unknown outcome '{how}'")))?;
+                let forward = fields.number("roundNo")?;
+                let answered = fields.flag("finished")?;
+                fields.number_or("remark", 0i64)?;
+                let elapsed = fields.duration("elapsed")?;
+                let report = fields.numbers("gauge")?;
                 Event::Outcome(Outcome {
                     invocation: inv,
                     forward,
-                    runner: tgt,
-                    result: ending,
-                    answered: finished,
+                    runner,
+                    result,
+                    answered,
                     elapsed,
                     report,
                 })
             }
-            "GONE" => Event::ClientLeft { invocation: parts.id("ticket")? },
+            "GONE" => Event::ClientLeft { invocation: fields.id("ticket")? },
             "RING" => {
-                parts.number::<u64>("handle")?;
+                fields.number::<u64>("handle")?;
                 Event::TimerFired
             }
             _ => {
-                parts.span("elapsed")?;
-                let alive = parts.text("how")? == "success";
-                let tgt = parts.id("runner")?;
-                Event::ProbeEnded { runner: tgt, alive, report: parts.row("gauge")? }
+                fields.duration("elapsed")?;
+                let alive = fields.text("how")? == "success";
+                let runner = fields.id("runner")?;
+                Event::ProbeEnded { runner, alive, report: fields.numbers("gauge")? }
             }
         };
-        parts.end()?;
-        Ok(Some(Message::Event { inst, event }))
+        fields.finish()?;
+        Ok(Some(Message::Event { instance_id, event }))
     }
 
-    fn roster(&mut self) -> Result<Message, Malformed> {
-        let mut parts = Parts::new(self.line, &self.text, usize::MAX);
-        let inst = parts.number("dispatcherId")?;
-        parts.number_or("revision", 0i64)?;
-        let listing = match parts.text("mode")? {
+    /// Parses the `DIRECTORY_UPDATE` in the current line and reads the entries that follow it.
+    fn read_roster(&mut self) -> Result<Message, MalformedInput> {
+        let mut fields = Fields::new(self.line, &self.text, usize::MAX);
+        let instance_id = fields.number("dispatcherId")?;
+        fields.number_or("revision", 0i64)?;
+        let listing = match fields.text("mode")? {
             "changes" => Listing::Changes,
             "all" => Listing::All,
             "remembered" => Listing::Remembered,
             "refused" => Listing::Refused,
-            other => return Err(parts.fault("mode", format!("unknown mode '{other}'"))),
+            other => return Err(fields.error("mode", format!("unknown mode '{other}'"))),
         };
-        let count: u64 = parts.number_or("entries", 0)?;
-        parts.end()?;
-        // The count is only the input's word: entries are taken as they come, none set aside for.
+        let count: u64 = fields.number_or("entries", 0)?;
+        fields.finish()?;
+        // The count is not trusted: no memory is reserved by it.
         let mut entries = Vec::new();
         for _ in 0..count {
             if !self.advance()? {
-                return Err(self.fault("truncated batch: ITEM missing"));
+                return Err(self.error("truncated batch: ITEM missing"));
             }
-            let mut parts = Parts::new(self.line, &self.text, usize::MAX);
-            if parts.name != "ITEM" {
-                return Err(self.fault(format!("expected ITEM, found '{}'", parts.name)));
+            let mut fields = Fields::new(self.line, &self.text, usize::MAX);
+            if fields.name != "ITEM" {
+                return Err(self.error(format!("expected ITEM, found '{}'", fields.name)));
             }
-            entries.push(entry(&mut parts)?);
-            parts.end()?;
+            entries.push(parse_entry(&mut fields)?);
+            fields.finish()?;
         }
-        Ok(Message::Event { inst, event: Event::Roster(Roster { listing, entries }) })
+        Ok(Message::Event { instance_id, event: Event::Roster(Roster { listing, entries }) })
     }
 }
 
-fn pairs(info: &str) -> Result<Vec<(&str, &str)>, String> {
+/// Splits text into its `key=value` pairs.
+fn parse_pairs(info: &str) -> Result<Vec<(&str, &str)>, String> {
     let pairs = info.split(' ').filter(|pair| !pair.is_empty());
-    pairs.map(|pair| pair.split_once('=').ok_or_else(|| format!("'{pair}' is no pair"))).collect()
+    pairs
+        .map(|pair| pair.split_once('=').ok_or_else(|| format!("'{pair}' is not of the form key=value")))
+        .collect()
 }
 
-fn entry(parts: &mut Parts) -> Result<RosterEntry, Malformed> {
-    let cell = parts.number_or("bay", -1)?;
-    let size = parts.real("powerHint", 1.0)?.max(0.0);
-    let kind = parts.optional("kind")?.unwrap_or_default().into();
-    let readiness = match parts.text("readiness")? {
+/// Parses a roster entry from an `ITEM` line.
+fn parse_entry(fields: &mut Fields) -> Result<RosterEntry, MalformedInput> {
+    let cell = fields.number_or("bay", -1)?;
+    let size = fields.real("powerHint", 1.0)?.max(0.0);
+    let machine_type = fields.optional("kind")?.unwrap_or_default().into();
+    let readiness = match fields.text("readiness")? {
         "on" => Readiness::Up,
         "fading" => Readiness::Draining,
         "off" => Readiness::Removed,
-        other => return Err(parts.fault("readiness", format!("unknown state '{other}'"))),
+        other => return Err(fields.error("readiness", format!("unknown state '{other}'"))),
     };
-    let zone = parts.optional("dc")?.unwrap_or_default().into();
-    let tgt = parts.id("runner")?;
-    let launched = Some(parts.span("launched")?).filter(|at| *at != 0);
-    Ok(RosterEntry { runner: tgt, cell, size, machine_type: kind, zone, readiness, launched })
+    let zone = fields.optional("dc")?.unwrap_or_default().into();
+    let runner = fields.id("runner")?;
+    let launched = Some(fields.duration("launched")?).filter(|at| *at != 0);
+    Ok(RosterEntry { runner, cell, size, machine_type, zone, readiness, launched })
 }
 
-fn ending(how: &str) -> Option<ForwardResult> {
+/// Returns the result of a forward by its name on the wire.
+fn parse_result(how: &str) -> Option<ForwardResult> {
     Some(match how {
         "success" => ForwardResult::Succeeded,
         "failure" => ForwardResult::Errored,
@@ -355,32 +391,36 @@
     })
 }
 
-pub fn write(out: &mut String, inst: u64, action: &Action) {
+/// Appends the line of an action of an instance.
+pub fn write(out: &mut String, instance_id: u64, action: &Action) {
     // Writing to a String cannot fail.
     let _ = match action {
-        Action::Forward { invocation: inv, runner: tgt, .. } => {
-            writeln!(out, "SUBMIT_TO {inst} {inv} {tgt} -")
+        Action::Forward { invocation: inv, runner, .. } => {
+            writeln!(out, "SUBMIT_TO {instance_id} {inv} {runner} -")
         }
-        Action::Cancel { invocation: inv, forward } => writeln!(out, "CANCEL {inst} {inv} {forward}"),
+        Action::Cancel { invocation: inv, forward } => writeln!(out, "CANCEL {instance_id} {inv} {forward}"),
         Action::Throttle { invocation: inv, retry_after: Some(after) } => {
-            writeln!(out, "DENY {inst} {inv} {after}")
+            writeln!(out, "DENY {instance_id} {inv} {after}")
+        }
+        Action::Throttle { invocation: inv, retry_after: None } => {
+            writeln!(out, "DENY {instance_id} {inv} -")
         }
-        Action::Throttle { invocation: inv, retry_after: None } => writeln!(out, "DENY {inst} {inv} -"),
-        Action::Error { invocation: inv } => writeln!(out, "DROP_REQUEST {inst} {inv}"),
-        Action::Probe { runner: tgt } => writeln!(out, "SAMPLE {inst} {tgt}"),
-        Action::Subscribe => writeln!(out, "OBSERVE {inst} 1"),
-        Action::SetTimer { after } => writeln!(out, "ARM {inst} {after} {TICK}"),
-        Action::Log(text) => writeln!(out, "TRACE {inst} {}", one_line(text)),
+        Action::Error { invocation: inv } => writeln!(out, "DROP_REQUEST {instance_id} {inv}"),
+        Action::Probe { runner } => writeln!(out, "SAMPLE {instance_id} {runner}"),
+        Action::Subscribe => writeln!(out, "OBSERVE {instance_id} 1"),
+        Action::SetTimer { after } => writeln!(out, "ARM {instance_id} {after} {TIMER_HANDLE}"),
+        Action::Log(text) => writeln!(out, "TRACE {instance_id} {}", one_line(text)),
     };
 }
 
-pub fn write_fault(out: &mut String, inst: u64, fault: &(dyn Any + Send)) {
-    let text = fault
+/// Appends the line that reports a panic of an instance's policy.
+pub fn write_panic(out: &mut String, instance_id: u64, panic: &(dyn Any + Send)) {
+    let text = panic
         .downcast_ref::<String>()
         .map(String::as_str)
-        .or_else(|| fault.downcast_ref::<&str>().copied())
-        .unwrap_or("a fault in the decision code");
-    let _ = writeln!(out, "FATAL {inst} {}", one_line(text));
+        .or_else(|| panic.downcast_ref::<&str>().copied())
+        .unwrap_or("a panic in the decision module");
+    let _ = writeln!(out, "FATAL {instance_id} {}", one_line(text));
 }
 
 fn one_line(text: &str) -> String {
