--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs topazsail instances for the operators' simulator: reads its messages from standard input and writes the
-//! instances' actions to standard output. It only translates; every decision is the policy's.
+//! Runs topazsail instances for the operators' simulator: reads its messages from standard input and writes
+//! the instances' actions to standard output. It only translates; every decision is the policy's.
 
 mod wire;
 
@@ -29,7 +29,8 @@
 }
 
 impl Host {
-    /// Creates or removes an instance, or queues an event for one. Messages for unknown instances are ignored.
+    /// Creates or removes an instance, or queues an event for one. Messages for unknown instances are
+    /// ignored.
     fn apply(&mut self, message: Message) {
         match message {
             Message::Create { instance_id, seed, settings, operations } => {
@@ -54,8 +55,8 @@
         self.instances.get(&instance_id).map(|instance| instance.operations.as_slice())
     }
 
-    /// Runs the policies of all instances with events and writes their actions, then the end of the batch. A policy
-    /// that panics is reported for its instance only.
+    /// Runs the policies of all instances with events and writes their actions, then the end of the batch. A
+    /// policy that panics is reported for its instance only.
     fn reply(&mut self, now: Micros, out: &mut String) {
         for instance_id in std::mem::take(&mut self.with_events) {
             let Some(instance) =
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's line protocol: parses its messages and formats actions.
 //!
-//! A message is a line of fields separated by spaces; `-` stands for an absent value. A batch begins with `ROUND` and
-//! ends with `COMMIT`.
+//! A message is a line of fields separated by spaces; `-` stands for an absent value. A batch begins with
+//! `ROUND` and ends with `COMMIT`.
 
 use std::any::Any;
 use std::fmt::{self, Display, Write};
@@ -50,8 +50,8 @@
     Ignored,
 }
 
-/// The fields of one line, read in the order in which the protocol defines them. Each method takes the field's name for
-/// error messages.
+/// The fields of one line, read in the order in which the protocol defines them. Each method takes the
+/// field's name for error messages.
 struct Fields<'a> {
     line: u64,
     name: &'a str,
@@ -112,7 +112,8 @@
     /// Reads a time or duration in microseconds; 0 if absent.
     fn duration(&mut self, field: &str) -> Result<Micros, MalformedInput> {
         let value: Micros = self.number_or(field, 0)?;
-        // Far beyond any simulated time, and far enough below the type's limit that sums of such values cannot overflow.
+        // Far beyond any simulated time, and far enough below the type's limit that sums of such values
+        // cannot overflow.
         if value.abs() > 1 << 60 {
             Err(self.error(field, format!("expected -2^60 to 2^60, found {value}")))
         } else {
@@ -181,8 +182,8 @@
         Ok(read > 0)
     }
 
-    /// Reads the first line of a batch and returns the time of its clock in microseconds, or `None` if the input ended
-    /// after the previous batch.
+    /// Reads the first line of a batch and returns the time of its clock in microseconds, or `None` if the
+    /// input ended after the previous batch.
     ///
     /// # Errors
     ///
@@ -200,11 +201,13 @@
         Ok(Some(now))
     }
 
-    /// Reads the next message of the batch; `None` at its end. `operations` returns an instance's operation names.
+    /// Reads the next message of the batch; `None` at its end. `operations` returns an instance's operation
+    /// names.
     ///
     /// # Errors
     ///
-    /// Returns an error if the message is unknown or malformed, if the input ends inside the batch, or if reading fails.
+    /// Returns an error if the message is unknown or malformed, if the input ends inside the batch, or if
+    /// reading fails.
     pub fn next_message<'h>(
         &mut self,
         operations: impl Fn(u64) -> Option<&'h [String]>,
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -215,7 +215,8 @@
 ) -> Result<Outcome, String> {
     let day = topazsail_lab::soak::day(seed)?;
     let program = program.map_or_else(|| own_program(&day.scenario), Path::to_owned);
-    let outcome = topazsail_lab::sockets::play_failing(&day.scenario, &program, seed, &day.plans, &|_| ())?;
+    let outcome =
+        topazsail_lab::sockets::play_with_fault_plans(&day.scenario, &program, seed, &day.plans, &|_| ())?;
     tell_day(&outcome, to)?;
     if !outcome.broken.is_empty() {
         day.plans.iter().for_each(|plan| println!("  plan {}", plan.to_json()));
--- a/lab/src/sockets/http.rs
+++ b/lab/src/sockets/http.rs
@@ -1,27 +1,35 @@
-//! HTTP/1.1 as the stand-ins speak it, written from the platform's protocol and not from the dispatcher's code:
-//! one misreading is not to hide on both sides.
+//! HTTP/1.1 for the emulated clients, runners and discovery. Written from the platform's protocol and without
+//! the dispatcher's code, so that a misinterpretation cannot hide on both sides.
 //!
-//! It owns one connection's bytes. Messages have a length or none; both are bounded.
+//! This module owns the bytes of one connection. Messages have a `Content-Length` or no body; heads and
+//! bodies are limited in size.
 
 use std::io;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const HEAD_MOST: usize = 32 << 10;
-const BODY_MOST: usize = 1 << 20;
+/// Upper limit of a message's head.
+const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Upper limit of a message's body.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
+/// A request or a response.
 #[derive(Debug, Default)]
 pub struct Message {
-    /// A request's method and target, or an answer's status.
+    /// A request's method; empty for a response.
     pub method: String,
+    /// A request's target; empty for a response.
     pub target: String,
+    /// A response's status; 0 for a request.
     pub status: u16,
     headers: Vec<(String, String)>,
+    /// The body; empty without a `Content-Length`.
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// Returns the value of a header, by its name in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -29,82 +37,102 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether the sender keeps the connection after this.
-    pub fn keeps(&self) -> bool {
+    /// Returns whether the sender keeps the connection open after this message.
+    pub fn keeps_alive(&self) -> bool {
         !self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-pub struct Wire {
+/// One TCP connection.
+pub struct Connection {
     stream: TcpStream,
     read: Vec<u8>,
-    /// The invocation that was answered here last.
-    pub last: Option<u64>,
+    /// The invocation that was last answered on this connection.
+    pub last_answered: Option<u64>,
 }
 
-/// How a connection stands between two messages.
+/// State of a connection between two messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rest {
+pub enum IdleState {
+    /// Open, and nothing has arrived.
     Quiet,
+    /// Closed by the peer.
     Ended,
-    /// Bytes have come that nobody asked for.
-    Speaks,
+    /// Bytes have arrived without a request.
+    UnexpectedData,
 }
 
+/// Returns an error for a malformed message.
 fn bad(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what.to_owned())
 }
 
-impl Wire {
-    pub fn new(stream: TcpStream) -> Wire {
+impl Connection {
+    /// Takes over a connected stream.
+    pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true);
-        Wire { stream, read: Vec::new(), last: None }
+        Connection { stream, read: Vec::new(), last_answered: None }
     }
 
-    pub async fn say(&mut self, bytes: &[u8]) -> io::Result<()> {
+    /// Writes bytes.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of the write.
+    pub async fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Waits for the other side to end the connection, or to say something that nobody asked for.
-    pub async fn ended(&mut self) {
+    /// Waits until the peer closes the connection or sends more bytes.
+    pub async fn wait_for_input(&mut self) {
         let _ = self.stream.read_buf(&mut self.read).await;
     }
 
-    pub fn rest(&mut self) -> Rest {
+    /// Returns the state between two messages, without waiting.
+    pub fn idle_state(&mut self) -> IdleState {
         let mut byte = [0];
         match self.stream.try_read(&mut byte) {
-            _ if !self.read.is_empty() => Rest::Speaks,
-            Ok(0) => Rest::Ended,
-            Ok(_) => Rest::Speaks,
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Rest::Quiet,
-            Err(_) => Rest::Ended,
+            _ if !self.read.is_empty() => IdleState::UnexpectedData,
+            Ok(0) => IdleState::Ended,
+            Ok(_) => IdleState::UnexpectedData,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Quiet,
+            Err(_) => IdleState::Ended,
         }
     }
 
-    /// The next whole message; none where the connection ends between two.
-    pub async fn hear(&mut self) -> io::Result<Option<Message>> {
+    /// Receives the next complete message; `None` if the peer closes the connection between two messages.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if reading fails, or if the message is malformed, too large or incomplete.
+    pub async fn receive(&mut self) -> io::Result<Option<Message>> {
         loop {
             if let Some((message, used)) = parse(&self.read)? {
                 self.read.drain(..used);
                 return Ok(Some(message));
             }
             if self.stream.read_buf(&mut self.read).await? == 0 {
-                return if self.read.is_empty() { Ok(None) } else { Err(bad("half a message")) };
+                return if self.read.is_empty() {
+                    Ok(None)
+                } else {
+                    Err(bad("connection closed inside a message"))
+                };
             }
         }
     }
 
-    /// Ends it with a reset: what a process that dies does.
+    /// Closes the connection with a reset, as a process does that dies with unread data.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
 
+/// Parses a message at the start of `bytes`. Returns it and its length, or `None` if it is incomplete.
 fn parse(bytes: &[u8]) -> io::Result<Option<(Message, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut message = Message::default();
-    let answer = bytes.starts_with(b"HTTP/");
-    let head = if answer {
+    let is_response = bytes.starts_with(b"HTTP/");
+    let head = if is_response {
         let mut parsed = httparse::Response::new(&mut headers);
         let status = parsed.parse(bytes).map_err(|error| bad(&error.to_string()))?;
         message.status = parsed.code.unwrap_or(0);
@@ -117,7 +145,11 @@
         status
     };
     let httparse::Status::Complete(head) = head else {
-        return if bytes.len() > HEAD_MOST { Err(bad("head too long")) } else { Ok(None) };
+        return if bytes.len() > MAX_HEAD_BYTES {
+            Err(bad(&format!("head longer than {MAX_HEAD_BYTES} bytes")))
+        } else {
+            Ok(None)
+        };
     };
     for header in headers.iter().take_while(|header| !header.name.is_empty()) {
         message
@@ -125,14 +157,14 @@
             .push((header.name.to_owned(), String::from_utf8_lossy(header.value).trim().to_owned()));
     }
     if message.header("transfer-encoding").is_some() {
-        return Err(bad("chunks are not spoken here"));
+        return Err(bad("transfer-encoding is not supported"));
     }
     let length = match message.header("content-length") {
-        Some(text) => text.parse().map_err(|_| bad("bad length"))?,
+        Some(text) => text.parse().map_err(|_| bad(&format!("content-length is not a number: {text}")))?,
         None => 0usize,
     };
-    if length > BODY_MOST {
-        return Err(bad("body too long"));
+    if length > MAX_BODY_BYTES {
+        return Err(bad(&format!("body of {length} bytes, at most {MAX_BODY_BYTES} are allowed")));
     }
     if bytes.len() < head + length {
         return Ok(None);
@@ -141,11 +173,13 @@
     Ok(Some((message, head + length)))
 }
 
-pub fn answer(status: u16, more: &str, body: &str) -> Vec<u8> {
+/// Formats a response; `more` holds complete header lines.
+pub fn response(status: u16, more: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 {status} .\r\n{more}Content-Length: {length}\r\n\r\n{body}").into_bytes()
 }
 
+/// Formats a request; `more` holds complete header lines.
 pub fn request(method: &str, target: &str, more: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("{method} {target} HTTP/1.1\r\nHost: lab\r\n{more}Content-Length: {length}\r\n\r\n{body}")
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -1,11 +1,14 @@
-//! The world on sockets: stand-ins on loopback round the real program, in real time.
+//! Plays a scenario on sockets: runs the real program on loopback, in real time, with emulated clients,
+//! runners and discovery.
 //!
-//! It owns the stand-ins (clients, runners, discovery), the links between them, and the dispatchers' processes.
-//! All of it runs on one thread, so that what is seen is seen in one order. It must never decide anything for a
-//! dispatcher, and where the lab itself was too late to be believed it says so instead of giving figures.
+//! This module owns the emulated parts, the links between them, and the dispatchers' processes. All of it
+//! runs on one thread, so that events are observed in one order. It must never decide anything for a
+//! dispatcher. If the lab itself ran too late for its observations to be reliable, the result is marked void.
 //!
-//! Each dispatcher is told addresses of its own for each runner and for discovery: by the address a stand-in
-//! knows who speaks, and plays that link's delay and faults.
+//! Each dispatcher is configured with separate addresses for each runner and for discovery. The address
+//! identifies the dispatcher to the emulated part, which applies that link's delay and faults.
+//!
+//! Throughout, `d` is the index of a dispatcher and `r` that of a runner.
 
 mod http;
 mod operators;
@@ -31,7 +34,7 @@
 use topazsail::Micros;
 use topazsail_faults::Plan;
 
-use self::http::{Message, Rest, Wire, answer, request};
+use self::http::{Connection, IdleState, Message, request, response};
 use self::process::Process;
 use crate::disks::{Folder, Found, Wrong};
 use crate::judge::{Back, Final, Judge, Seen, Terms};
@@ -42,111 +45,145 @@
 use crate::virtual_clock::runners as of_runners;
 use crate::world::{Change, State, World};
 
-/// What the wire's own way may take beyond what the rules allow: the platform gives as much.
-const ORDER_SLACK: Micros = 50_000;
+/// Tolerance in microseconds on the judge's time limits for the transport through sockets. The platform's own
+/// checks allow as much.
+const RULE_SLACK: Micros = 50_000;
+/// The same for a final answer against the client timeout, in microseconds.
 const ANSWER_SLACK: Micros = 70_000;
-/// Delays under this are less than a timer can keep.
-const NO_DELAY: Micros = 500;
-/// From when all are ready until clients begin.
-const LEAD: Duration = Duration::from_millis(300);
-const READY_WITHIN: Duration = Duration::from_secs(10);
-const TERM_NOTICED: Micros = 300_000;
-const BACK_NOTICED: Micros = 100_000;
-const CALLS_MOST: u32 = 10;
-const AGENT: Micros = 100_000;
-const EMPTY_LINE: Duration = Duration::from_secs(2);
-/// The lab is late where its own timer goes off later than this more often than one in a hundred, or once by
-/// the second figure.
-const LATE: Micros = 20_000;
-const FAR_TOO_LATE: Micros = 250_000;
-const TICK: Micros = 5_000;
-const TRY_BITS: u32 = 4;
-/// Runs that can go on at once in one process.
-const PLAYS_MOST: u8 = 32;
-/// Where this is set, configurations, logs and disks of the dispatchers are left where they were.
-const KEEP: &str = "TOPAZSAIL_LAB_KEEP";
+/// Link delays below this are skipped, in microseconds: timers are not that precise.
+const MIN_DELAY: Micros = 500;
+/// From the moment when all dispatchers are ready until clients start.
+const START_DELAY: Duration = Duration::from_millis(300);
+/// How long a started dispatcher may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// From a SIGTERM until clients stop sending to that dispatcher, in microseconds.
+const TERM_NOTICE_DELAY: Micros = 300_000;
+/// From a dispatcher's start or resumption until clients send to it again, in microseconds.
+const RETURN_NOTICE_DELAY: Micros = 100_000;
+/// Attempts to deliver one call-back.
+const MAX_CALL_BACKS: u32 = 10;
+/// From a runner's end until the loss of its jobs is reported to their dispatchers, in microseconds.
+const LOST_JOB_REPORT_DELAY: Micros = 100_000;
+/// Interval of empty lines on an idle discovery watch.
+const WATCH_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// A run is void if the lab's own timer fires later than this, in microseconds, more than once in a hundred
+/// times.
+const LATE_THRESHOLD: Micros = 20_000;
+/// A run is void if the lab's own timer is later than this even once, in microseconds.
+const MAX_LATENESS: Micros = 250_000;
+/// Interval of the lab's checks of its own lateness, in microseconds.
+const LATENESS_CHECK_INTERVAL: Micros = 5_000;
+/// The low bits of an invocation's id that hold the number of the client's attempt; the rest is the request's
+/// number.
+const ATTEMPT_BITS: u32 = 4;
+/// Runs that may be active at once in one process; each has its own loopback networks.
+const MAX_CONCURRENT_RUNS: u8 = 32;
+/// Environment variable; if it is set, configurations, logs and disks of the dispatchers are kept after the
+/// run.
+const KEEP_VARIABLE: &str = "TOPAZSAIL_LAB_KEEP";
 
-/// What all tasks share; borrowed only between two waits.
-struct Stage {
+/// State shared by all tasks of a run. A borrow must not be held across an await.
+struct Shared {
     scenario: Scenario,
     seed: u64,
     world: World,
     judge: Judge,
     tally: Tally,
-    /// What discovery lists, and every change of it in order.
+    /// Discovery's state of each runner.
     states: Vec<State>,
+    /// Every change of discovery's states in order: generation, runner and new state.
     changes: Vec<(u64, usize, State)>,
+    /// Discovery's current generation.
     generation: u64,
+    /// When discovery has finished its current call.
     discovery_busy: Micros,
-    /// Who waits for a job's end.
+    /// The dispatcher that waits for the end of a job, by runner and invocation.
     owners: BTreeMap<(usize, u64), u32>,
-    /// Counts the lives of each runner's process: connections of an earlier one are reset.
-    lives: Vec<u64>,
-    /// Counts the lives of each dispatcher, odd while it is up.
+    /// Number of process starts of each runner. Connections to an earlier process are reset.
+    runner_boots: Vec<u64>,
+    /// Number of starts and ends of each dispatcher's process; odd while it runs.
     epochs: Vec<u64>,
-    front: Vec<bool>,
-    /// Dispatchers' processes that stand still.
-    still: Vec<bool>,
-    /// Dispatchers that were told to end: clients go on sending on the connections that they have.
-    ending: Vec<bool>,
+    /// Whether clients send to each dispatcher.
+    routable: Vec<bool>,
+    /// Whether each dispatcher's process is suspended by SIGSTOP.
+    suspended: Vec<bool>,
+    /// Whether each dispatcher has received SIGTERM. Clients go on sending on connections that they already
+    /// have.
+    terminating: Vec<bool>,
+    /// Where each dispatcher listens.
     listen: Vec<SocketAddr>,
-    /// Addresses of runners as each dispatcher is told them.
+    /// Addresses of the runners, by dispatcher and runner.
     addresses: Vec<Vec<SocketAddr>>,
+    /// Discovery's address for each dispatcher.
     discoveries: Vec<SocketAddr>,
-    /// Idle connections to dispatchers: clients', and runners'.
-    idle: [Vec<Vec<Wire>>; 2],
-    marks: BTreeMap<(u64, i64), Micros>,
-    network: Pcg32,
-    open: u64,
-    bad_rate: f64,
-    ticks: (u64, u64, Micros),
-    /// When this loop last looked round, and how late it was by then.
-    looked: (Micros, Micros),
+    /// Idle connections to each dispatcher: those of clients, and those of runners.
+    idle: [Vec<Vec<Connection>>; 2],
+    /// When a request's effect was last applied, by request and deduplication scope.
+    deduplication_marks: BTreeMap<(u64, i64), Micros>,
+    /// Draws the links' delays.
+    delay_random: Pcg32,
+    /// Requests of clients that have not ended.
+    open_invocations: u64,
+    /// Malformed requests per second.
+    bad_client_rate: f64,
+    /// Checks of the lab's lateness: all, late ones, and the longest lateness.
+    lateness_checks: (u64, u64, Micros),
+    /// When the event loop last ran its check, and how late its observations were then.
+    last_check: (Micros, Micros),
+    /// Why the run is void.
     void: Vec<String>,
     notes: Vec<String>,
+    /// Dispatchers' processes that ended without a reason.
     crashes: u64,
-    /// Where operators call each dispatcher, and its disk, where it has one.
-    admins: Vec<SocketAddr>,
+    /// Each dispatcher's address for operators; empty without a store.
+    admin_addresses: Vec<SocketAddr>,
+    /// Each dispatcher's disk; empty without a store.
     folders: Vec<Folder>,
-    /// When each was last killed.
-    killed: Vec<Micros>,
-    /// Where each dispatcher hears others, and where each is told to reach each other one.
+    /// When each dispatcher was last killed.
+    killed_at: Vec<Micros>,
+    /// Where each dispatcher receives its peers' datagrams; empty without peers.
     peers: Vec<SocketAddr>,
+    /// Relay addresses, by sender and receiver: where the sender is configured to reach the receiver.
     relays: Vec<Vec<SocketAddr>>,
-    carried: Pcg32,
-    /// Operators' calls that were not answered yes, and those that were.
-    hands: [u64; 2],
-    spoils: Pcg32,
+    /// Draws what the relays do with datagrams.
+    relay_random: Pcg32,
+    /// Operators' calls that were not answered `YES`, and those that were.
+    operator_calls: [u64; 2],
+    /// Draws the damage to disks.
+    disk_random: Pcg32,
 }
 
-impl Stage {
-    /// For how long what is seen now may have been there: this loop has not looked round since, or has just come round
-    /// and is still at what came meanwhile, as everybody on the machine is.
-    fn behind(&self, now: Micros) -> Micros {
-        let (at, late) = self.looked;
-        (now - at - TICK).max(late - (now - at)).max(0)
+impl Shared {
+    /// Returns how long ago something that is observed now may have happened. Either the event loop has not
+    /// run its check since, or it was late and is still processing what arrived meanwhile, like every process
+    /// on a busy machine.
+    fn observation_delay(&self, now: Micros) -> Micros {
+        let (at, late) = self.last_check;
+        (now - at - LATENESS_CHECK_INTERVAL).max(late - (now - at)).max(0)
     }
 
-    /// What came on a wire, which the lab may have been late to look at.
-    fn see(&mut self, now: Micros, seen: Seen) {
-        self.judge.behind = self.behind(now);
+    /// Passes an observation on a connection to the judge, with how late the lab may have been to make it.
+    fn record(&mut self, now: Micros, seen: Seen) {
+        self.judge.behind = self.observation_delay(now);
         self.judge.see(now, seen);
     }
 }
 
+/// One run, as its tasks share it.
 #[derive(Clone)]
 struct Lab {
-    stage: Rc<RefCell<Stage>>,
-    /// When clients begin, by the monotonic clock and as Unix time; far off until all dispatchers are ready.
+    shared: Rc<RefCell<Shared>>,
+    /// When clients start, by the monotonic clock and as Unix time in microseconds; far in the future until
+    /// all dispatchers are ready.
     zero: Rc<Cell<(Instant, Micros)>>,
-    /// Goes up with every change of the world: whoever waits for one looks again.
+    /// Incremented with every change of the world, to wake the tasks that wait for one.
     changed: watch::Sender<u64>,
-    /// One for each runner: its work has changed.
-    stirred: Rc<Vec<tokio::sync::Notify>>,
+    /// One for each runner, notified when its work has changed.
+    runner_changed: Rc<Vec<tokio::sync::Notify>>,
 }
 
 impl Lab {
-    /// Microseconds since clients began; before that, below zero.
+    /// Microseconds since clients started; negative before that.
     fn now(&self) -> Micros {
         let now = Instant::now();
         let zero = self.zero.get().0;
@@ -156,61 +193,76 @@
         }
     }
 
-    fn see(&self, seen: Seen) {
+    /// Passes an observation to the judge.
+    fn record(&self, seen: Seen) {
         let now = self.now();
-        self.stage.borrow_mut().see(now, seen);
+        self.shared.borrow_mut().record(now, seen);
     }
 
-    async fn until(&self, at: Micros) {
+    /// Waits until a time of the run.
+    async fn sleep_until(&self, at: Micros) {
         let left = at - self.now();
         if left > 0 {
             sleep(Duration::from_micros(left as u64)).await;
         }
     }
 
-    /// Waits while `holds`, looking again at every change.
-    async fn wait_while(&self, holds: impl Fn(&Stage) -> bool) {
+    /// Waits while `holds` returns true, checking at every change of the world.
+    async fn wait_while(&self, holds: impl Fn(&Shared) -> bool) {
         let mut changed = self.changed.subscribe();
-        while holds(&self.stage.borrow()) {
+        while holds(&self.shared.borrow()) {
             if changed.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// The way of bytes between two zones: the delay, and as long as the link is cut.
-    async fn pass(&self, from: usize, to: usize) {
+    /// Waits as long as bytes take between two zones: the link's delay, and then until the link is not cut.
+    async fn traverse_link(&self, from: usize, to: usize) {
         let delay = {
-            let stage = &mut *self.stage.borrow_mut();
-            World::delay(&stage.scenario, from, to, stage.network.random())
+            let shared = &mut *self.shared.borrow_mut();
+            World::delay(&shared.scenario, from, to, shared.delay_random.random())
         };
-        if delay >= NO_DELAY {
+        if delay >= MIN_DELAY {
             sleep(Duration::from_micros(delay as u64)).await;
         }
-        self.wait_while(|stage| !stage.world.linked(from, to)).await;
+        self.wait_while(|shared| !shared.world.linked(from, to)).await;
     }
 
+    /// Returns the zone of a dispatcher.
     fn zone_of(&self, d: u32) -> usize {
-        d as usize % self.stage.borrow().world.zones
+        d as usize % self.shared.borrow().world.zones
     }
 }
 
+/// Formats a load report as runners send it.
 fn load_json(load: Load) -> serde_json::Value {
     json!({"x0": load.free, "backlog": load.waiting, "outstanding": load.in_flight})
 }
 
-/// Plays a scenario against `program` and gives the figures. Real time: as long as the scenario, and some.
+/// Plays a scenario against `program` in real time and returns the outcome. Takes somewhat longer than the
+/// scenario.
+///
+/// # Errors
+///
+/// Returns an error if the program cannot be started or does not become ready, or if the lab cannot create
+/// its files and sockets.
 pub fn play(
     scenario: &Scenario,
     program: &Path,
     seed: u64,
     progress: &dyn Fn(f64),
 ) -> Result<Outcome, String> {
-    play_failing(scenario, program, seed, &[], progress)
+    play_with_fault_plans(scenario, program, seed, &[], progress)
 }
 
-/// The same, with system calls of the dispatchers that fail: by the plans in turn, or not at all where there are none.
-pub fn play_failing(
+/// Plays a scenario like [`play`], with injected failures of the dispatchers' system calls. Dispatcher `d`
+/// uses plan `d % plans.len()`; without plans nothing is injected.
+///
+/// # Errors
+///
+/// Returns the errors of [`play`], and an error if the fault shim cannot be built.
+pub fn play_with_fault_plans(
     scenario: &Scenario,
     program: &Path,
     seed: u64,
@@ -218,24 +270,29 @@
     progress: &dyn Fn(f64),
 ) -> Result<Outcome, String> {
     if !program.is_file() {
-        return Err(format!("{}: no such program; build it or name it with --program", program.display()));
+        return Err(format!(
+            "{}: no such program; build it or give its path with --program",
+            program.display()
+        ));
     }
     let folder = tempfile::Builder::new().prefix("topazsail-lab-").tempdir();
-    let mut folder = folder.map_err(|error| format!("no folder for the dispatchers' files: {error}"))?;
-    // For a look at logs and disks afterwards.
-    if std::env::var_os(KEEP).is_some() {
+    let mut folder =
+        folder.map_err(|error| format!("cannot create a directory for the dispatchers' files: {error}"))?;
+    // Logs and disks can be inspected after the run.
+    if std::env::var_os(KEEP_VARIABLE).is_some() {
         folder.disable_cleanup(true);
         eprintln!("{} seed {seed}: {}", scenario.name, folder.path().display());
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
+    let runtime = runtime.map_err(|error| format!("cannot create the async runtime: {error}"))?;
     let local = tokio::task::LocalSet::new();
     let played = local.block_on(&runtime, run(scenario, program, seed, (folder.path(), plans), progress));
     drop(local);
     played
 }
 
-async fn bound(ip: Ipv4Addr) -> Result<(TcpListener, SocketAddr), String> {
+/// Listens at a free port of `ip`.
+async fn bind(ip: Ipv4Addr) -> Result<(TcpListener, SocketAddr), String> {
     let fault = |error: io::Error| format!("listen {ip}: {error}");
     let listener = TcpListener::bind((ip, 0)).await.map_err(fault)?;
     let address = listener.local_addr().map_err(fault)?;
@@ -249,328 +306,342 @@
     (folder, plans): (&Path, &[Plan]),
     progress: &dyn Fn(f64),
 ) -> Result<Outcome, String> {
-    // Addresses of this lab's own: nobody else is given a port that was free a moment ago.
-    // Runs of one process at once have their own as well: dispatchers share a port that two are told.
-    static PLAYS: AtomicU8 = AtomicU8::new(0);
+    // The addresses derive from the process id, so that no other process can take a port between its
+    // reservation here and the dispatcher's bind. Concurrent runs of one process use different networks as
+    // well: dispatchers that were given the same port would share it.
+    static RUNS: AtomicU8 = AtomicU8::new(0);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let first = 64 + PLAYS.fetch_add(1, Ordering::Relaxed) % PLAYS_MOST * 4;
+    let first = 64 + RUNS.fetch_add(1, Ordering::Relaxed) % MAX_CONCURRENT_RUNS * 4;
     let ip = |net: u8| Ipv4Addr::new(127, first + net, high, low | 1);
     let world = World::new(scenario, seed);
-    let (d_all, r_all) = (scenario.dispatchers as usize, scenario.runners());
+    let (dispatcher_count, runner_count) = (scenario.dispatchers as usize, scenario.runners());
     let mut listeners = Vec::new();
-    let mut held = Vec::new();
+    let mut reserved = Vec::new();
     let (mut addresses, mut discoveries, mut listen) = (Vec::new(), Vec::new(), Vec::new());
-    for _ in 0..d_all {
+    for _ in 0..dispatcher_count {
         let mut row = Vec::new();
-        for _ in 0..r_all {
-            let (listener, address) = bound(ip(0)).await?;
+        for _ in 0..runner_count {
+            let (listener, address) = bind(ip(0)).await?;
             listeners.push(Some(listener));
             row.push(address);
         }
         addresses.push(row);
-        discoveries.push(bound(ip(1)).await?);
-        let (listener, address) = bound(ip(2)).await?;
-        held.push(listener);
+        discoveries.push(bind(ip(1)).await?);
+        let (listener, address) = bind(ip(2)).await?;
+        reserved.push(listener);
         listen.push(address);
     }
-    let (mut admins, mut folders) = (Vec::new(), Vec::new());
-    for d in 0..if scenario.store.is_some() { d_all } else { 0 } {
-        let (listener, address) = bound(ip(3)).await?;
-        held.push(listener);
-        admins.push(address);
-        let at = folder.join(format!("d{d}-store"));
-        let made = Folder::new(at, seed ^ (d as u64) << 32);
-        folders.push(made.map_err(|error| format!("no folder for d{d}: {error}"))?);
+    let (mut admin_addresses, mut folders) = (Vec::new(), Vec::new());
+    for d in 0..if scenario.store.is_some() { dispatcher_count } else { 0 } {
+        let (listener, address) = bind(ip(3)).await?;
+        reserved.push(listener);
+        admin_addresses.push(address);
+        let path = folder.join(format!("d{d}-store"));
+        let created = Folder::new(path, seed ^ (d as u64) << 32);
+        folders
+            .push(created.map_err(|error| format!("cannot create the disk's directory of d{d}: {error}"))?);
     }
-    let (mut peers, mut relays, mut relay_sockets, mut held_peers) =
+    let (mut peers, mut relays, mut relay_sockets, mut reserved_peers) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-    for _ in 0..if scenario.store.as_ref().is_some_and(|store| store.peers) { d_all } else { 0 } {
-        let socket = relay::bound(ip(3)).await?;
+    for _ in 0..if scenario.store.as_ref().is_some_and(|store| store.peers) { dispatcher_count } else { 0 } {
+        let socket = relay::bind(ip(3)).await?;
         peers.push(relay::address(&socket)?);
-        held_peers.push(socket);
+        reserved_peers.push(socket);
         let mut row = Vec::new();
-        for _ in 0..d_all {
-            let socket = relay::bound(ip(3)).await?;
+        for _ in 0..dispatcher_count {
+            let socket = relay::bind(ip(3)).await?;
             row.push(relay::address(&socket)?);
             relay_sockets.push(Rc::new(socket));
         }
         relays.push(row);
     }
-    drop(held_peers);
-    // Only now: a port that is free again could be given twice.
-    drop(held);
-    let terms = Terms::of(scenario, world.places(), ORDER_SLACK, ANSWER_SLACK);
-    let stage = Stage {
+    drop(reserved_peers);
+    // Released only after all ports were chosen: a port that is free again could be chosen twice.
+    drop(reserved);
+    let terms = Terms::of(scenario, world.places(), RULE_SLACK, ANSWER_SLACK);
+    let shared = Shared {
         judge: Judge::new(terms),
         tally: Tally::new(scenario),
-        states: vec![State::Up; r_all],
+        states: vec![State::Up; runner_count],
         changes: Vec::new(),
         generation: 1,
         discovery_busy: Micros::MIN,
         owners: BTreeMap::new(),
-        lives: vec![0; r_all],
-        epochs: vec![0; d_all],
-        front: vec![true; d_all],
-        still: vec![false; d_all],
-        ending: vec![false; d_all],
+        runner_boots: vec![0; runner_count],
+        epochs: vec![0; dispatcher_count],
+        routable: vec![true; dispatcher_count],
+        suspended: vec![false; dispatcher_count],
+        terminating: vec![false; dispatcher_count],
         listen,
         addresses,
         discoveries: discoveries.iter().map(|(_, address)| *address).collect(),
-        idle: [(0..d_all).map(|_| Vec::new()).collect(), (0..d_all).map(|_| Vec::new()).collect()],
-        marks: BTreeMap::new(),
-        network: chance(seed, 5),
-        open: 0,
-        bad_rate: 0.0,
-        ticks: (0, 0, 0),
-        looked: (0, 0),
+        idle: [
+            (0..dispatcher_count).map(|_| Vec::new()).collect(),
+            (0..dispatcher_count).map(|_| Vec::new()).collect(),
+        ],
+        deduplication_marks: BTreeMap::new(),
+        delay_random: chance(seed, 5),
+        open_invocations: 0,
+        bad_client_rate: 0.0,
+        lateness_checks: (0, 0, 0),
+        last_check: (0, 0),
         void: Vec::new(),
         notes: Vec::new(),
         crashes: 0,
-        admins,
+        admin_addresses,
         folders,
-        killed: vec![0; d_all],
+        killed_at: vec![0; dispatcher_count],
         peers,
         relays,
-        carried: chance(seed, 11),
-        hands: [0; 2],
-        spoils: chance(seed, 8),
+        relay_random: chance(seed, 11),
+        operator_calls: [0; 2],
+        disk_random: chance(seed, 8),
         scenario: scenario.clone(),
         seed,
         world,
     };
     let lab = Lab {
-        stage: Rc::new(RefCell::new(stage)),
+        shared: Rc::new(RefCell::new(shared)),
         zero: Rc::new(Cell::new((Instant::now() + Duration::from_secs(3600), 0))),
         changed: watch::channel(0).0,
-        stirred: Rc::new((0..r_all).map(|_| tokio::sync::Notify::new()).collect()),
+        runner_changed: Rc::new((0..runner_count).map(|_| tokio::sync::Notify::new()).collect()),
     };
-    for d in 0..d_all {
-        for r in 0..r_all {
-            spawn_local(runner_port(lab.clone(), d as u32, r, listeners[d * r_all + r].take()));
+    for d in 0..dispatcher_count {
+        for r in 0..runner_count {
+            spawn_local(serve_runner_port(lab.clone(), d as u32, r, listeners[d * runner_count + r].take()));
         }
     }
-    relay::start(&lab, &relay_sockets, d_all);
+    relay::start(&lab, &relay_sockets, dispatcher_count);
     for (d, (listener, _)) in discoveries.into_iter().enumerate() {
-        spawn_local(discovery_port(lab.clone(), d as u32, listener));
+        spawn_local(serve_discovery_port(lab.clone(), d as u32, listener));
     }
-    for r in 0..r_all {
-        spawn_local(drive(lab.clone(), r));
+    for r in 0..runner_count {
+        spawn_local(drive_runner(lab.clone(), r));
     }
     let mut processes = Vec::new();
-    for d in 0..d_all as u32 {
+    for d in 0..dispatcher_count as u32 {
         let plan = (!plans.is_empty()).then(|| plans[d as usize % plans.len()].clone());
-        let mut process = Process::new(d, program, folder).fails_by(plan);
-        begin(&lab, &mut process)?;
+        let mut process = Process::new(d, program, folder).with_fault_plan(plan);
+        start_dispatcher(&lab, &mut process)?;
         processes.push(process);
     }
     for process in &mut processes {
-        ready(&lab, process).await?;
+        wait_until_ready(&lab, process).await?;
     }
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + LEAD;
-    lab.zero.set((Instant::now() + LEAD, unix.as_micros() as Micros));
-    spawn_local(keep_time(lab.clone()));
-    spawn_local(bring(lab.clone()));
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + START_DELAY;
+    lab.zero.set((Instant::now() + START_DELAY, unix.as_micros() as Micros));
+    spawn_local(measure_lateness(lab.clone()));
+    spawn_local(generate_load(lab.clone()));
     spawn_local(bad_clients(lab.clone()));
     if scenario.store.is_some() {
-        spawn_local(operators::hands(lab.clone()));
-        (0..d_all).for_each(|d| _ = spawn_local(operators::asks(lab.clone(), d as u32)));
+        spawn_local(operators::toggle_admin_overrides(lab.clone()));
+        (0..dispatcher_count).for_each(|d| _ = spawn_local(operators::poll_status(lab.clone(), d as u32)));
     }
-    let processes = conduct(&lab, processes, progress).await?;
+    let processes = run_schedule(&lab, processes, progress).await?;
 
-    // A last look at every connection that a client kept.
-    (0..d_all).for_each(|d| while kept(&lab, 0, d).is_some() {});
+    // Checks every idle connection of clients for unexpected data a last time.
+    (0..dispatcher_count).for_each(|d| while reusable_connection(&lab, 0, d).is_some() {});
     let now = lab.now();
-    let stage = &mut *lab.stage.borrow_mut();
-    stage.judge.finish(now);
-    let (ticks, late, most) = stage.ticks;
-    if late * 100 > ticks || most > FAR_TOO_LATE {
-        stage.void.push(format!(
-            "the lab was late: {late} of {ticks} times by over {} ms, {} ms at most",
-            LATE / 1000,
-            most / 1000
+    let shared = &mut *lab.shared.borrow_mut();
+    shared.judge.finish(now);
+    let (checks, late, longest) = shared.lateness_checks;
+    if late * 100 > checks || longest > MAX_LATENESS {
+        shared.void.push(format!(
+            "the lab was late: {late} of {checks} times by over {} ms, {} ms at most",
+            LATE_THRESHOLD / 1000,
+            longest / 1000
         ));
     }
-    if let [refused, done] = stage.hands
+    if let [refused, done] = shared.operator_calls
         && refused + done > 0
     {
-        stage.notes.push(format!("operators' calls: {done} answered yes, {refused} not"));
+        shared.notes.push(format!("operators' calls: {done} answered yes, {refused} not"));
     }
     let about = About {
         clock: "sockets".to_owned(),
         program: program.display().to_string(),
         seed,
-        runners: of_runners(scenario, &stage.world, &stage.tally.forwards),
-        faults: std::mem::take(&mut stage.world.bands),
-        cold: (stage.judge.cold_sent, stage.judge.cold_most),
-        cold_calls: stage.judge.cold_calls,
-        verdict: std::mem::take(&mut stage.judge.verdict),
-        void: std::mem::take(&mut stage.void),
+        runners: of_runners(scenario, &shared.world, &shared.tally.forwards),
+        faults: std::mem::take(&mut shared.world.bands),
+        cold: (shared.judge.cold_sent, shared.judge.cold_most),
+        cold_calls: shared.judge.cold_calls,
+        verdict: std::mem::take(&mut shared.judge.verdict),
+        void: std::mem::take(&mut shared.void),
         processes,
-        notes: std::mem::take(&mut stage.notes),
+        notes: std::mem::take(&mut shared.notes),
     };
-    let tally = std::mem::replace(&mut stage.tally, Tally::new(scenario));
+    let tally = std::mem::replace(&mut shared.tally, Tally::new(scenario));
     let mut outcome = tally.outcome(scenario, about);
-    if stage.crashes > 0 {
-        outcome.broken.insert("crashed".to_owned(), stage.crashes);
+    if shared.crashes > 0 {
+        outcome.broken.insert("crashed".to_owned(), shared.crashes);
     }
     Ok(outcome)
 }
 
 // Dispatchers.
 
-/// Writes a dispatcher's configuration and starts it.
-fn begin(lab: &Lab, process: &mut Process) -> Result<(), String> {
+/// Writes a dispatcher's configuration and starts its process.
+fn start_dispatcher(lab: &Lab, process: &mut Process) -> Result<(), String> {
     let d = process.number;
-    let known = list(lab, d, None);
-    let stage = &mut *lab.stage.borrow_mut();
-    let nth = d as usize;
-    let told = Told {
+    let roster = roster_json(lab, d, None);
+    let shared = &mut *lab.shared.borrow_mut();
+    let index = d as usize;
+    let parameters = Told {
         number: d,
-        zone: stage.scenario.zones.names[nth % stage.world.zones].clone(),
-        seed: chance(stage.seed, 1 << 41 | u64::from(d) << 8 | stage.epochs[nth]).random(),
-        listen: stage.listen[nth].to_string(),
-        discovery: stage.discoveries[nth].to_string(),
-        known,
-        kept: stage.folders.get(nth).map(|folder| Kept {
+        zone: shared.scenario.zones.names[index % shared.world.zones].clone(),
+        seed: chance(shared.seed, 1 << 41 | u64::from(d) << 8 | shared.epochs[index]).random(),
+        listen: shared.listen[index].to_string(),
+        discovery: shared.discoveries[index].to_string(),
+        known: roster,
+        kept: shared.folders.get(index).map(|folder| Kept {
             folder: folder.path().display().to_string(),
-            admin: stage.admins[nth].to_string(),
-            peers: stage.peers.get(nth).map(|at| {
-                let others = stage.relays[nth].iter().enumerate().filter(|(other, _)| *other != nth);
+            admin: shared.admin_addresses[index].to_string(),
+            peers: shared.peers.get(index).map(|at| {
+                let others = shared.relays[index].iter().enumerate().filter(|(other, _)| *other != index);
                 (at.to_string(), others.map(|(other, at)| (format!("d{other}"), at.to_string())).collect())
             }),
         }),
     };
-    process.configure(&stage.scenario.configuration(&told))?;
+    process.write_configuration(&shared.scenario.configuration(&parameters))?;
     process.start()?;
-    stage.epochs[nth] += 1;
+    shared.epochs[index] += 1;
     let now = lab.now();
-    stage.judge.see(now, Seen::Began { dispatcher: d });
+    shared.judge.see(now, Seen::Began { dispatcher: d });
     Ok(())
 }
 
-async fn ready(lab: &Lab, process: &mut Process) -> Result<(), String> {
-    let address = lab.stage.borrow().listen[process.number as usize];
-    let until = Instant::now() + READY_WITHIN;
+/// Waits until a dispatcher answers its health check with 200.
+async fn wait_until_ready(lab: &Lab, process: &mut Process) -> Result<(), String> {
+    let address = lab.shared.borrow().listen[process.number as usize];
+    let until = Instant::now() + READY_TIMEOUT;
     loop {
-        if let Some(code) = process.ended() {
-            return Err(format!("d{} ended at once with {code:?}: {}", process.number, process.last_words()));
+        if let Some(code) = process.take_exit_code() {
+            return Err(format!("d{} ended at once with {code:?}: {}", process.number, process.log_tail()));
         }
         if let Ok(stream) = TcpStream::connect(address).await {
-            let mut wire = Wire::new(stream);
-            let _ = wire.say(&request("GET", "/healthz", "Connection: close\r\n", "")).await;
-            if matches!(wire.hear().await, Ok(Some(Message { status: 200, .. }))) {
+            let mut connection = Connection::new(stream);
+            let _ = connection.send(&request("GET", "/healthz", "Connection: close\r\n", "")).await;
+            if matches!(connection.receive().await, Ok(Some(Message { status: 200, .. }))) {
                 return Ok(());
             }
         }
         if Instant::now() > until {
-            return Err(format!("d{} was not ready within {READY_WITHIN:?}", process.number));
+            return Err(format!("d{} was not ready within {READY_TIMEOUT:?}", process.number));
         }
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Plays the schedule, and waits until all is answered.
-async fn conduct(
+/// Applies the scenario's schedule of changes, waits until all requests have ended, and stops the
+/// dispatchers. Returns their resource usage.
+async fn run_schedule(
     lab: &Lab,
     mut processes: Vec<Process>,
     progress: &dyn Fn(f64),
 ) -> Result<Vec<crate::tally::Process>, String> {
     let (schedule, length, longest) = {
-        let stage = lab.stage.borrow();
-        let longest = stage.scenario.operation.iter().map(|op| op.client_timeout.0).max().unwrap_or(0);
-        (stage.world.schedule.clone(), stage.scenario.length.0, longest)
+        let shared = lab.shared.borrow();
+        let longest = shared.scenario.operation.iter().map(|op| op.client_timeout.0).max().unwrap_or(0);
+        (shared.world.schedule.clone(), shared.scenario.length.0, longest)
     };
     let mut schedule = schedule.into_iter().peekable();
-    let mut killed = vec![false; processes.len()];
+    let mut terminating = vec![false; processes.len()];
     loop {
         let now = lab.now();
         while let Some((_, change)) = schedule.next_if(|(at, _)| *at <= now) {
-            apply(lab, &change, &mut processes, &mut killed)?;
+            apply_change(lab, &change, &mut processes, &mut terminating)?;
         }
-        for (process, killed) in processes.iter_mut().zip(&mut killed) {
-            if let Some(code) = process.ended() {
-                let stage = &mut *lab.stage.borrow_mut();
-                stage.epochs[process.number as usize] += 1;
-                stage.ending[process.number as usize] = false;
-                // After SIGTERM it may end by itself, as long as it owes nothing.
-                if !std::mem::replace(killed, false) || code != Some(0) {
-                    stage.crashes += 1;
-                    let line = format!("d{} ended with {code:?}: {}", process.number, process.last_words());
-                    stage.notes.push(line);
+        for (process, terminating) in processes.iter_mut().zip(&mut terminating) {
+            if let Some(code) = process.take_exit_code() {
+                let shared = &mut *lab.shared.borrow_mut();
+                shared.epochs[process.number as usize] += 1;
+                shared.terminating[process.number as usize] = false;
+                // After SIGTERM it may exit with code 0, once it has no unanswered invocations.
+                if !std::mem::replace(terminating, false) || code != Some(0) {
+                    shared.crashes += 1;
+                    let line = format!("d{} ended with {code:?}: {}", process.number, process.log_tail());
+                    shared.notes.push(line);
                 }
             }
         }
         progress((now as f64 / length as f64).clamp(0.0, 1.0));
-        let open = lab.stage.borrow().open;
+        let open = lab.shared.borrow().open_invocations;
         if now > length + longest + 1_000_000 || now > length && open == 0 && schedule.peek().is_none() {
             break;
         }
         let next = schedule.peek().map_or(now + 20_000, |(at, _)| (*at).min(now + 20_000));
-        lab.until(next.max(now + 1000)).await;
+        lab.sleep_until(next.max(now + 1000)).await;
     }
-    // A last word to each: it is to end by itself and leave nothing.
+    // Every dispatcher must exit by itself after SIGTERM.
     for process in &mut processes {
-        process.look();
+        process.sample_usage();
         process.signal(libc::SIGTERM);
     }
     let until = Instant::now() + Duration::from_secs(6);
-    while processes.iter().any(Process::runs) && Instant::now() < until {
+    while processes.iter().any(Process::is_running) && Instant::now() < until {
         for process in &mut processes {
-            process.look();
-            if let Some(code) = process.ended().filter(|code| *code != Some(0)) {
+            process.sample_usage();
+            if let Some(code) = process.take_exit_code().filter(|code| *code != Some(0)) {
                 let line = format!("d{} ended with {code:?} after SIGTERM", process.number);
-                lab.stage.borrow_mut().notes.push(line);
+                lab.shared.borrow_mut().notes.push(line);
             }
         }
         sleep(Duration::from_millis(20)).await;
     }
-    for process in processes.iter_mut().filter(|process| process.runs()) {
-        lab.stage.borrow_mut().notes.push(format!("d{} did not end after SIGTERM", process.number));
+    for process in processes.iter_mut().filter(|process| process.is_running()) {
+        lab.shared.borrow_mut().notes.push(format!("d{} did not end after SIGTERM", process.number));
         process.kill();
     }
-    Ok(processes.iter().map(Process::used).collect())
+    Ok(processes.iter().map(Process::usage).collect())
 }
 
-fn apply(lab: &Lab, change: &Change, processes: &mut [Process], ending: &mut [bool]) -> Result<(), String> {
+/// Applies a scheduled change to the processes, the disks and the world. `terminating` marks dispatchers that
+/// received SIGTERM.
+fn apply_change(
+    lab: &Lab,
+    change: &Change,
+    processes: &mut [Process],
+    terminating: &mut [bool],
+) -> Result<(), String> {
     let now = lab.now();
     match *change {
         Change::Term(d) => {
-            ending[d as usize] = true;
-            lab.stage.borrow_mut().ending[d as usize] = true;
+            terminating[d as usize] = true;
+            lab.shared.borrow_mut().terminating[d as usize] = true;
             processes[d as usize].signal(libc::SIGTERM);
-            front(lab, d, false, TERM_NOTICED);
+            update_routing(lab, d, false, TERM_NOTICE_DELAY);
         }
         Change::Kill(d) => {
-            ending[d as usize] = false;
-            if processes[d as usize].runs() {
+            terminating[d as usize] = false;
+            if processes[d as usize].is_running() {
                 processes[d as usize].kill();
-                lab.stage.borrow_mut().epochs[d as usize] += 1;
-                lab.stage.borrow_mut().still[d as usize] = false;
-                lab.stage.borrow_mut().ending[d as usize] = false;
-                lab.stage.borrow_mut().killed[d as usize] = now;
-                let notice = lab.stage.borrow().scenario.clients.front_notice.0;
-                front(lab, d, false, notice);
+                lab.shared.borrow_mut().epochs[d as usize] += 1;
+                lab.shared.borrow_mut().suspended[d as usize] = false;
+                lab.shared.borrow_mut().terminating[d as usize] = false;
+                lab.shared.borrow_mut().killed_at[d as usize] = now;
+                let notice = lab.shared.borrow().scenario.clients.front_notice.0;
+                update_routing(lab, d, false, notice);
             }
         }
         Change::Begin(d) => {
-            begin(lab, &mut processes[d as usize])?;
-            front(lab, d, true, BACK_NOTICED);
+            start_dispatcher(lab, &mut processes[d as usize])?;
+            update_routing(lab, d, true, RETURN_NOTICE_DELAY);
         }
         Change::Still(d, still) => {
             let process = &processes[d as usize];
             process.signal(if still { libc::SIGSTOP } else { libc::SIGCONT });
-            if process.runs() {
+            if process.is_running() {
                 let now = lab.now();
-                let stage = &mut *lab.stage.borrow_mut();
-                stage.judge.see(now, Seen::Still { dispatcher: d, still });
-                stage.still[d as usize] = still;
+                let shared = &mut *lab.shared.borrow_mut();
+                shared.judge.see(now, Seen::Still { dispatcher: d, still });
+                shared.suspended[d as usize] = still;
             }
-            let notice = lab.stage.borrow().scenario.clients.front_notice.0;
-            front(lab, d, !still, if still { notice } else { BACK_NOTICED });
+            let notice = lab.shared.borrow().scenario.clients.front_notice.0;
+            update_routing(lab, d, !still, if still { notice } else { RETURN_NOTICE_DELAY });
         }
         Change::Wrong(d, wrong, slow, on) => {
-            let stage = &mut *lab.stage.borrow_mut();
-            let folder = &mut stage.folders[d as usize];
+            let shared = &mut *lab.shared.borrow_mut();
+            let folder = &mut shared.folders[d as usize];
             match wrong {
                 Wrong::Full => folder.ailment.full = on,
                 Wrong::ReadOnly => folder.ailment.read_only = on,
@@ -580,124 +651,133 @@
             folder.tell().map_err(|error| format!("disk of d{d}: {error}"))?;
         }
         Change::Save(d) => {
-            let stage = &mut *lab.stage.borrow_mut();
-            stage.folders[d as usize].save().map_err(|error| format!("disk of d{d}: {error}"))?;
+            let shared = &mut *lab.shared.borrow_mut();
+            shared.folders[d as usize].save().map_err(|error| format!("disk of d{d}: {error}"))?;
         }
         Change::Find(d, found, power, all) => {
-            find(lab, d, (found, power, all), processes[d as usize].runs())?;
+            restore_disk(lab, d, (found, power, all), processes[d as usize].is_running())?;
         }
         Change::Reload => {
-            for process in processes.iter().filter(|process| process.runs()) {
+            for process in processes.iter().filter(|process| process.is_running()) {
                 process.signal(libc::SIGHUP);
             }
         }
-        Change::BadClients(rate) => lab.stage.borrow_mut().bad_rate = rate,
+        Change::BadClients(rate) => lab.shared.borrow_mut().bad_client_rate = rate,
         _ => {}
     }
-    let follows = lab.stage.borrow_mut().world.apply(now, change);
+    let follows = lab.shared.borrow_mut().world.apply(now, change);
     for r in follows.reset {
-        lab.stage.borrow_mut().lives[r] += 1;
+        lab.shared.borrow_mut().runner_boots[r] += 1;
     }
     for (r, inv) in follows.lost {
-        let owner = lab.stage.borrow_mut().owners.remove(&(r, inv));
-        if let Some(d) = owner.filter(|_| lab.stage.borrow().world.runners[r].life == Life::Down) {
+        let owner = lab.shared.borrow_mut().owners.remove(&(r, inv));
+        if let Some(d) = owner.filter(|_| lab.shared.borrow().world.runners[r].life == Life::Down) {
             let lab = lab.clone();
             spawn_local(async move {
-                sleep(Duration::from_micros(AGENT as u64)).await;
+                sleep(Duration::from_micros(LOST_JOB_REPORT_DELAY as u64)).await;
                 call_back(&lab, r, d, inv, "lost", None, Some(Back::MayHaveRun)).await;
             });
         }
     }
     for (r, inv, news) in follows.news {
-        tell(lab, r, inv, news);
+        report_job_event(lab, r, inv, news);
     }
     for (r, state, after) in follows.listed {
         let lab = lab.clone();
         spawn_local(async move {
             sleep(Duration::from_micros(after as u64)).await;
-            list_change(&lab, r, state);
+            publish_change(&lab, r, state);
         });
     }
     lab.changed.send_modify(|count| *count += 1);
-    lab.stirred.iter().for_each(tokio::sync::Notify::notify_one);
+    lab.runner_changed.iter().for_each(tokio::sync::Notify::notify_one);
     Ok(())
 }
 
-/// The disk as the next life of a dispatcher finds it.
-fn find(lab: &Lab, d: u32, (found, power, all): (Found, bool, bool), runs: bool) -> Result<(), String> {
-    let unix = lab.zero.get().1 + lab.now();
+/// Puts a dispatcher's disk into the state in which its next process finds it. `power` means that its machine
+/// lost power, `all` that the disks of all dispatchers are treated alike.
+fn restore_disk(
+    lab: &Lab,
+    d: u32,
+    (found, power, all): (Found, bool, bool),
+    runs: bool,
+) -> Result<(), String> {
+    let unix_now = lab.zero.get().1 + lab.now();
     let now = lab.now();
-    let stage = &mut *lab.stage.borrow_mut();
-    // Outages overlap: it is up, or is not back yet.
-    if stage.folders.is_empty() || runs {
+    let shared = &mut *lab.shared.borrow_mut();
+    // Outages may overlap, so that the process may still be running.
+    if shared.folders.is_empty() || runs {
         return Ok(());
     }
-    let (nth, count) = (d as usize, stage.folders.len());
-    let ailment = &mut stage.folders[nth].ailment;
+    let (index, count) = (d as usize, shared.folders.len());
+    let ailment = &mut shared.folders[index].ailment;
     ailment.seed = ailment.seed.wrapping_add(1);
     if power {
-        // Power was away for a moment, and since then the machine has been starting.
-        (ailment.life, ailment.up_since) = (ailment.life + 1, unix - (now - stage.killed[nth]));
+        // The machine has been starting since the loss of power.
+        (ailment.life, ailment.up_since) = (ailment.life + 1, unix_now - (now - shared.killed_at[index]));
     }
-    let other = Some(&stage.folders[(nth + 1) % count]).filter(|_| count > 1);
-    let done = stage.folders[nth].find(found, other, &mut stage.spoils);
-    let told = done.and_then(|()| stage.folders[nth].tell());
-    // Where others still know, it can be told by them.
-    let store = stage.scenario.store.as_ref();
+    let other = Some(&shared.folders[(index + 1) % count]).filter(|_| count > 1);
+    let changed = shared.folders[index].find(found, other, &mut shared.disk_random);
+    let written = changed.and_then(|()| shared.folders[index].tell());
+    // A lost state is excused only if no peer can supply it.
+    let store = shared.scenario.store.as_ref();
     let excused = store.is_some_and(|store| store.excused && (all || !store.peers));
     if found != Found::Kept && excused {
-        stage.judge.see(now, Seen::Forgets { dispatcher: d });
+        shared.judge.see(now, Seen::Forgets { dispatcher: d });
     }
-    told.map_err(|error| format!("disk of d{d}: {error}"))
+    written.map_err(|error| format!("disk of d{d}: {error}"))
 }
 
-/// The front's view of a dispatcher, after a while, unless it has another life by then.
-fn front(lab: &Lab, d: u32, up: bool, after: Micros) {
+/// Makes clients send to a dispatcher, or stop sending to it, after a delay. Has no effect if its process was
+/// restarted meanwhile.
+fn update_routing(lab: &Lab, d: u32, up: bool, after: Micros) {
     let lab = lab.clone();
-    let (epoch, still) = (lab.stage.borrow().epochs[d as usize], lab.stage.borrow().still[d as usize]);
+    let (epoch, suspended) =
+        (lab.shared.borrow().epochs[d as usize], lab.shared.borrow().suspended[d as usize]);
     spawn_local(async move {
         sleep(Duration::from_micros(after as u64)).await;
-        let stage = &mut *lab.stage.borrow_mut();
-        // Who went on before it was noticed was never missed.
-        let missed = stage.still[d as usize] == still;
-        if stage.epochs[d as usize] == epoch && missed {
-            stage.front[d as usize] = up;
+        let shared = &mut *lab.shared.borrow_mut();
+        // A process that resumed before the clients noticed its suspension stays routable.
+        let unchanged = shared.suspended[d as usize] == suspended;
+        if shared.epochs[d as usize] == epoch && unchanged {
+            shared.routable[d as usize] = up;
         }
     });
 }
 
 // Discovery.
 
-fn list_change(lab: &Lab, r: usize, state: State) {
+/// Changes discovery's state of a runner and notifies the watches.
+fn publish_change(lab: &Lab, r: usize, state: State) {
     let now = lab.now();
-    let stage = &mut *lab.stage.borrow_mut();
-    let runner = &stage.world.runners[r];
-    // What has been overtaken by a new start is passed over.
+    let shared = &mut *lab.shared.borrow_mut();
+    let runner = &shared.world.runners[r];
+    // A state that is outdated because the runner was started again is ignored.
     if state != State::Up && runner.life == Life::Up && !runner.draining {
         return;
     }
     let (wanted, launched) = (state == State::Up, runner.launched);
-    stage.judge.see(now, Seen::Listed { runner: r as u32, wanted, launched });
-    stage.states[r] = state;
-    stage.generation += 1;
-    stage.changes.push((stage.generation, r, state));
+    shared.judge.see(now, Seen::Listed { runner: r as u32, wanted, launched });
+    shared.states[r] = state;
+    shared.generation += 1;
+    shared.changes.push((shared.generation, r, state));
     lab.changed.send_modify(|count| *count += 1);
 }
 
-/// The list as one dispatcher is told it: whole, or what has changed after a version.
-fn list(lab: &Lab, d: u32, since: Option<u64>) -> serde_json::Value {
-    let stage = lab.stage.borrow();
-    let addresses = &stage.addresses[d as usize];
+/// Formats discovery's list for a dispatcher: all of it, or the changes since a generation.
+fn roster_json(lab: &Lab, d: u32, since: Option<u64>) -> serde_json::Value {
+    let shared = lab.shared.borrow();
+    let addresses = &shared.addresses[d as usize];
     let entry = |(r, state): (usize, State)| {
-        stage.world.entry(&stage.scenario, r, state, lab.zero.get().1, &addresses[r].to_string())
+        shared.world.entry(&shared.scenario, r, state, lab.zero.get().1, &addresses[r].to_string())
     };
     let instances: Vec<serde_json::Value> = match since {
         None => {
-            stage.states.iter().copied().enumerate().filter(|(_, s)| *s != State::Gone).map(entry).collect()
+            shared.states.iter().copied().enumerate().filter(|(_, s)| *s != State::Gone).map(entry).collect()
         }
         Some(since) => {
-            // The latest word on each.
-            let changed: BTreeMap<usize, State> = stage
+            // The latest state of each runner.
+            let changed: BTreeMap<usize, State> = shared
                 .changes
                 .iter()
                 .filter(|(at, ..)| *at > since)
@@ -706,76 +786,79 @@
             changed.into_iter().map(entry).collect()
         }
     };
-    json!({"generation": stage.generation, "reset": since.is_none(), "instances": instances})
+    json!({"generation": shared.generation, "reset": since.is_none(), "instances": instances})
 }
 
-/// What the judge is to know of a list that is now written to a dispatcher.
-fn told(lab: &Lab, d: u32, listed: &serde_json::Value) {
+/// Records for the judge what a dispatcher learns from a list that is now sent to it.
+fn record_roster_sent(lab: &Lab, d: u32, listed: &serde_json::Value) {
     let now = lab.now();
     let whole = listed["reset"] == true;
-    let stage = &mut *lab.stage.borrow_mut();
-    let mut named = vec![false; stage.states.len()];
+    let shared = &mut *lab.shared.borrow_mut();
+    let mut named = vec![false; shared.states.len()];
     for instance in listed["instances"].as_array().into_iter().flatten() {
         let runner = crate::policy::number(instance["instanceId"].as_str().unwrap_or("r"));
         let wanted = instance["lifecycle"] == "up";
         if let Some(named) = named.get_mut(runner as usize) {
             *named = true;
         }
-        stage.judge.see(now, Seen::Told { dispatcher: d, runner, wanted });
+        shared.judge.see(now, Seen::Told { dispatcher: d, runner, wanted });
     }
     for runner in (0..named.len()).filter(|r| whole && !named[*r]) {
-        stage.judge.see(now, Seen::Told { dispatcher: d, runner: runner as u32, wanted: false });
+        shared.judge.see(now, Seen::Told { dispatcher: d, runner: runner as u32, wanted: false });
     }
 }
 
-async fn discovery_port(lab: Lab, d: u32, listener: TcpListener) {
+/// Accepts one dispatcher's connections to discovery.
+async fn serve_discovery_port(lab: Lab, d: u32, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let lab = lab.clone();
         spawn_local(async move {
-            let mut wire = Wire::new(stream);
-            let _ = discover(&lab, d, &mut wire).await;
+            let mut connection = Connection::new(stream);
+            let _ = serve_discovery(&lab, d, &mut connection).await;
         });
     }
 }
 
-async fn discover(lab: &Lab, d: u32, wire: &mut Wire) -> io::Result<()> {
+/// Answers one connection to discovery: calls for the whole list, and a watch, which stays open until
+/// discovery fails.
+async fn serve_discovery(lab: &Lab, d: u32, connection: &mut Connection) -> io::Result<()> {
     let zone = lab.zone_of(d);
-    while let Some(message) = wire.hear().await? {
-        lab.pass(zone, 0).await;
+    while let Some(message) = connection.receive().await? {
+        lab.traverse_link(zone, 0).await;
         let begins = {
             let now = lab.now();
-            let stage = &mut *lab.stage.borrow_mut();
-            let begins = stage.discovery_busy.max(now);
-            let up = stage.world.discovery_up && begins - now <= stage.scenario.discovery.call_most.0;
-            stage.discovery_busy = begins + if up { stage.scenario.discovery.call.0 } else { 0 };
-            up.then_some(stage.discovery_busy)
+            let shared = &mut *lab.shared.borrow_mut();
+            let begins = shared.discovery_busy.max(now);
+            let up = shared.world.discovery_up && begins - now <= shared.scenario.discovery.call_most.0;
+            shared.discovery_busy = begins + if up { shared.scenario.discovery.call.0 } else { 0 };
+            up.then_some(shared.discovery_busy)
         };
         let Some(begins) = begins else {
-            return wire.say(&answer(503, "Connection: close\r\n", "")).await;
+            return connection.send(&response(503, "Connection: close\r\n", "")).await;
         };
-        lab.until(begins).await;
-        lab.pass(0, zone).await;
+        lab.sleep_until(begins).await;
+        lab.traverse_link(0, zone).await;
         let Some((_, query)) = message.target.split_once('?') else {
-            let listed = list(lab, d, None);
-            told(lab, d, &listed);
-            wire.say(&answer(200, "", &listed.to_string())).await?;
+            let listed = roster_json(lab, d, None);
+            record_roster_sent(lab, d, &listed);
+            connection.send(&response(200, "", &listed.to_string())).await?;
             continue;
         };
         let since = query.split('&').find_map(|pair| pair.strip_prefix("since="));
         let mut since: u64 = since.and_then(|since| since.parse().ok()).unwrap_or(0);
-        wire.say(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        // A version of this run may be told what changed since; any other has the whole list.
-        let mut listed = list(lab, d, Some(since).filter(|since| *since > 0));
+        connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        // A generation of this run is answered with the changes since then, generation 0 with the whole list.
+        let mut listed = roster_json(lab, d, Some(since).filter(|since| *since > 0));
         let mut changed = lab.changed.subscribe();
         loop {
             since = listed["generation"].as_u64().unwrap_or(since);
-            told(lab, d, &listed);
+            record_roster_sent(lab, d, &listed);
             let line = format!("{listed}\n");
-            wire.say(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await?;
+            connection.send(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await?;
             loop {
                 let (up, generation) = {
-                    let stage = lab.stage.borrow();
-                    (stage.world.discovery_up, stage.generation)
+                    let shared = lab.shared.borrow();
+                    (shared.world.discovery_up, shared.generation)
                 };
                 if !up {
                     return Ok(());
@@ -784,17 +867,17 @@
                     break;
                 }
                 tokio::select! {
-                    () = wire.ended() => return Ok(()),
+                    () = connection.wait_for_input() => return Ok(()),
                     _ = changed.changed() => {}
-                    () = sleep(EMPTY_LINE) => {
-                        if lab.stage.borrow().world.linked(zone, 0) {
-                            wire.say(b"1\r\n\n\r\n").await?;
+                    () = sleep(WATCH_KEEP_ALIVE_INTERVAL) => {
+                        if lab.shared.borrow().world.linked(zone, 0) {
+                            connection.send(b"1\r\n\n\r\n").await?;
                         }
                     }
                 }
             }
-            lab.pass(0, zone).await;
-            listed = list(lab, d, Some(since));
+            lab.traverse_link(0, zone).await;
+            listed = roster_json(lab, d, Some(since));
         }
     }
     Ok(())
@@ -802,12 +885,12 @@
 
 // Runners.
 
-/// One runner's address for one dispatcher: refused while the process is down.
-async fn runner_port(lab: Lab, d: u32, r: usize, mut listener: Option<TcpListener>) {
-    let address = lab.stage.borrow().addresses[d as usize][r];
+/// Accepts a dispatcher's connections to a runner. They are refused while the runner's process is down.
+async fn serve_runner_port(lab: Lab, d: u32, r: usize, mut listener: Option<TcpListener>) {
+    let address = lab.shared.borrow().addresses[d as usize][r];
     let mut changed = lab.changed.subscribe();
     loop {
-        let down = lab.stage.borrow().world.runners[r].life == Life::Down;
+        let down = lab.shared.borrow().world.runners[r].life == Life::Down;
         if down {
             listener = None;
         } else if listener.is_none() {
@@ -815,7 +898,7 @@
                 Ok(bound) => listener = Some(bound),
                 Err(error) => {
                     let line = format!("r{r} cannot listen at {address} again: {error}");
-                    return lab.stage.borrow_mut().void.push(line);
+                    return lab.shared.borrow_mut().void.push(line);
                 }
             }
         }
@@ -829,418 +912,438 @@
             accepted = bound.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
                 let lab = lab.clone();
-                spawn_local(async move { runner_line(&lab, d, r, Wire::new(stream)).await });
+                spawn_local(async move {
+                    serve_runner_connection(&lab, d, r, Connection::new(stream)).await
+                });
             }
             _ = changed.changed() => {}
         }
     }
 }
 
-/// One connection of a dispatcher to a runner, until either ends it or the process dies.
-async fn runner_line(lab: &Lab, d: u32, r: usize, mut wire: Wire) {
-    let life = lab.stage.borrow().lives[r];
+/// Serves a dispatcher's connection to a runner until either closes it or the runner's process ends.
+async fn serve_runner_connection(lab: &Lab, d: u32, r: usize, mut connection: Connection) {
+    let boot = lab.shared.borrow().runner_boots[r];
     let now = lab.now();
     let handshake = {
-        let stage = &mut *lab.stage.borrow_mut();
-        let runner = &mut stage.world.runners[r];
-        // Accepted in the moment of its death: nobody reads there, and the kernel resets it.
+        let shared = &mut *lab.shared.borrow_mut();
+        let runner = &mut shared.world.runners[r];
+        // Accepted just as the process ended: as on a real machine, the connection is reset.
         if runner.life == Life::Down || !runner.connect(now) {
-            return wire.reset();
+            return connection.reset();
         }
-        stage.tally.traffic.connections += 1;
+        shared.tally.traffic.connections += 1;
         runner.handshake()
     };
-    lab.stirred[r].notify_one();
-    if handshake >= NO_DELAY {
+    lab.runner_changed[r].notify_one();
+    if handshake >= MIN_DELAY {
         sleep(Duration::from_micros(handshake as u64)).await;
     }
-    let mut asked = None;
+    let mut pending = None;
     let ended = tokio::select! {
-        ended = serve(lab, d, r, &mut wire, &mut asked) => ended,
-        () = lab.wait_while(|stage| stage.lives[r] == life) => Err(io::ErrorKind::ConnectionReset.into()),
+        ended = serve_requests(lab, d, r, &mut connection, &mut pending) => ended,
+        () = lab.wait_while(|shared| shared.runner_boots[r] == boot) => {
+            Err(io::ErrorKind::ConnectionReset.into())
+        }
     };
-    let (died, now) = (lab.stage.borrow().lives[r] != life, lab.now());
-    if let Some(inv) = asked {
-        // A forward without its 202: the process took it along, or the dispatcher has given it up.
+    let (died, now) = (lab.shared.borrow().runner_boots[r] != boot, lab.now());
+    if let Some(inv) = pending {
+        // A forward without its 202: it was lost with the runner's process, or the dispatcher withdrew it.
         let how = if died {
             Seen::Ended { inv, runner: r as u32, how: Back::MayHaveRun }
         } else {
             Seen::Withdrawn { inv, runner: r as u32 }
         };
-        lab.see(how);
+        lab.record(how);
         if !died {
-            drop_job(lab, r, inv);
+            cancel_job(lab, r, inv);
         }
     }
     if died || ended.is_err() {
-        wire.reset();
+        connection.reset();
     }
     if !died {
-        let runner = &mut lab.stage.borrow_mut().world.runners[r];
+        let runner = &mut lab.shared.borrow_mut().world.runners[r];
         runner.change(now, |runner| runner.connections = runner.connections.saturating_sub(1));
     }
 }
 
-fn drop_job(lab: &Lab, r: usize, inv: u64) -> bool {
+/// Cancels a job. Returns whether the runner held it.
+fn cancel_job(lab: &Lab, r: usize, inv: u64) -> bool {
     let mut news = Vec::new();
     let now = lab.now();
     let known = {
-        let stage = &mut *lab.stage.borrow_mut();
-        stage.owners.remove(&(r, inv));
-        stage.world.runners[r].cancel(now, inv, &mut news)
+        let shared = &mut *lab.shared.borrow_mut();
+        shared.owners.remove(&(r, inv));
+        shared.world.runners[r].cancel(now, inv, &mut news)
     };
     for (inv, news) in news {
-        tell(lab, r, inv, news);
+        report_job_event(lab, r, inv, news);
     }
-    lab.stirred[r].notify_one();
+    lab.runner_changed[r].notify_one();
     known
 }
 
-/// Messages on one connection. While a forward has been read and has no 202 yet, `asked` names it.
-async fn serve(lab: &Lab, d: u32, r: usize, wire: &mut Wire, asked: &mut Option<u64>) -> io::Result<()> {
-    let (near, far) = (lab.zone_of(d), lab.stage.borrow().world.runners[r].zone);
-    while let Some(message) = wire.hear().await? {
+/// Answers the messages on a connection to a runner. `pending` is the invocation of a forward that has been
+/// read but has no 202 yet.
+async fn serve_requests(
+    lab: &Lab,
+    d: u32,
+    r: usize,
+    connection: &mut Connection,
+    pending: &mut Option<u64>,
+) -> io::Result<()> {
+    let (near, far) = (lab.zone_of(d), lab.shared.borrow().world.runners[r].zone);
+    while let Some(message) = connection.receive().await? {
         let id = message.header("x-request-id").and_then(|id| u64::from_str_radix(id, 16).ok());
         if message.method == "POST" {
             let Some(inv) = id else {
-                wire.say(&answer(404, "", "")).await?;
+                connection.send(&response(404, "", "")).await?;
                 continue;
             };
-            *asked = Some(inv);
-            sent(lab, d, r, inv);
-            let told = message.header("x-deadline-ms").and_then(|text| text.parse::<Micros>().ok());
-            if let Some(told) = told {
-                lab.stage.borrow_mut().see(lab.now(), Seen::TimeTold { inv, told: told * 1000 });
+            *pending = Some(inv);
+            record_forward(lab, d, r, inv);
+            let deadline = message.header("x-deadline-ms").and_then(|text| text.parse::<Micros>().ok());
+            if let Some(deadline) = deadline {
+                lab.shared.borrow_mut().record(lab.now(), Seen::TimeTold { inv, told: deadline * 1000 });
             }
         }
-        // A dispatcher that closes its connection meanwhile has given the forward up.
-        let way = async {
-            lab.pass(near, far).await;
-            lab.wait_while(|stage| {
-                let runner = &stage.world.runners[r];
+        // A dispatcher that closes its connection meanwhile has withdrawn the forward.
+        let transfer = async {
+            lab.traverse_link(near, far).await;
+            lab.wait_while(|shared| {
+                let runner = &shared.world.runners[r];
                 runner.frozen || runner.life == Life::Silent
             })
             .await;
         };
-        if asked.is_some() {
+        if pending.is_some() {
             tokio::select! {
-                () = way => {}
-                () = wire.ended() => return Ok(()),
+                () = transfer => {}
+                () = connection.wait_for_input() => return Ok(()),
             }
         } else {
-            way.await;
+            transfer.await;
         }
-        let said = match (message.method.as_str(), message.target.as_str()) {
-            ("POST", _) => take(lab, d, r, id.unwrap_or(0), &message),
+        let reply = match (message.method.as_str(), message.target.as_str()) {
+            ("POST", _) => accept_job(lab, d, r, id.unwrap_or(0), &message),
             ("DELETE", target) => {
                 let inv = target.strip_prefix("/jobs/").and_then(|id| u64::from_str_radix(id, 16).ok());
                 match inv {
                     Some(inv) => {
-                        lab.see(Seen::Withdrawn { inv, runner: r as u32 });
-                        let known = drop_job(lab, r, inv);
-                        (answer(if known { 200 } else { 404 }, "", ""), None)
+                        lab.record(Seen::Withdrawn { inv, runner: r as u32 });
+                        let known = cancel_job(lab, r, inv);
+                        (response(if known { 200 } else { 404 }, "", ""), None)
                     }
-                    None => (answer(404, "", ""), None),
+                    None => (response(404, "", ""), None),
                 }
             }
             ("GET", "/load" | "/healthz") => {
                 let now = lab.now();
-                let stage = &mut *lab.stage.borrow_mut();
-                stage.tally.traffic.probes += 1;
-                (answer(200, "", &load_json(stage.world.runners[r].report(now)).to_string()), None)
+                let shared = &mut *lab.shared.borrow_mut();
+                shared.tally.traffic.probes += 1;
+                (response(200, "", &load_json(shared.world.runners[r].report(now)).to_string()), None)
             }
-            _ => (answer(404, "", ""), None),
+            _ => (response(404, "", ""), None),
         };
-        lab.pass(far, near).await;
-        if let (Some(inv), Some(how)) = (*asked, said.1) {
-            lab.see(Seen::Ended { inv, runner: r as u32, how });
+        lab.traverse_link(far, near).await;
+        if let (Some(inv), Some(how)) = (*pending, reply.1) {
+            lab.record(Seen::Ended { inv, runner: r as u32, how });
         }
-        wire.say(&said.0).await?;
-        *asked = None;
-        if !message.keeps() {
+        connection.send(&reply.0).await?;
+        *pending = None;
+        if !message.keeps_alive() {
             return Ok(());
         }
     }
     Ok(())
 }
 
-/// A forward's last byte has been read.
-fn sent(lab: &Lab, d: u32, r: usize, inv: u64) {
+/// Records a forward whose last byte has been read.
+fn record_forward(lab: &Lab, d: u32, r: usize, inv: u64) {
     let now = lab.now();
-    let stage = &mut *lab.stage.borrow_mut();
-    let runner = &stage.world.runners[r];
+    let shared = &mut *lab.shared.borrow_mut();
+    let runner = &shared.world.runners[r];
     let cold = (runner.warmth(now) < 1.0).then(|| runner.capacity(now));
-    let work = stage.judge.work(inv);
-    let far = runner.zone != d as usize % stage.world.zones;
-    stage.see(now, Seen::Forwarded { inv, dispatcher: d, runner: r as u32, work, cold });
-    stage.tally.traffic.forwards += 1;
-    stage.tally.traffic.crossings += u64::from(far);
-    stage.tally.forwards[r] += 1;
+    let work = shared.judge.work(inv);
+    let far = runner.zone != d as usize % shared.world.zones;
+    shared.record(now, Seen::Forwarded { inv, dispatcher: d, runner: r as u32, work, cold });
+    shared.tally.traffic.forwards += 1;
+    shared.tally.traffic.crossings += u64::from(far);
+    shared.tally.forwards[r] += 1;
 }
 
-fn take(lab: &Lab, d: u32, r: usize, inv: u64, message: &Message) -> (Vec<u8>, Option<Back>) {
+/// Offers a forwarded job to the runner. Returns the response, and how the forward ended if it did.
+fn accept_job(lab: &Lab, d: u32, r: usize, inv: u64, message: &Message) -> (Vec<u8>, Option<Back>) {
     let now = lab.now();
-    // The work stands in the body, as a job's would.
+    // The amount of work is in the body.
     let body: serde_json::Value = serde_json::from_slice(&message.body).unwrap_or_default();
     let work = body["work"].as_f64().unwrap_or(1.0);
     let path = message.target.split('?').next().unwrap_or_default();
     let mut news = Vec::new();
     let (taken, load) = {
-        let stage = &mut *lab.stage.borrow_mut();
-        let operation = stage.scenario.operation.iter().position(|op| path[1..] == op.name).unwrap_or(0);
-        let runner = &mut stage.world.runners[r];
+        let shared = &mut *lab.shared.borrow_mut();
+        let operation = shared.scenario.operation.iter().position(|op| path[1..] == op.name).unwrap_or(0);
+        let runner = &mut shared.world.runners[r];
         let taken = runner.offer(now, inv, operation, work, &mut news);
         let load = load_json(runner.report(now));
         match taken {
-            Taken::Yes => drop(stage.owners.insert((r, inv), d)),
-            Taken::Full => stage.tally.traffic.turned_away += 1,
+            Taken::Yes => drop(shared.owners.insert((r, inv), d)),
+            Taken::Full => shared.tally.traffic.turned_away += 1,
             Taken::Failed => {}
         }
         (taken, load)
     };
     for (inv, news) in news {
-        tell(lab, r, inv, news);
+        report_job_event(lab, r, inv, news);
     }
-    lab.stirred[r].notify_one();
+    lab.runner_changed[r].notify_one();
     match taken {
-        Taken::Yes => (answer(202, "", ""), None),
+        Taken::Yes => (response(202, "", ""), None),
         Taken::Full => {
-            (answer(503, &format!("X-Not-Run: 1\r\nX-Load: {load}\r\n"), ""), Some(Back::NeverRan))
+            (response(503, &format!("X-Not-Run: 1\r\nX-Load: {load}\r\n"), ""), Some(Back::NeverRan))
         }
-        Taken::Failed => (answer(500, &format!("X-Load: {load}\r\n"), ""), Some(Back::MayHaveRun)),
+        Taken::Failed => (response(500, &format!("X-Load: {load}\r\n"), ""), Some(Back::MayHaveRun)),
     }
 }
 
-/// Wakes one runner whenever it has something to do.
-async fn drive(lab: Lab, r: usize) {
+/// Advances a runner whenever it has something to do.
+async fn drive_runner(lab: Lab, r: usize) {
     loop {
-        let due = lab.stage.borrow().world.runners[r].due();
+        let due = lab.shared.borrow().world.runners[r].due();
         match due {
             Some(due) => {
                 tokio::select! {
-                    () = lab.until(due) => {}
-                    () = lab.stirred[r].notified() => continue,
+                    () = lab.sleep_until(due) => {}
+                    () = lab.runner_changed[r].notified() => continue,
                 }
             }
             None => {
-                lab.stirred[r].notified().await;
+                lab.runner_changed[r].notified().await;
                 continue;
             }
         }
         let mut news = Vec::new();
         let now = lab.now();
-        lab.stage.borrow_mut().world.runners[r].wake(now, &mut news);
+        lab.shared.borrow_mut().world.runners[r].wake(now, &mut news);
         for (inv, news) in news {
-            tell(&lab, r, inv, news);
+            report_job_event(&lab, r, inv, news);
         }
-        // Less than a timer's step apart is one step.
+        // Steps closer together than the timer's resolution run at once.
         tokio::task::yield_now().await;
     }
 }
 
-/// News of a job: to the judge where its effect begins, to its dispatcher where it has to know.
-fn tell(lab: &Lab, r: usize, inv: u64, news: News) {
+/// Reports an event of a job: its start to the judge, everything else to its dispatcher by call-back.
+fn report_job_event(lab: &Lab, r: usize, inv: u64, news: News) {
     if news == News::Started {
-        return ran(lab, r, inv);
+        return record_run(lab, r, inv);
     }
     let now = lab.now();
-    let stage = &mut *lab.stage.borrow_mut();
-    let load = load_json(stage.world.runners[r].report(now));
+    let shared = &mut *lab.shared.borrow_mut();
+    let load = load_json(shared.world.runners[r].report(now));
     let owner = match news {
-        News::Progress(_) => stage.owners.get(&(r, inv)).copied(),
-        _ => stage.owners.remove(&(r, inv)),
+        News::Progress(_) => shared.owners.get(&(r, inv)).copied(),
+        _ => shared.owners.remove(&(r, inv)),
     };
     let Some(d) = owner else { return };
-    let (state, share, back) = match news {
+    let (state, share, outcome) = match news {
         News::Progress(share) => ("running", Some(share), None),
         News::Done => ("done", None, Some(Back::Succeeded)),
         News::Returned => ("returned", None, Some(Back::NeverRan)),
         News::Started | News::Failed => ("failed", None, Some(Back::MayHaveRun)),
     };
-    let more = match share {
+    let details = match share {
         Some(share) => json!({"share": share}),
         None if state == "done" => json!({"load": load, "result": format!("result of {inv:x}")}),
         None => json!({"load": load}),
     };
     let lab = lab.clone();
-    spawn_local(async move { call_back(&lab, r, d, inv, state, Some(more), back).await });
+    spawn_local(async move { call_back(&lab, r, d, inv, state, Some(details), outcome).await });
 }
 
-fn ran(lab: &Lab, r: usize, inv: u64) {
+/// Records for the judge that a job has begun, unless its effect is deduplicated.
+fn record_run(lab: &Lab, r: usize, inv: u64) {
     let now = lab.now();
-    let stage = &mut *lab.stage.borrow_mut();
-    let Some(operation) = stage.judge.operation(inv) else { return };
-    let op = &stage.scenario.operation[operation];
-    let runner = &stage.world.runners[r];
-    let new = op.effect != Effect::Deduplicated || {
-        let group = match op.group {
+    let shared = &mut *lab.shared.borrow_mut();
+    let Some(operation) = shared.judge.operation(inv) else { return };
+    let op = &shared.scenario.operation[operation];
+    let runner = &shared.world.runners[r];
+    let is_new = op.effect != Effect::Deduplicated || {
+        let scope = match op.group {
             Group::All => -1,
             Group::Zone => runner.zone as i64,
             Group::Cell => runner.cell,
         };
-        let mark = (inv >> TRY_BITS, group);
-        let new = stage.marks.get(&mark).is_none_or(|at| now > at + op.memory_span.0);
-        if new {
-            stage.marks.insert(mark, now);
+        let key = (inv >> ATTEMPT_BITS, scope);
+        let is_new = shared.deduplication_marks.get(&key).is_none_or(|at| now > at + op.memory_span.0);
+        if is_new {
+            shared.deduplication_marks.insert(key, now);
         }
-        new
+        is_new
     };
-    if new {
-        stage.judge.see(now, Seen::Ran { inv, runner: r as u32 });
+    if is_new {
+        shared.judge.see(now, Seen::Ran { inv, runner: r as u32 });
     }
 }
 
-/// Tells a dispatcher what became of a job: until it is answered, ten times at most.
+/// Sends a call-back on a job to its dispatcher, repeated with backoff until it is answered, at most
+/// [`MAX_CALL_BACKS`] times.
 async fn call_back(
     lab: &Lab,
     r: usize,
     d: u32,
     inv: u64,
     state: &str,
-    more: Option<serde_json::Value>,
-    back: Option<Back>,
+    details: Option<serde_json::Value>,
+    outcome: Option<Back>,
 ) {
     let mut body = json!({"id": format!("{inv:x}"), "from": format!("r{r}"), "state": state});
-    if let (Some(body), Some(serde_json::Value::Object(more))) = (body.as_object_mut(), more) {
-        body.extend(more);
+    if let (Some(body), Some(serde_json::Value::Object(details))) = (body.as_object_mut(), details) {
+        body.extend(details);
     }
     let message = request("POST", "/v1/job-events", "", &body.to_string());
-    let (from, to) = (lab.stage.borrow().world.runners[r].zone, lab.zone_of(d));
-    let mut seen = false;
-    for nth in 0..CALLS_MOST {
-        lab.pass(from, to).await;
-        lab.wait_while(|stage| stage.world.runners[r].frozen).await;
-        let address = lab.stage.borrow().listen[d as usize];
-        let kept = kept(lab, 1, d as usize);
-        let wire = match kept {
-            Some(wire) => Ok(wire),
-            None => TcpStream::connect(address).await.map(Wire::new),
+    let (from, to) = (lab.shared.borrow().world.runners[r].zone, lab.zone_of(d));
+    let mut recorded = false;
+    for attempt in 0..MAX_CALL_BACKS {
+        lab.traverse_link(from, to).await;
+        lab.wait_while(|shared| shared.world.runners[r].frozen).await;
+        let address = lab.shared.borrow().listen[d as usize];
+        let reused = reusable_connection(lab, 1, d as usize);
+        let connection = match reused {
+            Some(connection) => Ok(connection),
+            None => TcpStream::connect(address).await.map(Connection::new),
         };
-        if let Ok(mut wire) = wire {
-            if let Some(how) = back.filter(|_| !std::mem::replace(&mut seen, true)) {
-                lab.see(Seen::Ended { inv, runner: r as u32, how });
+        if let Ok(mut connection) = connection {
+            if let Some(how) = outcome.filter(|_| !std::mem::replace(&mut recorded, true)) {
+                lab.record(Seen::Ended { inv, runner: r as u32, how });
             }
-            let said = async {
-                wire.say(&message).await?;
-                wire.hear().await
+            let exchange = async {
+                connection.send(&message).await?;
+                connection.receive().await
             };
-            if let Ok(Ok(Some(heard))) = timeout(Duration::from_secs(1), said).await
-                && matches!(heard.status, 200 | 204)
+            if let Ok(Ok(Some(answer))) = timeout(Duration::from_secs(1), exchange).await
+                && matches!(answer.status, 200 | 204)
             {
-                if heard.keeps() {
-                    lab.stage.borrow_mut().idle[1][d as usize].push(wire);
+                if answer.keeps_alive() {
+                    lab.shared.borrow_mut().idle[1][d as usize].push(connection);
                 }
                 return;
             }
         }
-        // Progress that did not get through is of no use later.
+        // Progress reports are not repeated: they are outdated by the next.
         if state == "running" {
             return;
         }
-        sleep(Duration::from_millis(20 << nth.min(6))).await;
+        sleep(Duration::from_millis(20 << attempt.min(6))).await;
     }
 }
 
 // Clients.
 
-/// Brings each ask when it is due, whatever became of those before.
-async fn bring(lab: Lab) {
+/// Starts each client request at its time, independent of the results of earlier ones (open loop).
+async fn generate_load(lab: Lab) {
     let asks: Vec<Ask> = {
-        let stage = lab.stage.borrow();
-        Bring::new(&stage.scenario, stage.world.capacity(), stage.seed).collect()
+        let shared = lab.shared.borrow();
+        Bring::new(&shared.scenario, shared.world.capacity(), shared.seed).collect()
     };
-    lab.stage.borrow_mut().open = asks.len() as u64;
+    lab.shared.borrow_mut().open_invocations = asks.len() as u64;
     for (number, ask) in asks.into_iter().enumerate() {
-        lab.until(ask.at).await;
+        lab.sleep_until(ask.at).await;
         let lab = lab.clone();
         spawn_local(async move {
-            let end = client(&lab, number as u64, &ask).await;
+            let end = run_client(&lab, number as u64, &ask).await;
             let now = lab.now();
-            let stage = &mut *lab.stage.borrow_mut();
-            // From when it was due: a client that was held up has waited as well.
-            stage.tally.end(&ask, end, now - ask.at);
-            stage.open -= 1;
+            let shared = &mut *lab.shared.borrow_mut();
+            // Measured from the scheduled time, so that delays of the lab's own count as waiting.
+            shared.tally.end(&ask, end, now - ask.at);
+            shared.open_invocations -= 1;
         });
     }
 }
 
-async fn client(lab: &Lab, number: u64, ask: &Ask) -> End {
-    let gives_up = ask.at + lab.stage.borrow().scenario.operation[ask.operation].client_timeout.0;
-    let mut tries = 0;
+/// Runs one client request with its retries. Returns how it ended.
+async fn run_client(lab: &Lab, number: u64, ask: &Ask) -> End {
+    let gives_up = ask.at + lab.shared.borrow().scenario.operation[ask.operation].client_timeout.0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
-        let inv = number << TRY_BITS | tries;
-        let seen = try_once(lab, inv, ask, gives_up).await;
-        let end = match seen {
+        attempts += 1;
+        let inv = number << ATTEMPT_BITS | attempts;
+        let result = attempt(lab, inv, ask, gives_up).await;
+        let end = match result {
             load::Seen::Succeeded => return End::Succeeded,
             load::Seen::Throttled(_) => End::Throttled,
             load::Seen::Errored => End::Errored,
             load::Seen::Untaken | load::Seen::Nothing => End::Nothing,
         };
-        let (now, again) = (lab.now(), {
-            let stage = lab.stage.borrow();
-            returns(&stage.scenario, stage.seed, (number, ask), tries as u32, seen, lab.now())
+        let (now, retry_at) = (lab.now(), {
+            let shared = lab.shared.borrow();
+            returns(&shared.scenario, shared.seed, (number, ask), attempts as u32, result, lab.now())
         });
-        match again.filter(|_| now < gives_up) {
-            Some(at) => lab.until(at).await,
+        match retry_at.filter(|_| now < gives_up) {
+            Some(at) => lab.sleep_until(at).await,
             None => return end,
         }
     }
 }
 
-/// An idle connection to a dispatcher that it has not ended meanwhile. What it has said on one of them after
-/// its answer is a second answer.
-fn kept(lab: &Lab, whose: usize, d: usize) -> Option<Wire> {
+/// Takes an idle connection to a dispatcher that is still open: of clients for `side` 0, of runners for 1.
+/// Data on an idle connection of a client counts as a second answer.
+fn reusable_connection(lab: &Lab, side: usize, d: usize) -> Option<Connection> {
     let now = lab.now();
-    let stage = &mut *lab.stage.borrow_mut();
-    while let Some(mut wire) = stage.idle[whose][d].pop() {
-        match (wire.rest(), wire.last) {
-            (Rest::Quiet, _) => return Some(wire),
-            (Rest::Speaks, Some(inv)) => stage.judge.see(now, Seen::Answered { inv, how: Final::Errored }),
+    let shared = &mut *lab.shared.borrow_mut();
+    while let Some(mut connection) = shared.idle[side][d].pop() {
+        match (connection.idle_state(), connection.last_answered) {
+            (IdleState::Quiet, _) => return Some(connection),
+            (IdleState::UnexpectedData, Some(inv)) => {
+                shared.judge.see(now, Seen::Answered { inv, how: Final::Errored })
+            }
             _ => {}
         }
     }
     None
 }
 
-async fn try_once(lab: &Lab, inv: u64, ask: &Ask, gives_up: Micros) -> load::Seen {
+/// Sends one attempt of a client request. Returns the result as the client sees it.
+async fn attempt(lab: &Lab, inv: u64, ask: &Ask, gives_up: Micros) -> load::Seen {
     let (d, epoch, address, path, extra) = {
-        let stage = &mut *lab.stage.borrow_mut();
-        stage.tally.traffic.tries += 1;
-        let all = stage.listen.len();
-        let start = chance(stage.seed ^ 0x5eed, inv).random_range(0..all);
-        let sends = |d: &usize| stage.front[*d] || stage.ending[*d] && !stage.idle[0][*d].is_empty();
-        let order = || (0..all).map(|step| (start + step) % all).filter(sends);
-        let near = order().find(|d| d % stage.world.zones == ask.zone);
+        let shared = &mut *lab.shared.borrow_mut();
+        shared.tally.traffic.tries += 1;
+        let all = shared.listen.len();
+        let start = chance(shared.seed ^ 0x5eed, inv).random_range(0..all);
+        let is_usable =
+            |d: &usize| shared.routable[*d] || shared.terminating[*d] && !shared.idle[0][*d].is_empty();
+        let order = || (0..all).map(|step| (start + step) % all).filter(is_usable);
+        let near = order().find(|d| d % shared.world.zones == ask.zone);
         let Some(d) = near.or_else(|| order().next()) else { return load::Seen::Untaken };
-        let op = &stage.scenario.operation[ask.operation];
+        let op = &shared.scenario.operation[ask.operation];
         let mut extra = String::new();
         if op.effect == Effect::Deduplicated {
-            extra += &format!("Idempotency-Key: m{:x}\r\n", inv >> TRY_BITS);
+            extra += &format!("Idempotency-Key: m{:x}\r\n", inv >> ATTEMPT_BITS);
         }
         if let Some(key) = ask.key {
             extra += &format!("Cookie: sid=k{key}\r\n");
         }
-        if inv & ((1 << TRY_BITS) - 1) > 1 {
+        if inv & ((1 << ATTEMPT_BITS) - 1) > 1 {
             extra += "X-Retry: 1\r\n";
         }
-        (d, stage.epochs[d], stage.listen[d], format!("/{}", op.name), extra)
+        (d, shared.epochs[d], shared.listen[d], format!("/{}", op.name), extra)
     };
     let body = json!({"work": ask.work}).to_string();
     let mut taken = false;
     for fresh in [false, true] {
-        if fresh && taken && !lab.stage.borrow().front[d] {
-            // It ended the connection between two requests, and nobody new is sent there: this one goes elsewhere.
-            lab.see(Seen::Crossed { inv });
+        if fresh && taken && !lab.shared.borrow().routable[d] {
+            // The dispatcher closed the idle connection and takes no new ones: the client retries elsewhere.
+            lab.record(Seen::Crossed { inv });
             return load::Seen::Untaken;
         }
-        let kept = if fresh { None } else { kept(lab, 0, d) };
-        let was_kept = kept.is_some();
-        let wire = match kept {
-            Some(wire) => Ok(wire),
-            None => TcpStream::connect(address).await.map(Wire::new),
+        let reused = if fresh { None } else { reusable_connection(lab, 0, d) };
+        let was_reused = reused.is_some();
+        let connection = match reused {
+            Some(connection) => Ok(connection),
+            None => TcpStream::connect(address).await.map(Connection::new),
         };
-        let Ok(mut wire) = wire else {
+        let Ok(mut connection) = connection else {
             if taken {
                 break;
             }
@@ -1248,95 +1351,103 @@
         };
         let left = (gives_up - lab.now()).max(0);
         let head = format!("X-Request-Id: {inv:x}\r\nX-Deadline-Ms: {}\r\n{extra}", left / 1000);
-        // Bytes for a process that is gone are taken by nobody.
-        if lab.stage.borrow().epochs[d].is_multiple_of(2) {
+        // A process that has ended cannot take the request, even if the kernel accepted the connection.
+        if lab.shared.borrow().epochs[d].is_multiple_of(2) {
             return load::Seen::Untaken;
         }
         if !std::mem::replace(&mut taken, true) {
             let now = lab.now();
             let seen =
                 Seen::Taken { inv, dispatcher: d as u32, operation: ask.operation, expires_at: gives_up };
-            let stage = &mut *lab.stage.borrow_mut();
-            stage.judge.see(now, seen);
-            stage.judge.note_work(inv, ask.work);
+            let shared = &mut *lab.shared.borrow_mut();
+            shared.judge.see(now, seen);
+            shared.judge.note_work(inv, ask.work);
         }
-        let said = async {
-            wire.say(&request("POST", &path, &head, &body)).await?;
-            wire.hear().await
+        let exchange = async {
+            connection.send(&request("POST", &path, &head, &body)).await?;
+            connection.receive().await
         };
-        // Some longer than the client waits: an answer that comes too late is to be seen as such.
-        let patience = Duration::from_micros((left + 2 * ANSWER_SLACK) as u64);
-        let leaves = leaves_after(lab, inv, left);
-        match timeout(leaves.unwrap_or(patience), said).await {
-            Err(_) if leaves.is_some() => {
-                drop(wire);
-                lab.see(Seen::Left { inv });
+        // Longer than the client's timeout, so that a late answer is recorded as late.
+        let response_timeout = Duration::from_micros((left + 2 * ANSWER_SLACK) as u64);
+        let abandon_after = abandon_delay(lab, inv, left);
+        match timeout(abandon_after.unwrap_or(response_timeout), exchange).await {
+            Err(_) if abandon_after.is_some() => {
+                drop(connection);
+                lab.record(Seen::Left { inv });
                 return load::Seen::Nothing;
             }
             Err(_) => return load::Seen::Nothing,
-            Ok(Ok(Some(message))) => return answered(lab, inv, d, wire, &message),
-            // Ended between two requests: it had not been read.
-            Ok(Ok(None) | Err(_)) if was_kept && lab.stage.borrow().epochs[d] == epoch => {}
+            Ok(Ok(Some(message))) => return handle_response(lab, inv, d, connection, &message),
+            // A reused connection was closed before the request was read: it is sent again on a new one.
+            Ok(Ok(None) | Err(_)) if was_reused && lab.shared.borrow().epochs[d] == epoch => {}
             Ok(_) => break,
         }
     }
-    // Its dispatcher was killed, or it broke the rule.
-    if lab.stage.borrow().epochs[d] != epoch {
-        lab.see(Seen::Lost { inv });
+    // Either the dispatcher was killed, or it broke the rule that every request is answered.
+    if lab.shared.borrow().epochs[d] != epoch {
+        lab.record(Seen::Lost { inv });
     } else {
-        // The kill may be known to us only a moment later than to the socket.
+        // The socket may close shortly before the lab records the kill.
         sleep(Duration::from_millis(60)).await;
-        if lab.stage.borrow().epochs[d] != epoch {
-            lab.see(Seen::Lost { inv });
+        if lab.shared.borrow().epochs[d] != epoch {
+            lab.record(Seen::Lost { inv });
         }
     }
     load::Seen::Nothing
 }
 
-/// When its client closes the connection before the answer, if it does.
-fn leaves_after(lab: &Lab, inv: u64, left: Micros) -> Option<Duration> {
-    let stage = lab.stage.borrow();
-    let mut drawn = chance(stage.seed ^ 0x1ea7, inv);
-    let leaves = drawn.random::<f64>() < stage.scenario.clients.leaves;
-    leaves.then(|| Duration::from_micros((left as f64 * drawn.random_range(0.01..0.4)) as u64))
+/// Returns after how long the client closes its connection without waiting for the answer; `None` if it
+/// waits.
+fn abandon_delay(lab: &Lab, inv: u64, left: Micros) -> Option<Duration> {
+    let shared = lab.shared.borrow();
+    let mut rng = chance(shared.seed ^ 0x1ea7, inv);
+    let abandons = rng.random::<f64>() < shared.scenario.clients.leaves;
+    abandons.then(|| Duration::from_micros((left as f64 * rng.random_range(0.01..0.4)) as u64))
 }
 
-fn answered(lab: &Lab, inv: u64, d: usize, mut wire: Wire, message: &Message) -> load::Seen {
-    let come_back = message.header("retry-after").and_then(|text| text.parse::<f64>().ok());
-    let come_back = come_back.map(|seconds| (seconds.clamp(0.0, 3600.0) * 1e6) as Micros);
-    if message.keeps() {
-        wire.last = Some(inv);
-        lab.stage.borrow_mut().idle[0][d].push(wire);
+/// Records a response for the judge and returns the result as the client sees it.
+fn handle_response(
+    lab: &Lab,
+    inv: u64,
+    d: usize,
+    mut connection: Connection,
+    message: &Message,
+) -> load::Seen {
+    let retry_after = message.header("retry-after").and_then(|text| text.parse::<f64>().ok());
+    let retry_after = retry_after.map(|seconds| (seconds.clamp(0.0, 3600.0) * 1e6) as Micros);
+    if message.keeps_alive() {
+        connection.last_answered = Some(inv);
+        lab.shared.borrow_mut().idle[0][d].push(connection);
     }
     let (how, seen) = match message.status {
         200 => (Final::Succeeded, load::Seen::Succeeded),
-        429 | 503 => (Final::Throttled, load::Seen::Throttled(come_back)),
+        429 | 503 => (Final::Throttled, load::Seen::Throttled(retry_after)),
         _ => (Final::Errored, load::Seen::Errored),
     };
     if how == Final::Succeeded && message.body != format!("result of {inv:x}").as_bytes() {
-        lab.see(Seen::Forged { inv });
+        lab.record(Seen::Forged { inv });
     }
-    lab.see(Seen::Answered { inv, how });
+    lab.record(Seen::Answered { inv, how });
     seen
 }
 
-/// Clients that send what is no request, as long as the scenario has them.
+/// Sends malformed requests at the scenario's current rate.
 async fn bad_clients(lab: Lab) {
-    let mut drawn = chance(lab.stage.borrow().seed, 7);
+    let mut rng = chance(lab.shared.borrow().seed, 7);
     loop {
         let (rate, all) = {
-            let stage = lab.stage.borrow();
-            (stage.bad_rate, stage.listen.len())
+            let shared = lab.shared.borrow();
+            (shared.bad_client_rate, shared.listen.len())
         };
         if rate <= 0.0 {
-            lab.wait_while(|stage| stage.bad_rate <= 0.0).await;
+            lab.wait_while(|shared| shared.bad_client_rate <= 0.0).await;
             continue;
         }
-        sleep(Duration::from_secs_f64(drawn.random_range(0.5..1.5) / rate)).await;
-        let address = lab.stage.borrow().listen[drawn.random_range(0..all)];
-        let junk: Vec<u8> = match drawn.random_range(0..6) {
+        sleep(Duration::from_secs_f64(rng.random_range(0.5..1.5) / rate)).await;
+        let address = lab.shared.borrow().listen[rng.random_range(0..all)];
+        let bytes: Vec<u8> = match rng.random_range(0..6) {
             0 => b"POST /".to_vec(),
-            1 => (0..300).map(|_| drawn.random()).collect(),
+            1 => (0..300).map(|_| rng.random()).collect(),
             2 => b"POST /x HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n".to_vec(),
             3 => b"GET /nowhere HTTP/1.1\r\n\r\n".to_vec(),
             4 => [b"POST /x HTTP/1.1\r\nA: ".to_vec(), vec![b'a'; 40_000]].concat(),
@@ -1344,30 +1455,31 @@
         };
         spawn_local(async move {
             if let Ok(stream) = TcpStream::connect(address).await {
-                let mut wire = Wire::new(stream);
-                let _ = wire.say(&junk).await;
-                let _ = timeout(Duration::from_secs(6), wire.ended()).await;
+                let mut connection = Connection::new(stream);
+                let _ = connection.send(&bytes).await;
+                let _ = timeout(Duration::from_secs(6), connection.wait_for_input()).await;
             }
         });
     }
 }
 
-/// How late this very loop is: where it is, nothing else that it saw can be believed.
-async fn keep_time(lab: Lab) {
+/// Measures how late the event loop is. Observations are unreliable while it is late.
+async fn measure_lateness(lab: Lab) {
     loop {
-        let at = lab.now() + TICK;
-        lab.until(at).await;
+        let at = lab.now() + LATENESS_CHECK_INTERVAL;
+        lab.sleep_until(at).await;
         let late = lab.now() - at;
-        let stage = &mut *lab.stage.borrow_mut();
-        stage.looked = (at + late, stage.behind(at + late));
-        let ticks = &mut stage.ticks;
-        ticks.0 += 1;
-        ticks.1 += u64::from(late > LATE);
-        ticks.2 = ticks.2.max(late);
+        let shared = &mut *lab.shared.borrow_mut();
+        shared.last_check = (at + late, shared.observation_delay(at + late));
+        let checks = &mut shared.lateness_checks;
+        checks.0 += 1;
+        checks.1 += u64::from(late > LATE_THRESHOLD);
+        checks.2 = checks.2.max(late);
     }
 }
 
-/// The program beside the lab's own, as one build leaves both; over a disk that can fail where the scenario has one.
+/// Returns the path of the dispatcher to test, which the build puts beside the lab: the one on a faulty disk
+/// if the scenario has a store.
 pub fn own_program(scenario: &Scenario) -> PathBuf {
     let lab = std::env::current_exe().unwrap_or_default();
     lab.with_file_name(if scenario.store.is_some() { "lab-dispatcher" } else { "topazsail" })
--- a/lab/src/sockets/operators.rs
+++ b/lab/src/sockets/operators.rs
@@ -1,7 +1,8 @@
-//! Staff: they take runners out by hand and back in at every dispatcher, and ask each how it stands.
+//! Emulated operators: they set and clear admin overrides that take runners out of service, at every
+//! dispatcher, and poll each dispatcher's status.
 //!
-//! It owns what was called and what was answered. It must never take a call for carried out that was not answered: then
-//! nobody knows, and nothing is held against the dispatcher.
+//! This module owns the calls and their answers. A call without an answer must never count as carried out:
+//! its effect is unknown, and the judge does not hold the dispatcher to it.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,107 +17,116 @@
 use crate::judge::Seen;
 use crate::load::chance;
 
-const ANSWER_WITHIN: Duration = Duration::from_secs(4);
-const ANSWER_MOST: u64 = 64 << 10;
-/// How often one is asked that is not ready, and one that is.
-const ASK_EVERY: Duration = Duration::from_millis(20);
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// How long an operator waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_ANSWER_BYTES: u64 = 64 << 10;
+/// Interval of status polls until the dispatcher serves.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval of status polls while the dispatcher serves.
+const SERVING_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One call: its answer, if one came in time from the process that was there when it was made.
-async fn call(lab: &Lab, d: u32, line: &str) -> Option<String> {
-    let nth = d as usize;
-    let (address, epoch) = (lab.stage.borrow().admins[nth], lab.stage.borrow().epochs[nth]);
-    let said = async {
+/// Makes one call. Returns its answer if it was complete, in time, and from the process that ran when the
+/// call was made.
+async fn admin_call(lab: &Lab, d: u32, line: &str) -> Option<String> {
+    let index = d as usize;
+    let (address, epoch) = (lab.shared.borrow().admin_addresses[index], lab.shared.borrow().epochs[index]);
+    let exchange = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
         let mut text = String::new();
-        (&mut stream).take(ANSWER_MOST).read_to_string(&mut text).await.ok()?;
+        (&mut stream).take(MAX_ANSWER_BYTES).read_to_string(&mut text).await.ok()?;
         Some(text).filter(|text| text.ends_with('\n'))
     };
-    let answer = timeout(ANSWER_WITHIN, said).await.ok()??;
-    Some(answer).filter(|_| lab.stage.borrow().epochs[nth] == epoch)
+    let answer = timeout(ANSWER_TIMEOUT, exchange).await.ok()??;
+    Some(answer).filter(|_| lab.shared.borrow().epochs[index] == epoch)
 }
 
-/// Takes runners out and back in, by seed.
-pub async fn hands(lab: Lab) {
-    let (every, most, back, seed, runners, all) = {
-        let stage = lab.stage.borrow();
-        let Some(store) = &stage.scenario.store else { return };
+/// Takes runners out of service and back in at intervals; the seed decides which and when.
+pub async fn toggle_admin_overrides(lab: Lab) {
+    let (interval, max_out, back, seed, runners, dispatcher_count) = {
+        let shared = lab.shared.borrow();
+        let Some(store) = &shared.scenario.store else { return };
         (
             store.hands_every.0,
             store.out_most as usize,
             store.back,
-            stage.seed,
-            stage.world.runners.len(),
-            stage.epochs.len(),
+            shared.seed,
+            shared.world.runners.len(),
+            shared.epochs.len(),
         )
     };
-    let mut drawn = chance(seed, 9);
+    let mut rng = chance(seed, 9);
     let mut out: BTreeSet<u32> = BTreeSet::new();
-    if every <= 0 {
+    if interval <= 0 {
         return;
     }
     loop {
-        let at = lab.now() + every / 2 + drawn.random_range(0..every);
-        lab.until(at).await;
-        if !back && out.len() >= most {
+        let at = lab.now() + interval / 2 + rng.random_range(0..interval);
+        lab.sleep_until(at).await;
+        if !back && out.len() >= max_out {
             return;
         }
-        let takes = out.len() < most && (!back || out.is_empty() || drawn.random_range(0..2) == 0);
-        let runner = if takes {
-            drawn.random_range(0..runners) as u32
+        let takes_out = out.len() < max_out && (!back || out.is_empty() || rng.random_range(0..2) == 0);
+        let runner = if takes_out {
+            rng.random_range(0..runners) as u32
         } else {
-            out.iter().copied().nth(drawn.random_range(0..out.len())).unwrap_or(0)
+            out.iter().copied().nth(rng.random_range(0..out.len())).unwrap_or(0)
         };
-        if takes {
+        if takes_out {
             out.insert(runner)
         } else {
             out.remove(&runner)
         };
-        let line = format!("maint-{} r{runner}", if takes { "on" } else { "off" });
+        let line = format!("maint-{} r{runner}", if takes_out { "on" } else { "off" });
         let mut calls = JoinSet::new();
-        for d in 0..all as u32 {
+        for d in 0..dispatcher_count as u32 {
             let (lab, line) = (lab.clone(), line.clone());
             calls.spawn_local(async move {
                 let unknown = Seen::Hand { dispatcher: d, runner, out: None };
-                if !takes {
-                    lab.see(unknown.clone());
+                if !takes_out {
+                    lab.record(unknown.clone());
                 }
-                let yes = call(&lab, d, &line).await.is_some_and(|answer| answer.starts_with("YES"));
-                lab.stage.borrow_mut().hands[usize::from(yes)] += 1;
-                lab.see(if yes { Seen::Hand { dispatcher: d, runner, out: Some(takes) } } else { unknown });
+                let accepted =
+                    admin_call(&lab, d, &line).await.is_some_and(|answer| answer.starts_with("YES"));
+                lab.shared.borrow_mut().operator_calls[usize::from(accepted)] += 1;
+                lab.record(if accepted {
+                    Seen::Hand { dispatcher: d, runner, out: Some(takes_out) }
+                } else {
+                    unknown
+                });
             });
         }
         while calls.join_next().await.is_some() {}
     }
 }
 
-/// The word after `name=` in an answer.
-fn word<'a>(answer: &'a str, name: &str) -> Option<&'a str> {
+/// Returns the value of `name=value` in an answer.
+fn field<'a>(answer: &'a str, name: &str) -> Option<&'a str> {
     answer.split_ascii_whitespace().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Asks one dispatcher how it stands, all the time.
-pub async fn asks(lab: Lab, d: u32) {
-    let nth = d as usize;
-    // Until which life it has said that it serves.
-    let mut served = 0;
+/// Polls the status of one dispatcher until the run ends, and records its boot number and whether it has no
+/// roster yet.
+pub async fn poll_status(lab: Lab, d: u32) {
+    let index = d as usize;
+    // The epoch of the last process that reported to be serving.
+    let mut serving_epoch = 0;
     loop {
-        let epoch = lab.stage.borrow().epochs[nth];
+        let epoch = lab.shared.borrow().epochs[index];
         let (asked, up) = (lab.now(), !epoch.is_multiple_of(2));
-        let answer = if up { call(&lab, d, "status").await } else { None };
+        let answer = if up { admin_call(&lab, d, "status").await } else { None };
         if let Some(answer) = &answer {
-            if let Some(boot) = word(answer, "boot").and_then(|boot| boot.parse().ok()) {
-                lab.see(Seen::Boot { dispatcher: d, boot });
+            if let Some(boot) = field(answer, "boot").and_then(|boot| boot.parse().ok()) {
+                lab.record(Seen::Boot { dispatcher: d, boot });
             }
-            let stage = word(answer, "stage").unwrap_or_default();
+            let stage = field(answer, "stage").unwrap_or_default();
             if matches!(stage, "finding" | "numbered") {
-                lab.see(Seen::Unlisted { dispatcher: d, asked });
+                lab.record(Seen::Unlisted { dispatcher: d, asked });
             }
             if stage == "serving" {
-                served = epoch;
+                serving_epoch = epoch;
             }
         }
-        sleep(if served == epoch { LOOK_EVERY } else { ASK_EVERY }).await;
+        sleep(if serving_epoch == epoch { SERVING_POLL_INTERVAL } else { STARTUP_POLL_INTERVAL }).await;
     }
 }
--- a/lab/src/sockets/process.rs
+++ b/lab/src/sockets/process.rs
@@ -1,7 +1,7 @@
-//! A dispatcher under trial as a process of its own: started with a configuration that the lab writes, told by
-//! signals, and never left behind.
+//! The process of a dispatcher under test: started with a configuration that the lab writes, controlled by
+//! signals, and killed when the lab ends, however it ends.
 //!
-//! It owns the process and its log. It must never look into what the process decides.
+//! This module owns the process and its log. It must never depend on what the process decides.
 
 use std::fs::{self, File};
 use std::io;
@@ -11,22 +11,25 @@
 
 use topazsail_faults::{Plan, shim};
 
-use crate::tally::Process as Used;
+use crate::tally::Process as ProcessUsage;
 
+/// A dispatcher's process over all its starts.
 pub struct Process {
+    /// The dispatcher's index.
     pub number: u32,
     program: PathBuf,
     config: PathBuf,
     log: PathBuf,
-    /// Its system calls fail by this, in each life anew.
+    /// Injected failures of its system calls; the plan restarts with each process.
     plan: Option<Plan>,
     child: Option<Child>,
-    used: Used,
-    /// CPU milliseconds of the present life.
-    spent: f64,
+    usage: ProcessUsage,
+    /// CPU time of the current process in milliseconds.
+    run_cpu_ms: f64,
 }
 
 impl Process {
+    /// Creates a process that has not been started; its configuration and log are files in `folder`.
     pub fn new(number: u32, program: &Path, folder: &Path) -> Process {
         Process {
             number,
@@ -35,24 +38,35 @@
             log: folder.join(format!("d{number}.log")),
             plan: None,
             child: None,
-            used: Used { name: format!("d{number}"), ..Used::default() },
-            spent: 0.0,
+            usage: ProcessUsage { name: format!("d{number}"), ..ProcessUsage::default() },
+            run_cpu_ms: 0.0,
         }
     }
 
-    /// Has its system calls fail by a plan from its next start on.
-    pub fn fails_by(mut self, plan: Option<Plan>) -> Process {
+    /// Sets the plan by which system calls fail from the next start on.
+    pub fn with_fault_plan(mut self, plan: Option<Plan>) -> Process {
         self.plan = plan;
         self
     }
 
-    pub fn configure(&self, text: &str) -> Result<(), String> {
-        // Whole or not at all: it may be read at this very moment.
+    /// Writes the configuration file.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file cannot be written.
+    pub fn write_configuration(&self, text: &str) -> Result<(), String> {
+        // Replaced atomically: the process may be reading it.
         let next = self.config.with_extension("next");
         let written = fs::write(&next, text).and_then(|()| fs::rename(&next, &self.config));
         written.map_err(|error| format!("{}: {error}", self.config.display()))
     }
 
+    /// Starts the process.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the log cannot be opened, the fault shim cannot be built, or the program cannot be
+    /// run.
     pub fn start(&mut self) -> Result<(), String> {
         let log = File::options().create(true).append(true).open(&self.log);
         let log = log.map_err(|error| format!("{}: {error}", self.log.display()))?;
@@ -63,8 +77,8 @@
             shim::inject(&mut command, library, plan);
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        // SAFETY: only an async-signal-safe call between fork and exec; it ends the child with the lab, however
-        // the lab ends.
+        // SAFETY: prctl is async-signal-safe, and nothing else is called between fork and exec. It has the
+        // kernel kill the child when the lab ends, however the lab ends.
         unsafe {
             command.pre_exec(|| match libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL) {
                 0 => Ok(()),
@@ -73,63 +87,69 @@
         }
         let started = command.spawn().map_err(|error| format!("{}: {error}", self.program.display()));
         self.child = Some(started?);
-        self.used.starts += 1;
+        self.usage.starts += 1;
         Ok(())
     }
 
+    /// Sends a signal, if the process is running.
     pub fn signal(&self, signal: i32) {
         if let Some(child) = &self.child {
-            // SAFETY: the child has not been waited for, so that its id is still its own.
+            // SAFETY: the child has not been waited for, so its process id cannot have been reused.
             unsafe { libc::kill(child.id() as i32, signal) };
         }
     }
 
-    /// Takes note of what the process has used so far.
-    pub fn look(&mut self) {
+    /// Records the peak memory and CPU time of the process so far.
+    pub fn sample_usage(&mut self) {
         let Some(child) = &self.child else { return };
         let folder = PathBuf::from(format!("/proc/{}", child.id()));
         let status = fs::read_to_string(folder.join("status")).unwrap_or_default();
         let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")?.trim().strip_suffix("kB"));
         if let Some(kb) = peak.and_then(|text| text.trim().parse::<f64>().ok()) {
-            self.used.peak_mb = self.used.peak_mb.max((kb / 102.4).round() / 10.0);
+            self.usage.peak_mb = self.usage.peak_mb.max((kb / 102.4).round() / 10.0);
         }
-        // Nanoseconds on a processor come first.
-        let spent = fs::read_to_string(folder.join("schedstat")).unwrap_or_default();
-        let spent = spent.split(' ').next().and_then(|text| text.parse::<f64>().ok());
-        self.spent = spent.map_or(self.spent, |ns| (ns / 1e5).round() / 10.0);
+        // The first field of schedstat is the time on a CPU in nanoseconds.
+        let run_cpu_ms = fs::read_to_string(folder.join("schedstat")).unwrap_or_default();
+        let run_cpu_ms = run_cpu_ms.split(' ').next().and_then(|text| text.parse::<f64>().ok());
+        self.run_cpu_ms = run_cpu_ms.map_or(self.run_cpu_ms, |ns| (ns / 1e5).round() / 10.0);
     }
 
-    /// Whether it has ended by itself, and with which code.
-    pub fn ended(&mut self) -> Option<Option<i32>> {
+    /// Returns the exit code if the process has ended by itself since the last call; the code is `None` if a
+    /// signal ended it.
+    pub fn take_exit_code(&mut self) -> Option<Option<i32>> {
         let status = self.child.as_mut()?.try_wait().ok()??;
-        self.gone();
+        self.record_end();
         Some(status.code())
     }
 
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
-        self.look();
+        self.sample_usage();
         if let Some(child) = &mut self.child {
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.gone();
+        self.record_end();
     }
 
-    fn gone(&mut self) {
+    /// Adds the ended process to the totals.
+    fn record_end(&mut self) {
         self.child = None;
-        self.used.cpu_ms += std::mem::take(&mut self.spent);
+        self.usage.cpu_ms += std::mem::take(&mut self.run_cpu_ms);
     }
 
-    pub fn runs(&self) -> bool {
+    /// Returns whether the process was started and its end has not been observed.
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    pub fn used(&self) -> Used {
-        Used { cpu_ms: self.used.cpu_ms + self.spent, ..self.used.clone() }
+    /// Returns the resource usage over all starts.
+    pub fn usage(&self) -> ProcessUsage {
+        ProcessUsage { cpu_ms: self.usage.cpu_ms + self.run_cpu_ms, ..self.usage.clone() }
     }
 
-    /// The last lines of its log, for a message on why it would not start.
-    pub fn last_words(&self) -> String {
+    /// Returns the last lines of the log, for messages on why the process ended.
+    pub fn log_tail(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
         lines[lines.len().saturating_sub(3)..].join("; ")
--- a/lab/src/sockets/relay.rs
+++ b/lab/src/sockets/relay.rs
@@ -1,7 +1,7 @@
-//! The links between dispatchers: each is told an address of the lab's for each other one, and what it sends there is
-//! carried on, late, twice or not at all.
+//! The links between dispatchers. Each dispatcher is configured with a relay address of the lab's for each
+//! peer; datagrams sent there are forwarded after a delay, possibly twice, or dropped.
 //!
-//! It owns the datagrams under way. It must never look into one.
+//! This module owns the datagrams in transit. It must never depend on their contents.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -11,56 +11,69 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::{Lab, NO_DELAY};
+use super::{Lab, MIN_DELAY};
 
-const DATAGRAM_MOST: usize = 64 << 10;
+/// Upper limit of a datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-pub async fn bound(ip: Ipv4Addr) -> Result<UdpSocket, String> {
-    UdpSocket::bind((ip, 0)).await.map_err(|error| format!("datagrams at {ip}: {error}"))
+/// Binds a UDP socket at a free port of `ip`.
+///
+/// # Errors
+///
+/// Returns an error if no socket can be bound.
+pub async fn bind(ip: Ipv4Addr) -> Result<UdpSocket, String> {
+    UdpSocket::bind((ip, 0)).await.map_err(|error| format!("cannot bind a UDP socket at {ip}: {error}"))
 }
 
+/// Returns the address of a socket.
+///
+/// # Errors
+///
+/// Returns an error if the system does not report it.
 pub fn address(socket: &UdpSocket) -> Result<SocketAddr, String> {
-    socket.local_addr().map_err(|error| format!("datagrams: {error}"))
+    socket.local_addr().map_err(|error| format!("cannot read the address of a UDP socket: {error}"))
 }
 
-/// Carries what each of `all` dispatchers sends to each other one; sockets in rows by sender.
-pub fn start(lab: &Lab, sockets: &[Rc<UdpSocket>], all: usize) {
-    for (nth, socket) in sockets.iter().enumerate() {
-        let (from, to) = (nth / all, nth % all);
+/// Starts the relays between `dispatcher_count` dispatchers. `sockets` holds the relay addresses in rows by
+/// sender.
+pub fn start(lab: &Lab, sockets: &[Rc<UdpSocket>], dispatcher_count: usize) {
+    for (index, socket) in sockets.iter().enumerate() {
+        let (from, to) = (index / dispatcher_count, index % dispatcher_count);
         if from != to {
-            // The receiver sees the address at which it is told to reach the sender.
-            let back = sockets[to * all + from].clone();
-            spawn_local(carry(lab.clone(), (from, to), socket.clone(), back));
+            // The datagram leaves from the address at which the receiver is configured to reach the sender.
+            let outgoing = sockets[to * dispatcher_count + from].clone();
+            spawn_local(carry(lab.clone(), (from, to), socket.clone(), outgoing));
         }
     }
 }
 
-async fn carry(lab: Lab, (from, to): (usize, usize), here: Rc<UdpSocket>, back: Rc<UdpSocket>) {
-    let mut bytes = vec![0; DATAGRAM_MOST];
+/// Forwards the datagrams of one link until the run ends.
+async fn carry(lab: Lab, (from, to): (usize, usize), incoming: Rc<UdpSocket>, outgoing: Rc<UdpSocket>) {
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((length, sender)) = here.recv_from(&mut bytes).await else {
-            // The last one that was sent from here was refused: nobody was there.
+        let Ok((length, sender)) = incoming.recv_from(&mut bytes).await else {
+            // An earlier datagram sent from this socket was refused because the receiver's process was down.
             tokio::task::yield_now().await;
             continue;
         };
-        let (after, target) = {
+        let (delays, target) = {
             let now = lab.now();
-            let stage = &mut *lab.stage.borrow_mut();
-            if sender != stage.peers[from] {
+            let shared = &mut *lab.shared.borrow_mut();
+            if sender != shared.peers[from] {
                 continue;
             }
             let path = (from as u32, to as u32);
-            (stage.world.carry(&stage.scenario, path, now, &mut stage.carried), stage.peers[to])
+            (shared.world.carry(&shared.scenario, path, now, &mut shared.relay_random), shared.peers[to])
         };
-        for delay in after {
-            if delay < NO_DELAY {
-                let _ = back.try_send_to(&bytes[..length], target);
+        for delay in delays {
+            if delay < MIN_DELAY {
+                let _ = outgoing.try_send_to(&bytes[..length], target);
                 continue;
             }
-            let (back, copy) = (back.clone(), bytes[..length].to_vec());
+            let (outgoing, copy) = (outgoing.clone(), bytes[..length].to_vec());
             spawn_local(async move {
                 sleep(Duration::from_micros(delay as u64)).await;
-                let _ = back.try_send_to(&copy, target);
+                let _ = outgoing.try_send_to(&copy, target);
             });
         }
     }
--- a/lab/tests/soak.rs
+++ b/lab/tests/soak.rs
@@ -9,7 +9,7 @@
 use std::sync::Mutex;
 
 use topazsail_lab::soak;
-use topazsail_lab::sockets::play_failing;
+use topazsail_lab::sockets::play_with_fault_plans;
 use topazsail_lab::tally::Outcome;
 
 const SEEDS: std::ops::Range<u64> = 1..9;
@@ -18,7 +18,7 @@
 fn play(seed: u64) -> Outcome {
     let day = soak::day(seed).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_lab-dispatcher"));
-    helper::believed(|| play_failing(&day.scenario, program, seed, &day.plans, &|_| ()).unwrap())
+    helper::believed(|| play_with_fault_plans(&day.scenario, program, seed, &day.plans, &|_| ()).unwrap())
 }
 
 #[test]
