--- a/lab/src/bin/lab-dispatcher.rs
+++ b/lab/src/bin/lab-dispatcher.rs
@@ -1,12 +1,15 @@
-//! The dispatcher itself over a disk that fails on purpose: what the lab starts where a scenario has a store.
+//! The real dispatcher on a disk with injected faults. The lab starts it if a scenario has a store.
 //!
-//! What was not synced is kept in this process and goes with it, as with a machine's power; some of it reaches the
-//! disk all the same, by seed. What is wrong with the disk stands in a file beside the folder (`FOLDER.disk`), which
-//! the lab writes and this reads again all the time.
+//! Data that is not synced is kept in this process and lost with it, as in a loss of power; a part of it,
+//! drawn by seed, reaches the disk anyway. The lab writes the disk's current faults to a file beside the
+//! directory (`FOLDER.disk`), which this program polls.
 //!
-//! By `LAB_TWIN` it is a faulty twin, for the judge's tests: `unsynced` says that the disk has what it has not,
-//! `forgets-hands` begins without its records, `rolled-back` each time with what its first life found, `spends-alone`
-//! takes all that may be sent to a cold runner for its own.
+//! For the judge's tests, the environment variable `LAB_TWIN` turns it into a variant with one defect:
+//!
+//! - `unsynced` reports data as synced that is not on disk.
+//! - `forgets-hands` starts without its stored records.
+//! - `rolled-back` starts each time with the state that its first process found.
+//! - `spends-alone` uses the whole slow-start allowance of cold runners for itself.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -18,21 +21,25 @@
 use topazsail_lab::disks::{Ailment, control};
 use topazsail_store::{DirectoryDisk, Disk, DiskFaults, FaultyDisk, Machine};
 
-const TWIN: &str = "LAB_TWIN";
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Environment variable that selects a defect.
+const DEFECT_VARIABLE: &str = "LAB_TWIN";
+/// Interval at which the file of faults is read.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-fn read(path: &Path) -> Option<Ailment> {
+/// Reads the file of faults; `None` if it is missing or malformed.
+fn read_ailment(path: &Path) -> Option<Ailment> {
     serde_json::from_slice(&std::fs::read(path).ok()?).ok()
 }
 
-fn twin() -> String {
-    std::env::var(TWIN).unwrap_or_default()
+/// Returns the selected defect; empty for none.
+fn defect() -> String {
+    std::env::var(DEFECT_VARIABLE).unwrap_or_default()
 }
 
-/// What a twin does to its folder before it looks there.
-fn tamper(folder: &Path) -> io::Result<()> {
-    let first = folder.with_extension("first");
-    match twin().as_str() {
+/// Changes the stored files before the dispatcher reads them, if the defect requires it.
+fn alter_files(folder: &Path) -> io::Result<()> {
+    let initial = folder.with_extension("first");
+    match defect().as_str() {
         "forgets-hands" => {
             for entry in std::fs::read_dir(folder)? {
                 let path = entry?.path();
@@ -43,7 +50,7 @@
         }
         "rolled-back" => {
             let (from, to) =
-                if first.is_dir() { (first.as_path(), folder) } else { (folder, first.as_path()) };
+                if initial.is_dir() { (initial.as_path(), folder) } else { (folder, initial.as_path()) };
             std::fs::create_dir_all(to)?;
             for entry in std::fs::read_dir(to)? {
                 std::fs::remove_file(entry?.path())?;
@@ -58,47 +65,50 @@
     Ok(())
 }
 
-fn faults(ailment: &Ailment) -> DiskFaults {
+/// Converts the lab's description of faults to the disk's.
+fn disk_faults(ailment: &Ailment) -> DiskFaults {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
     DiskFaults {
         full: ailment.full,
         read_only: ailment.read_only,
         sync_fails: ailment.sync_fails,
-        lies: twin() == "unsynced" || ailment.lies,
+        lies: defect() == "unsynced" || ailment.lies,
         slow: Duration::from_micros(ailment.slow.max(0) as u64),
         crash_at: None,
         machine: Some(Machine { life: format!("m{}", ailment.life), up: (unix - ailment.up_since).max(0) }),
     }
 }
 
-fn disk_at(folder: &Path) -> io::Result<Box<dyn Disk>> {
+/// Opens the faulty disk of a directory, and keeps its faults up to date with the file.
+fn open_disk(folder: &Path) -> io::Result<Box<dyn Disk>> {
     let path: PathBuf = control(folder);
-    tamper(folder)?;
-    let first = read(&path).unwrap_or_default();
-    let shared = Arc::new(Mutex::new(faults(&first)));
-    let (seed, told) = (first.seed, shared.clone());
+    alter_files(folder)?;
+    let initial = read_ailment(&path).unwrap_or_default();
+    let shared = Arc::new(Mutex::new(disk_faults(&initial)));
+    let (seed, updated) = (initial.seed, shared.clone());
     thread::spawn(move || {
         loop {
-            if let Some(now) = read(&path) {
-                *told.lock().unwrap_or_else(PoisonError::into_inner) = faults(&now);
+            if let Some(now) = read_ailment(&path) {
+                *updated.lock().unwrap_or_else(PoisonError::into_inner) = disk_faults(&now);
             }
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     });
     Ok(Box::new(FaultyDisk::new(DirectoryDisk::new(folder), shared, seed)?))
 }
 
-/// A twin's own settings, in place of what the lab has written for it.
-fn mislead() -> Option<()> {
+/// Rewrites the configuration for the defect `spends-alone`: one dispatcher, without peers.
+fn rewrite_configuration() -> Option<()> {
     let path = std::env::args().skip_while(|arg| arg != "--config").nth(1);
-    let path = path.filter(|_| twin() == "spends-alone")?;
-    let mut told: serde_json::Value = serde_json::from_str(&std::fs::read_to_string(&path).ok()?).ok()?;
-    told["settings"]["balancers"] = 1.into();
-    told.as_object_mut()?.remove("peers");
-    std::fs::write(&path, told.to_string()).ok()
+    let path = path.filter(|_| defect() == "spends-alone")?;
+    let mut configuration: serde_json::Value =
+        serde_json::from_str(&std::fs::read_to_string(&path).ok()?).ok()?;
+    configuration["settings"]["balancers"] = 1.into();
+    configuration.as_object_mut()?.remove("peers");
+    std::fs::write(&path, configuration.to_string()).ok()
 }
 
 fn main() -> ExitCode {
-    mislead();
-    topazsail_node::cli::main_on(disk_at)
+    rewrite_configuration();
+    topazsail_node::cli::main_on(open_disk)
 }
--- a/lab/src/bin/lab-faulty.rs
+++ b/lab/src/bin/lab-faulty.rs
@@ -1,8 +1,8 @@
-//! A dispatcher made for the judge's tests: simple, right, and wrong in one way when told so.
+//! A minimal dispatcher for the judge's tests that breaks at most one rule.
 //!
-//! `LAB_FAULTY` names the one way: without it, it keeps all four rules, which shows that the judge does not
-//! condemn what is only different from topazsail. It speaks the platform's protocol with its own few lines and
-//! must never share code with the program that it stands beside, nor be used for anything else.
+//! The environment variable `LAB_FAULTY` names the fault. Without it the program keeps all four rules, which
+//! shows that the judge accepts correct dispatchers that differ from topazsail. It implements the platform's
+//! protocol by itself: it must never share code with topazsail, nor be used for anything else.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,30 +14,38 @@
 
 use serde_json::Value;
 
+/// A runner as discovery lists it.
 #[derive(Clone)]
 struct Runner {
     address: String,
     zone: String,
     up: bool,
+    /// When discovery first listed it as started; `None` for a runner that was up before the run.
     cold_since: Option<Instant>,
 }
 
+/// State shared by all threads.
 struct Shared {
-    faulty: String,
+    /// The fault, from `LAB_FAULTY`.
+    fault: String,
+    /// Effect and deduplication scope of each operation.
     operations: HashMap<String, (String, String)>,
     runners: Mutex<BTreeMap<String, Runner>>,
-    /// Whoever waits for a job's end.
-    waits: Mutex<HashMap<String, Sender<(String, String)>>>,
+    /// Channels for call-backs, by invocation: state and result.
+    waiters: Mutex<HashMap<String, Sender<(String, String)>>>,
+    /// Round-robin counter.
     turn: Mutex<usize>,
 }
 
-struct Heard {
+/// A request or a response.
+struct Message {
+    /// The first line.
     first: String,
     headers: Vec<(String, String)>,
     body: String,
 }
 
-impl Heard {
+impl Message {
     fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -46,52 +54,59 @@
     }
 }
 
-fn hear(from: &mut BufReader<TcpStream>) -> Option<Heard> {
+/// Reads a message; `None` if the connection ended or the message is malformed.
+fn receive(reader: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut line = String::new();
-    if from.read_line(&mut line).ok()? == 0 {
+    if reader.read_line(&mut line).ok()? == 0 {
         return None;
     }
     let (first, mut headers) = (line.trim_end().to_owned(), Vec::new());
     loop {
         let mut line = String::new();
-        from.read_line(&mut line).ok()?;
+        reader.read_line(&mut line).ok()?;
         let Some((name, value)) = line.trim_end().split_once(':') else { break };
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
-    let mut heard = Heard { first, headers, body: String::new() };
-    let length = heard.header("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+    let mut message = Message { first, headers, body: String::new() };
+    let length = message.header("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
-    from.read_exact(&mut body).ok()?;
-    heard.body = String::from_utf8_lossy(&body).into_owned();
-    Some(heard)
+    reader.read_exact(&mut body).ok()?;
+    message.body = String::from_utf8_lossy(&body).into_owned();
+    Some(message)
 }
 
+/// Formats a response.
 fn answer(status: u16, body: &str) -> String {
     format!("HTTP/1.1 {status} .\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// One bare exchange on a connection of its own; none where it broke.
-fn exchange(address: &str, message: &str) -> Option<Heard> {
+/// Sends a request on a new connection and returns the response; `None` if the connection failed.
+fn exchange(address: &str, message: &str) -> Option<Message> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(20))).ok()?;
     stream.write_all(message.as_bytes()).ok()?;
-    hear(&mut BufReader::new(stream))
+    receive(&mut BufReader::new(stream))
 }
 
-enum Came {
+/// How a forward ended.
+enum ForwardResult {
+    /// Succeeded with this result.
     Done(String),
+    /// Certainly not run.
     NeverRan,
-    Perhaps,
-    /// The client's time is over.
+    /// May have run.
+    MayHaveRun,
+    /// Not ended before the client's deadline.
     Late,
 }
 
 impl Shared {
-    fn is(&self, faulty: &str) -> bool {
-        self.faulty == faulty
+    /// Returns whether this is the fault to show.
+    fn is(&self, fault: &str) -> bool {
+        self.fault == fault
     }
 
-    /// The next runner in turn; for a repeat inside a zone, there.
+    /// Chooses the next runner by round robin; only within a zone, if one is given.
     fn choose(&self, zone: Option<&str>) -> Option<(String, Runner)> {
         let runners = self.runners.lock().unwrap();
         let fits = |runner: &Runner| {
@@ -110,143 +125,147 @@
         open.get(*turn % open.len().max(1)).map(|(id, runner)| ((*id).clone(), (*runner).clone()))
     }
 
-    /// Forwards once and waits for what becomes of it.
+    /// Forwards to a runner and waits for the result.
     fn forward(
         &self,
-        heard: &Heard,
+        incoming: &Message,
         id: &str,
         runner: &Runner,
-        ends: &Receiver<(String, String)>,
-        until: Instant,
-    ) -> Came {
-        let path = heard.first.split(' ').nth(1).unwrap_or("/");
-        let mark = heard.header("idempotency-key").map(|key| format!("Idempotency-Key: {key}\r\n"));
+        call_backs: &Receiver<(String, String)>,
+        deadline: Instant,
+    ) -> ForwardResult {
+        let path = incoming.first.split(' ').nth(1).unwrap_or("/");
+        let key_header = incoming.header("idempotency-key").map(|key| format!("Idempotency-Key: {key}\r\n"));
         let message = format!(
             "POST {path} HTTP/1.1\r\nX-Request-Id: {id}\r\n{}Content-Length: {}\r\n\r\n{}",
-            mark.unwrap_or_default(),
-            heard.body.len(),
-            heard.body
+            key_header.unwrap_or_default(),
+            incoming.body.len(),
+            incoming.body
         );
-        let Ok(mut stream) = TcpStream::connect(&runner.address) else { return Came::NeverRan };
+        let Ok(mut stream) = TcpStream::connect(&runner.address) else { return ForwardResult::NeverRan };
         if stream.write_all(message.as_bytes()).is_err() {
-            return Came::Perhaps;
+            return ForwardResult::MayHaveRun;
         }
-        let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-        let _ = stream.set_read_timeout(Some(left));
-        match hear(&mut BufReader::new(stream)) {
-            Some(said) if said.first.contains(" 202") => {}
-            Some(said) if said.header("x-not-run") == Some("1") => return Came::NeverRan,
-            _ if Instant::now() >= until => return Came::Late,
-            _ => return Came::Perhaps,
+        let time_left = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+        let _ = stream.set_read_timeout(Some(time_left));
+        match receive(&mut BufReader::new(stream)) {
+            Some(response) if response.first.contains(" 202") => {}
+            Some(response) if response.header("x-not-run") == Some("1") => return ForwardResult::NeverRan,
+            _ if Instant::now() >= deadline => return ForwardResult::Late,
+            _ => return ForwardResult::MayHaveRun,
         }
         loop {
-            match ends.recv_timeout(until.saturating_duration_since(Instant::now())) {
-                Err(_) => return Came::Late,
+            match call_backs.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
+                Err(_) => return ForwardResult::Late,
                 Ok((state, result)) => match state.as_str() {
-                    "done" => return Came::Done(result),
-                    "returned" => return Came::NeverRan,
-                    "failed" | "lost" => return Came::Perhaps,
+                    "done" => return ForwardResult::Done(result),
+                    "returned" => return ForwardResult::NeverRan,
+                    "failed" | "lost" => return ForwardResult::MayHaveRun,
                     _ => {}
                 },
             }
         }
     }
 
-    fn invoke(&self, heard: &Heard, id: &str) -> (u16, String) {
-        let left: u64 = heard.header("x-deadline-ms").and_then(|text| text.parse().ok()).unwrap_or(1000);
-        let until = Instant::now() + Duration::from_millis(left.saturating_sub(80));
-        let name = heard.first.split(' ').nth(1).unwrap_or("/").trim_start_matches('/').to_owned();
-        let Some((effect, group)) = self.operations.get(&name).cloned() else { return (404, String::new()) };
-        let (tell, ends) = channel();
-        self.waits.lock().unwrap().insert(id.to_owned(), tell);
-        let mut bound: Option<String> = None;
-        let mut last = Came::NeverRan;
+    /// Runs an invocation with up to three forwards. Returns the status and body of the answer.
+    fn invoke(&self, incoming: &Message, id: &str) -> (u16, String) {
+        let time_left: u64 =
+            incoming.header("x-deadline-ms").and_then(|text| text.parse().ok()).unwrap_or(1000);
+        let deadline = Instant::now() + Duration::from_millis(time_left.saturating_sub(80));
+        let name = incoming.first.split(' ').nth(1).unwrap_or("/").trim_start_matches('/').to_owned();
+        let Some((effect, scope)) = self.operations.get(&name).cloned() else { return (404, String::new()) };
+        let (sender, call_backs) = channel();
+        self.waiters.lock().unwrap().insert(id.to_owned(), sender);
+        let mut bound_zone: Option<String> = None;
+        let mut last = ForwardResult::NeverRan;
         for _ in 0..3 {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 break;
             }
-            let Some((_, runner)) = self.choose(bound.as_deref()) else { break };
+            let Some((_, runner)) = self.choose(bound_zone.as_deref()) else { break };
             if self.is("two-out")
                 && let Some((_, other)) = self.choose(None)
             {
-                let path = heard.first.split(' ').nth(1).unwrap_or("/");
-                let length = heard.body.len();
+                let path = incoming.first.split(' ').nth(1).unwrap_or("/");
+                let length = incoming.body.len();
                 let message = format!(
                     "POST {path} HTTP/1.1\r\nX-Request-Id: {id}\r\nContent-Length: {length}\r\n\r\n{}",
-                    heard.body
+                    incoming.body
                 );
                 let _ = exchange(&other.address, &message);
             }
-            last = self.forward(heard, id, &runner, &ends, until);
+            last = self.forward(incoming, id, &runner, &call_backs, deadline);
             match last {
-                Came::Done(_) | Came::Late => break,
-                Came::NeverRan => {}
-                Came::Perhaps if effect == "idempotent" => {}
-                Came::Perhaps if effect == "deduplicated" => {
-                    bound = (group != "all").then(|| runner.zone.clone()).or(bound);
+                ForwardResult::Done(_) | ForwardResult::Late => break,
+                ForwardResult::NeverRan => {}
+                ForwardResult::MayHaveRun if effect == "idempotent" => {}
+                ForwardResult::MayHaveRun if effect == "deduplicated" => {
+                    bound_zone = (scope != "all").then(|| runner.zone.clone()).or(bound_zone);
                 }
-                Came::Perhaps if self.is("repeats-unsafe") => {}
-                Came::Perhaps => break,
+                ForwardResult::MayHaveRun if self.is("repeats-unsafe") => {}
+                ForwardResult::MayHaveRun => break,
             }
         }
-        if let Came::Late = last
+        if let ForwardResult::Late = last
             && effect != "at_most_once"
         {
-            // Nobody waits any more: the job is given up wherever it is.
+            // The client no longer waits: the job is cancelled at every runner.
             self.runners.lock().unwrap().values().for_each(|runner| {
                 let address = runner.address.clone();
                 let message = format!("DELETE /jobs/{id} HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
                 thread::spawn(move || exchange(&address, &message));
             });
         }
-        self.waits.lock().unwrap().remove(id);
-        let perhaps = bound.is_some() || matches!(last, Came::Perhaps | Came::Late);
+        self.waiters.lock().unwrap().remove(id);
+        let may_have_run =
+            bound_zone.is_some() || matches!(last, ForwardResult::MayHaveRun | ForwardResult::Late);
         match last {
-            Came::Done(_) if self.is("forges") => (200, "made up".to_owned()),
-            Came::Done(result) => (200, result),
-            _ if effect == "idempotent" || !perhaps => (429, String::new()),
+            ForwardResult::Done(_) if self.is("forges") => (200, "made up".to_owned()),
+            ForwardResult::Done(result) => (200, result),
+            _ if effect == "idempotent" || !may_have_run => (429, String::new()),
             _ if self.is("throttles-unsafe") => (429, String::new()),
             _ => (502, String::new()),
         }
     }
 
+    /// Answers the requests on a connection.
     fn serve(&self, stream: TcpStream) {
-        let Ok(mut say) = stream.try_clone() else { return };
-        let mut from = BufReader::new(stream);
-        while let Some(heard) = hear(&mut from) {
-            let path = heard.first.split(' ').nth(1).unwrap_or("/");
-            let said = match path {
+        let Ok(mut writer) = stream.try_clone() else { return };
+        let mut reader = BufReader::new(stream);
+        while let Some(incoming) = receive(&mut reader) {
+            let path = incoming.first.split(' ').nth(1).unwrap_or("/");
+            let reply = match path {
                 "/healthz" => answer(200, ""),
                 "/v1/job-events" => {
-                    let told: Value = serde_json::from_str(&heard.body).unwrap_or_default();
-                    let text = |name: &str| told[name].as_str().unwrap_or_default().to_owned();
-                    if let Some(waits) = self.waits.lock().unwrap().get(&text("id")) {
-                        let _ = waits.send((text("state"), text("result")));
+                    let event: Value = serde_json::from_str(&incoming.body).unwrap_or_default();
+                    let text = |name: &str| event[name].as_str().unwrap_or_default().to_owned();
+                    if let Some(waiter) = self.waiters.lock().unwrap().get(&text("id")) {
+                        let _ = waiter.send((text("state"), text("result")));
                     }
                     answer(200, "")
                 }
                 _ => {
-                    let id = heard.header("x-request-id").unwrap_or_default().to_owned();
+                    let id = incoming.header("x-request-id").unwrap_or_default().to_owned();
                     if self.is("drops-some") && id.ends_with("31") {
                         return;
                     }
-                    let (status, body) = self.invoke(&heard, &id);
+                    let (status, body) = self.invoke(&incoming, &id);
                     if self.is("answers-late") && status == 200 {
                         thread::sleep(Duration::from_millis(2300));
                     }
                     if self.is("answers-twice") {
-                        let _ = say.write_all(answer(status, &body).as_bytes());
+                        let _ = writer.write_all(answer(status, &body).as_bytes());
                     }
                     answer(status, &body)
                 }
             };
-            if say.write_all(said.as_bytes()).is_err() {
+            if writer.write_all(reply.as_bytes()).is_err() {
                 return;
             }
         }
     }
 
-    /// Keeps the list by the watch.
+    /// Updates the runners from discovery's watch until it ends.
     fn watch(&self, discovery: &str) -> Option<()> {
         let mut stream = TcpStream::connect(discovery).ok()?;
         stream.write_all(b"GET /v1/servers?follow=1&since=0 HTTP/1.1\r\n\r\n").ok()?;
@@ -278,10 +297,10 @@
     let operations =
         operations.iter().map(|op| (text(&op["name"]), (text(&op["effect"]), text(&op["group"])))).collect();
     let shared = Arc::new(Shared {
-        faulty: std::env::var("LAB_FAULTY").unwrap_or_default(),
+        fault: std::env::var("LAB_FAULTY").unwrap_or_default(),
         operations,
         runners: Mutex::default(),
-        waits: Mutex::default(),
+        waiters: Mutex::default(),
         turn: Mutex::default(),
     });
     let listener = TcpListener::bind(text(&config["listen"])).expect("a free address");
@@ -292,7 +311,7 @@
             thread::sleep(Duration::from_millis(100));
         }
     });
-    // Ready once the list is there.
+    // Connections are accepted only once the list has been received.
     while shared.runners.lock().unwrap().is_empty() {
         thread::sleep(Duration::from_millis(5));
     }
--- a/lab/src/ordeal.rs
+++ b/lab/src/fault_days.rs
@@ -1,7 +1,7 @@
-//! Days drawn by seed on which many things fail at once: power, processes, disks, links, discovery.
+//! Random scenarios in which many things fail at once: power, processes, disks, links, discovery.
 //!
-//! It does no I/O. The same seed gives the same scenario on every machine; what is drawn is a scenario as from a file,
-//! checked as one. It must never draw what could not be played.
+//! This module does no I/O. The same seed gives the same scenario on every machine, and it is validated like
+//! one from a file. Every seed must give a scenario that can be played.
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
@@ -9,6 +9,7 @@
 use crate::load::chance;
 use crate::scenario::Scenario;
 
+/// The deployment of all days. It ends inside the table `[store]`.
 const SITE: &str = r#"
 [zones]
 names = ["brisbane", "townsville", "rockhampton"]
@@ -74,29 +75,30 @@
 hands-every = "700ms"
 "#;
 
-/// A moment or a span, drawn evenly, in milliseconds.
-pub(crate) fn ms(drawn: &mut Pcg32, from: u32, to: u32) -> u32 {
-    drawn.random_range(from..=to)
+/// Draws a time or duration in milliseconds, uniformly from `from` to `to`, both included.
+pub(crate) fn draw_ms(rng: &mut Pcg32, from: u32, to: u32) -> u32 {
+    rng.random_range(from..=to)
 }
 
-fn zone(drawn: &mut Pcg32) -> &'static str {
-    ["brisbane", "townsville", "rockhampton"][drawn.random_range(0..3)]
+/// Draws the name of a zone.
+fn draw_zone(rng: &mut Pcg32) -> &'static str {
+    ["brisbane", "townsville", "rockhampton"][rng.random_range(0..3)]
 }
 
-/// A further fault beside the loss of power.
-fn trouble(drawn: &mut Pcg32, length: u32, peers: bool) -> String {
-    let at = ms(drawn, 500, length - 2_500);
-    let lasts = ms(drawn, 300, 2_000);
+/// Draws an additional fault besides the loss of power; faults of links only with peers.
+fn extra_fault(rng: &mut Pcg32, length: u32, peers: bool) -> String {
+    let at = draw_ms(rng, 500, length - 2_500);
+    let lasts = draw_ms(rng, 300, 2_000);
     let when = format!("at = \"{at}ms\"\nlasts = \"{lasts}ms\"\n");
-    let part = ["0.15", "0.375", "0.6"][drawn.random_range(0..3)];
-    match drawn.random_range(0..if peers { 14 } else { 10 }) {
-        0 => format!("kind = \"kill\"\npart = {part}\nspread = \"{}ms\"\n{when}", ms(drawn, 0, 1_500)),
+    let part = ["0.15", "0.375", "0.6"][rng.random_range(0..3)];
+    match rng.random_range(0..if peers { 14 } else { 10 }) {
+        0 => format!("kind = \"kill\"\npart = {part}\nspread = \"{}ms\"\n{when}", draw_ms(rng, 0, 1_500)),
         1 => format!("kind = \"freeze\"\npart = {part}\n{when}"),
-        2 => format!("kind = \"zone-cut\"\nzone = \"{}\"\n{when}", zone(drawn)),
-        3 => format!("kind = \"zone-mute\"\nzone = \"{}\"\n{when}", zone(drawn)),
+        2 => format!("kind = \"zone-cut\"\nzone = \"{}\"\n{when}", draw_zone(rng)),
+        3 => format!("kind = \"zone-mute\"\nzone = \"{}\"\n{when}", draw_zone(rng)),
         4 => format!("kind = \"discovery-down\"\n{when}"),
         5 => format!("kind = \"crash\"\npart = {part}\n{when}"),
-        // 3 of 8 and the like.
+        // 3 of 8 dispatchers, and about as many of 7 or 9.
         6 => format!("kind = \"disk\"\nwrong = \"full\"\npart = 0.375\n{when}"),
         7 => format!("kind = \"disk\"\nwrong = \"read-only\"\npart = {part}\n{when}"),
         8 => format!("kind = \"disk\"\nwrong = \"sync-fails\"\npart = {part}\n{when}"),
@@ -104,31 +106,39 @@
         11 => format!("kind = \"link\"\nlink = \"one-way\"\npart = {part}\n{when}"),
         12 => format!("kind = \"link\"\nlink = \"loss\"\nsize = 0.4\npart = 1.0\n{when}"),
         13 => {
-            format!("kind = \"link\"\nlink = \"flap\"\nsize = {}\npart = {part}\n{when}", ms(drawn, 50, 500))
+            format!(
+                "kind = \"link\"\nlink = \"flap\"\nsize = {}\npart = {part}\n{when}",
+                draw_ms(rng, 50, 500)
+            )
         }
         _ => format!(
             "kind = \"disk\"\nwrong = \"slow\"\nsize = {}\npart = {part}\n{when}",
-            ms(drawn, 100, 2_000)
+            draw_ms(rng, 100, 2_000)
         ),
     }
 }
 
-/// One day: at least one loss of power of the whole site, and up to three more things.
+/// Returns the scenario of a seed: a loss of power of the whole site, possibly a second one, and up to two
+/// more faults.
+///
+/// # Errors
+///
+/// Returns an error if the drawn scenario is not valid, which is a defect of this module.
 pub fn day(seed: u64) -> Result<Scenario, String> {
-    let mut drawn = chance(seed, 10);
-    let (length, dispatchers) = (9_000, drawn.random_range(7..=9));
+    let mut rng = chance(seed, 10);
+    let (length, dispatchers) = (9_000, rng.random_range(7..=9));
     let mut text = format!(
         "name = \"ordeal-{seed}\"\nlength = \"{length}ms\"\nseed = {seed}\ndispatchers = {dispatchers}\n\
          [clients]\nload = 0.5\nretries = 2\nretry-wait = \"80ms\"\nhonour = 0.8\nfront-notice = \"300ms\"\n{SITE}"
     );
-    // Every other day they talk to one another.
-    let peers = drawn.random_range(0..2) == 0;
+    // On half of the days the dispatchers have peers.
+    let peers = rng.random_range(0..2) == 0;
     text += &format!("peers = {peers}\n");
-    let at = ms(&mut drawn, 700, 4_500);
-    let lasts = ms(&mut drawn, 100, 1_500);
-    let spread = if drawn.random_range(0..3) == 0 { ms(&mut drawn, 100, 3_000) } else { 0 };
-    let away = if drawn.random_range(0..4) == 0 { 0.34 } else { 0.0 };
-    let disk = match drawn.random_range(0..8) {
+    let at = draw_ms(&mut rng, 700, 4_500);
+    let lasts = draw_ms(&mut rng, 100, 1_500);
+    let spread = if rng.random_range(0..3) == 0 { draw_ms(&mut rng, 100, 3_000) } else { 0 };
+    let away = if rng.random_range(0..4) == 0 { 0.34 } else { 0.0 };
+    let disk = match rng.random_range(0..8) {
         0 => "damaged",
         1 => "empty",
         2 => "copied",
@@ -139,18 +149,19 @@
         "[[fault]]\nkind = \"power-loss\"\nat = \"{at}ms\"\nlasts = \"{lasts}ms\"\nspread = \"{spread}ms\"\naway = {away}\n\
          disk = \"{disk}\"\nsize = 500\n"
     );
-    // Again within a second of its return, at times; for one zone only, at others.
-    if drawn.random_range(0..3) == 0 {
-        let again = at + lasts + ms(&mut drawn, 0, 1_000);
-        text += &format!("[[fault]]\nkind = \"power-loss\"\nat = \"{again}ms\"\nlasts = \"300ms\"\n");
-    } else if drawn.random_range(0..2) == 0 {
-        let (again, zone) = (ms(&mut drawn, 500, 7_000), zone(&mut drawn));
+    // On some days power fails again within a second of its return; on others it also fails in one zone, at
+    // any time.
+    if rng.random_range(0..3) == 0 {
+        let second_at = at + lasts + draw_ms(&mut rng, 0, 1_000);
+        text += &format!("[[fault]]\nkind = \"power-loss\"\nat = \"{second_at}ms\"\nlasts = \"300ms\"\n");
+    } else if rng.random_range(0..2) == 0 {
+        let (second_at, zone) = (draw_ms(&mut rng, 500, 7_000), draw_zone(&mut rng));
         text += &format!(
-            "[[fault]]\nkind = \"power-loss\"\nzone = \"{zone}\"\nat = \"{again}ms\"\nlasts = \"600ms\"\n"
+            "[[fault]]\nkind = \"power-loss\"\nzone = \"{zone}\"\nat = \"{second_at}ms\"\nlasts = \"600ms\"\n"
         );
     }
-    for _ in 0..drawn.random_range(0..=2) {
-        text += &format!("[[fault]]\n{}", trouble(&mut drawn, length, peers));
+    for _ in 0..rng.random_range(0..=2) {
+        text += &format!("[[fault]]\n{}", extra_fault(&mut rng, length, peers));
     }
     Scenario::parse(&format!("ordeal-{seed}"), &text)
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,14 +1,17 @@
-//! topazsail's lab: one world under two clocks, and a judge apart from both.
+//! topazsail's lab: emulates deployments and their faults in virtual time or on loopback sockets, and judges
+//! the dispatchers independently of their code.
 //!
-//! `scenario` says what is played; `world`, `runner` and `load` are the deployment, with no I/O; `judge` and
-//! `tally` say what came of it. `virtual_clock` plays it with the module in process, `sockets` with the real
-//! program on loopback. `experiment` and `report` are for people.
+//! `scenario` defines what is played. `world`, `runner` and `load` emulate the deployment, without I/O.
+//! `judge` checks the rules that dispatchers must keep, and `tally` computes the results. `virtual_clock`
+//! plays a scenario against the decision module in this process, `sockets` against the real program on
+//! loopback. `fault_days` and `soak` draw random scenarios. `experiment` and `report` compare and present
+//! results.
 
 pub mod disks;
 pub mod experiment;
+pub mod fault_days;
 pub mod judge;
 pub mod load;
-pub mod ordeal;
 pub mod policy;
 pub mod ramp;
 pub mod report;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line of the lab.
 //!
-//! It owns sub-commands and exit codes: 0 fine, 1 bad input or no run, 2 a rule was broken, 3 void. It must
-//! never leave a process behind or swallow a fault.
+//! Exit codes: 0 success; 1 invalid input, or the run was not possible; 2 a rule was broken; 3 the run is
+//! void. The lab must never leave a process behind or hide an error.
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -18,17 +18,18 @@
 use topazsail_lab::tally::Outcome;
 use topazsail_lab::virtual_clock::{self, Options};
 
-/// Plays scenarios against topazsail and judges what comes of them.
+/// Plays scenarios against topazsail and judges the results.
 #[derive(Parser)]
 #[command(name = "topazsail-lab", version)]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
 
+/// How a scenario is played.
 #[derive(Clone, Copy, ValueEnum)]
 enum ClockName {
-    /// The module in process; seconds for a million invocations.
+    /// The decision module in this process, in virtual time; takes seconds for a million invocations.
     Virtual,
     /// The real program on loopback, in real time.
     Sockets,
@@ -41,22 +42,22 @@
         scenario: PathBuf,
         #[arg(long, value_enum, default_value = "virtual")]
         clock: ClockName,
-        /// Instead of the scenario's own.
+        /// Seed to use instead of the scenario's.
         #[arg(long)]
         seed: Option<u64>,
-        /// The dispatcher on sockets; the one beside this program if not named.
+        /// The dispatcher's program on sockets; by default the one beside this program.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Who decides in virtual time.
+        /// The policy that decides in virtual time.
         #[arg(long, default_value = "topazsail")]
         policy: String,
-        /// In virtual time, also say how long the module took.
+        /// In virtual time, also print how much time the decision module took.
         #[arg(long)]
         time: bool,
-        /// Write the result here.
+        /// Write the result to this file.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// Write a page with plots into this folder.
+        /// Write a page with plots into this directory.
         #[arg(long)]
         report: Option<PathBuf>,
     },
@@ -66,10 +67,10 @@
         /// PATH=A,B,C, such as clients.load=0.5,0.7,0.9 or fault.0.size=2,4.
         #[arg(long)]
         vary: String,
-        /// Seeds for each value.
+        /// Number of seeds for each value.
         #[arg(long, default_value_t = 3)]
         seeds: u32,
-        /// A policy in virtual time, or a program's path (with a '/') on sockets.
+        /// A policy in virtual time, or a program's path (containing '/') on sockets.
         #[arg(long, default_value = "topazsail")]
         who: String,
         #[arg(long)]
@@ -80,7 +81,7 @@
     /// Play a scenario with two programs or policies on the same seeds.
     Compare {
         scenario: PathBuf,
-        /// A policy in virtual time, or a program's path (with a '/') on sockets.
+        /// A policy in virtual time, or a program's path (containing '/') on sockets.
         #[arg(long)]
         against: String,
         #[arg(long, default_value = "topazsail")]
@@ -92,40 +93,43 @@
         #[arg(long)]
         report: Option<PathBuf>,
     },
-    /// Play days drawn by seed, on which power, processes, disks and links fail, on sockets; stops at none.
-    Ordeal {
-        /// FROM..TO, the second not played.
+    /// Play random days on sockets on which power, processes, disks and links fail. Continues after a broken
+    /// rule.
+    #[command(name = "ordeal")]
+    FaultDays {
+        /// Range of seeds FROM..TO; TO is excluded.
         #[arg(long, default_value = "1..13")]
         seeds: String,
-        /// How many at a time: each has up to nine dispatchers.
+        /// Days played at the same time; each has up to nine dispatchers.
         #[arg(long, default_value_t = 2)]
         at_once: usize,
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Write all results into this folder.
+        /// Write all results into this directory.
         #[arg(long)]
         json: Option<PathBuf>,
     },
-    /// Play soak days drawn by seed, on which system calls of the dispatchers fail and all are restarted, on sockets.
+    /// Play random soak days on sockets: system calls of the dispatchers fail, and all dispatchers are
+    /// restarted.
     Soak {
-        /// FROM..TO, the second not played.
+        /// Range of seeds FROM..TO; TO is excluded.
         #[arg(long, default_value = "1..51")]
         seeds: String,
-        /// How many at a time: each has up to six dispatchers.
+        /// Days played at the same time; each has up to six dispatchers.
         #[arg(long, default_value_t = 3)]
         at_once: usize,
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Write all results into this folder.
+        /// Write all results into this directory.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// Write a page with plots of each day into this folder.
+        /// Write a page with plots of each day into this directory.
         #[arg(long)]
         report: Option<PathBuf>,
     },
-    /// Read scenarios and say what they hold, or which field of which line is at fault.
+    /// Check scenarios: print what they contain, or the line and field of an error.
     Check { scenarios: Vec<PathBuf> },
-    /// Make pages of results that were written before.
+    /// Write pages for results that were written to files before.
     Report {
         results: Vec<PathBuf>,
         #[arg(long, default_value = "lab-report")]
@@ -133,7 +137,7 @@
     },
 }
 
-/// Shown on a terminal only.
+/// Creates a progress bar, which is shown on a terminal only.
 fn bar(what: &str) -> ProgressBar {
     let bar = ProgressBar::new(1000);
     if let Ok(style) = ProgressStyle::with_template("{msg} [{bar:40}] {percent}%") {
@@ -146,15 +150,18 @@
     bar
 }
 
+/// Formats a value as JSON.
 fn json<T: serde::Serialize>(value: &T) -> Result<String, String> {
     serde_json::to_string_pretty(value).map(|text| text + "\n").map_err(|error| error.to_string())
 }
 
-fn write(path: Option<&Path>, text: impl FnOnce() -> Result<String, String>) -> Result<(), String> {
+/// Writes text to a file, if a path is given.
+fn write_optional(path: Option<&Path>, text: impl FnOnce() -> Result<String, String>) -> Result<(), String> {
     path.map_or(Ok(()), |path| report::write(path, &text()?))
 }
 
-fn page(
+/// Writes a page into a directory, if one is given, and prints the page's path.
+fn write_report_page(
     folder: Option<&Path>,
     name: &str,
     html: impl FnOnce() -> Result<String, String>,
@@ -164,7 +171,8 @@
     Ok(())
 }
 
-fn code<'a>(outcomes: impl Iterator<Item = &'a Outcome> + Clone) -> ExitCode {
+/// Returns the exit code for outcomes.
+fn exit_code<'a>(outcomes: impl Iterator<Item = &'a Outcome> + Clone) -> ExitCode {
     let void = outcomes.clone().any(|outcome| !outcome.void.is_empty());
     let broken = outcomes.into_iter().any(|outcome| !outcome.broken.is_empty());
     ExitCode::from(if broken {
@@ -176,38 +184,43 @@
     })
 }
 
-fn timed(scenario: &Scenario, policy: Policy, seed: u64, time: bool) -> Result<Outcome, String> {
+/// Plays a scenario in virtual time; with `time`, also prints the time that the decision module took.
+fn play_policy(scenario: &Scenario, policy: Policy, seed: u64, time: bool) -> Result<Outcome, String> {
     let run = virtual_clock::play(scenario, policy, seed, Options { time, ..Options::default() })?;
     if time {
-        let [lists, rest] = run.spent.map(|spent| spent.as_secs_f64() * 1e6);
-        let asked = run.outcome.counts.asked.max(1) as f64;
-        let (calls, each) = (run.decisions, rest / asked);
-        println!("module: {each:.2} us an invocation, {:.1} ms for lists in all, {calls} calls", lists / 1e3);
+        let [roster_time, other_time] = run.spent.map(|spent| spent.as_secs_f64() * 1e6);
+        let invocations = run.outcome.counts.asked.max(1) as f64;
+        let (calls, per_invocation) = (run.decisions, other_time / invocations);
+        println!(
+            "module: {per_invocation:.2} us an invocation, {:.1} ms for lists in all, {calls} calls",
+            roster_time / 1e3
+        );
     }
     Ok(run.outcome)
 }
 
-/// Says how a drawn day went, all of it where a rule was broken, and writes it into a folder where one is named.
-fn tell_day(outcome: &Outcome, to: Option<&Path>) -> Result<(), String> {
+/// Prints the result of a random day, in full if a rule was broken, and writes it into a directory if one is
+/// given.
+fn print_day(outcome: &Outcome, to: Option<&Path>) -> Result<(), String> {
     if outcome.broken.is_empty() {
         println!("{}: goodput {:.3}, no rule broken {:?}", outcome.scenario, outcome.goodput, outcome.void);
     } else {
         print!("{}", report::run_text(outcome));
     }
-    write(to.map(|to| to.join(format!("{}.json", outcome.scenario))).as_deref(), || json(outcome))
+    write_optional(to.map(|to| to.join(format!("{}.json", outcome.scenario))).as_deref(), || json(outcome))
 }
 
-/// One drawn day of losses of power.
-fn ordeal(seed: u64, program: Option<&Path>, to: Option<&Path>) -> Result<Outcome, String> {
-    let day = topazsail_lab::ordeal::day(seed)?;
+/// Plays the day of a seed on which power and other things fail.
+fn play_fault_day(seed: u64, program: Option<&Path>, to: Option<&Path>) -> Result<Outcome, String> {
+    let day = topazsail_lab::fault_days::day(seed)?;
     let program = program.map_or_else(|| own_program(&day), Path::to_owned);
     let outcome = topazsail_lab::sockets::play(&day, &program, seed, &|_| ())?;
-    tell_day(&outcome, to)?;
+    print_day(&outcome, to)?;
     Ok(outcome)
 }
 
-/// One soak day; where a rule was broken its plans are told too.
-fn soak(
+/// Plays the soak day of a seed; prints its fault plans too if a rule was broken.
+fn play_soak_day(
     seed: u64,
     program: Option<&Path>,
     to: Option<&Path>,
@@ -217,22 +230,23 @@
     let program = program.map_or_else(|| own_program(&day.scenario), Path::to_owned);
     let outcome =
         topazsail_lab::sockets::play_with_fault_plans(&day.scenario, &program, seed, &day.plans, &|_| ())?;
-    tell_day(&outcome, to)?;
+    print_day(&outcome, to)?;
     if !outcome.broken.is_empty() {
         day.plans.iter().for_each(|plan| println!("  plan {}", plan.to_json()));
     }
-    page(folder, &outcome.scenario, || report::run_page(&outcome))?;
+    write_report_page(folder, &outcome.scenario, || report::run_page(&outcome))?;
     Ok(outcome)
 }
 
-/// Plays each seed of FROM..TO, so many at once.
+/// Plays the seeds of `FROM..TO`, `at_once` of them at the same time.
 fn play_seeds(
     seeds: &str,
     at_once: usize,
     play: impl Fn(u64) -> Result<Outcome, String> + Sync,
 ) -> Result<ExitCode, String> {
     let range = seeds.split_once("..").and_then(|(from, to)| Some((from.parse().ok()?, to.parse().ok()?)));
-    let (from, until): (u64, u64) = range.ok_or("--seeds wants FROM..TO")?;
+    let (from, until): (u64, u64) =
+        range.ok_or_else(|| format!("--seeds: expected FROM..TO, found '{seeds}'"))?;
     let pool = rayon::ThreadPoolBuilder::new().num_threads(at_once.max(1)).build();
     let played: Result<Vec<Outcome>, String> = pool
         .map_err(|error| error.to_string())?
@@ -240,11 +254,12 @@
     let outcomes = played?;
     let broken = outcomes.iter().filter(|outcome| !outcome.broken.is_empty()).count();
     println!("{} days, rules broken on {broken}", outcomes.len());
-    Ok(code(outcomes.iter()))
+    Ok(exit_code(outcomes.iter()))
 }
 
-fn run(line: Line) -> Result<ExitCode, String> {
-    match line.command {
+/// Runs the command. Returns the exit code.
+fn run(arguments: Arguments) -> Result<ExitCode, String> {
+    match arguments.command {
         Command::Run { scenario, clock, seed, program, policy, time, json: to, report: folder } => {
             let scenario = Scenario::load(&scenario)?;
             let who = match clock {
@@ -254,7 +269,7 @@
             let seed = seed.unwrap_or(scenario.seed);
             let bar = bar(&scenario.name);
             let played = match &who {
-                Who::Policy(policy) => timed(&scenario, *policy, seed, time),
+                Who::Policy(policy) => play_policy(&scenario, *policy, seed, time),
                 Who::Program(_) => {
                     who.play(&scenario, seed, &|share| bar.set_position((share * 1000.0) as u64))
                 }
@@ -262,12 +277,13 @@
             bar.finish_and_clear();
             let outcome = played?;
             print!("{}", report::run_text(&outcome));
-            write(to.as_deref(), || json(&outcome))?;
-            page(folder.as_deref(), &outcome.scenario, || report::run_page(&outcome))?;
-            Ok(code(std::iter::once(&outcome)))
+            write_optional(to.as_deref(), || json(&outcome))?;
+            write_report_page(folder.as_deref(), &outcome.scenario, || report::run_page(&outcome))?;
+            Ok(exit_code(std::iter::once(&outcome)))
         }
         Command::Sweep { scenario, vary, seeds, who, json: to, report: folder } => {
-            let (field, values) = vary.split_once('=').ok_or("--vary wants PATH=A,B,C")?;
+            let (field, values) =
+                vary.split_once('=').ok_or_else(|| format!("--vary: expected PATH=A,B,C, found '{vary}'"))?;
             let values: Vec<String> = values.split(',').map(str::to_owned).collect();
             let steps = experiment::vary(&scenario, field, &values)?;
             let bar = bar(field);
@@ -276,36 +292,38 @@
             bar.finish_and_clear();
             let steps = steps?;
             print!("{}", report::sweep_text(field, &steps));
-            write(to.as_deref(), || json(&steps))?;
-            page(folder.as_deref(), &format!("sweep {field}"), || report::sweep_page(field, &steps))?;
-            Ok(code(steps.iter().flat_map(|step| &step.outcomes)))
+            write_optional(to.as_deref(), || json(&steps))?;
+            write_report_page(folder.as_deref(), &format!("sweep {field}"), || {
+                report::sweep_page(field, &steps)
+            })?;
+            Ok(exit_code(steps.iter().flat_map(|step| &step.outcomes)))
         }
         Command::Compare { scenario, against, who, pairs, json: to, report: folder } => {
             let scenario = Scenario::load(&scenario)?;
             let bar = bar(&scenario.name);
             let progress = |share: f64| bar.set_position((share * 1000.0) as u64);
             let (ours, other) = (Who::parse(&who)?, Who::parse(&against)?);
-            let found = experiment::compare(&scenario, &ours, &other, pairs.max(2), &progress);
+            let comparison = experiment::compare(&scenario, &ours, &other, pairs.max(2), &progress);
             bar.finish_and_clear();
-            let found = found?;
-            print!("{}", report::comparison_text(&found));
-            write(to.as_deref(), || json(&found))?;
-            page(folder.as_deref(), &format!("compare {}", found.scenario), || {
-                report::comparison_page(&found)
+            let comparison = comparison?;
+            print!("{}", report::comparison_text(&comparison));
+            write_optional(to.as_deref(), || json(&comparison))?;
+            write_report_page(folder.as_deref(), &format!("compare {}", comparison.scenario), || {
+                report::comparison_page(&comparison)
             })?;
             Ok(ExitCode::SUCCESS)
         }
-        Command::Ordeal { seeds, at_once, program, json: to } => {
-            play_seeds(&seeds, at_once, |seed| ordeal(seed, program.as_deref(), to.as_deref()))
+        Command::FaultDays { seeds, at_once, program, json: to } => {
+            play_seeds(&seeds, at_once, |seed| play_fault_day(seed, program.as_deref(), to.as_deref()))
         }
         Command::Soak { seeds, at_once, program, json: to, report: folder } => {
             play_seeds(&seeds, at_once, |seed| {
-                soak(seed, program.as_deref(), to.as_deref(), folder.as_deref())
+                play_soak_day(seed, program.as_deref(), to.as_deref(), folder.as_deref())
             })
         }
         Command::Check { scenarios } => {
             if scenarios.is_empty() {
-                return Err("check wants at least one scenario".to_owned());
+                return Err("check: expected at least one scenario".to_owned());
             }
             for path in scenarios {
                 let scenario = Scenario::load(&path)?;
@@ -323,11 +341,11 @@
         }
         Command::Report { results, out } => {
             for path in results {
-                let fault = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
-                let text = std::fs::read_to_string(&path).map_err(|error| fault(&error))?;
-                let outcome: Outcome = serde_json::from_str(&text).map_err(|error| fault(&error))?;
+                let describe = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
+                let text = std::fs::read_to_string(&path).map_err(|error| describe(&error))?;
+                let outcome: Outcome = serde_json::from_str(&text).map_err(|error| describe(&error))?;
                 let name = format!("{} {} {}", outcome.scenario, outcome.clock, outcome.seed);
-                page(Some(&out), &name, || report::run_page(&outcome))?;
+                write_report_page(Some(&out), &name, || report::run_page(&outcome))?;
             }
             Ok(ExitCode::SUCCESS)
         }
@@ -335,8 +353,8 @@
 }
 
 fn main() -> ExitCode {
-    match run(Line::parse()) {
-        Ok(code) => code,
+    match run(Arguments::parse()) {
+        Ok(exit_code) => exit_code,
         Err(error) => {
             eprintln!("topazsail-lab: {error}");
             ExitCode::FAILURE
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -1,22 +1,27 @@
-//! Soak days drawn by seed: rolling restarts under load while system calls, disks, runners and discovery fail.
+//! Random soak scenarios: rolling restarts under load while system calls, disks, runners and discovery fail.
 //!
-//! It does no I/O. The same seed gives the same day on every machine: a scenario, checked as one from a file, and a fault
-//! plan for each dispatcher. What is drawn stays within what the terms allow.
+//! This module does no I/O. The same seed gives the same day on every machine: a scenario, which is validated
+//! like one from a file, and a fault plan for each dispatcher. The faults stay within what the platform's
+//! rules allow.
 
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg32;
 use topazsail_faults::{Call, ClockStep, Effect, Endpoint, Errno, Plan, Rule};
 
+use crate::fault_days::draw_ms;
 use crate::load::chance;
-use crate::ordeal::ms;
 use crate::scenario::Scenario;
 
+/// Length of a soak day.
 const LENGTH_MS: u32 = 12_000;
-/// Fault plans begin with the process; clients begin about half a second later.
+/// How long fault plans last. A plan starts with the dispatcher's process, about half a second before the
+/// clients.
 const PLAN_LENGTH_MS: u64 = 16_000;
-const SHARE_OF_CALLS: f64 = 0.02;
+/// Share of system calls that a rule with a constant rate makes fail.
+const CONSTANT_FAILURE_RATE: f64 = 0.02;
 
+/// The deployment of all soak days.
 const SITE: &str = r#"
 [zones]
 names = ["north", "south"]
@@ -69,19 +74,20 @@
 warm-within = "3s"
 "#;
 
-/// One day: what is played, and how the dispatchers' system calls fail.
+/// One soak day: a scenario, and the failures of the dispatchers' system calls.
 pub struct Day {
-    /// The scenario.
+    /// The scenario to play.
     pub scenario: Scenario,
-    /// A plan for each dispatcher, in turn.
+    /// One fault plan for each dispatcher, by index.
     pub plans: Vec<Plan>,
 }
 
-fn trouble(drawn: &mut Pcg32, store: bool) -> String {
-    let at = ms(drawn, 500, LENGTH_MS - 3_500);
-    let when = format!("at = \"{at}ms\"\nlasts = \"{}ms\"\n", ms(drawn, 300, 3_000));
-    let part = ["0.25", "0.5"][drawn.random_range(0..2)];
-    match drawn.random_range(0..if store { 11 } else { 8 }) {
+/// Draws an additional fault; faults of disks only with a store.
+fn extra_fault(rng: &mut Pcg32, store: bool) -> String {
+    let at = draw_ms(rng, 500, LENGTH_MS - 3_500);
+    let when = format!("at = \"{at}ms\"\nlasts = \"{}ms\"\n", draw_ms(rng, 300, 3_000));
+    let part = ["0.25", "0.5"][rng.random_range(0..2)];
+    match rng.random_range(0..if store { 11 } else { 8 }) {
         0 => format!("kind = \"hang\"\npart = {part}\n{when}"),
         1 => format!("kind = \"crash\"\npart = {part}\n{when}"),
         2 => format!("kind = \"discovery-down\"\n{when}"),
@@ -96,8 +102,9 @@
     }
 }
 
-/// The errors that Linux documents for each call, as far as they pass or speak of one connection.
-fn documented(call: Call) -> &'static [&'static str] {
+/// Returns the errors that Linux documents for a call, as far as they are transient or concern one
+/// connection.
+fn documented_errors(call: Call) -> &'static [&'static str] {
     match call {
         Call::Accept => &["ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EPROTO"],
         Call::Socket => &["ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"],
@@ -112,7 +119,8 @@
     }
 }
 
-const CALLS: [Call; 10] = [
+/// The calls that may fail.
+const FAILING_CALLS: [Call; 10] = [
     Call::Accept,
     Call::Socket,
     Call::Connect,
@@ -125,41 +133,46 @@
     Call::Log,
 ];
 
-fn rule(drawn: &mut Pcg32) -> Option<Rule> {
-    let call = *CALLS.choose(drawn)?;
-    let effect = Effect::Errno(Errno::named(documented(call).choose(drawn)?)?);
+/// Draws a rule that makes a call fail: at a low rate all the time, or at a high rate for a short time.
+fn draw_rule(rng: &mut Pcg32) -> Option<Rule> {
+    let call = *FAILING_CALLS.choose(rng)?;
+    let effect = Effect::Errno(Errno::named(documented_errors(call).choose(rng)?)?);
     let endpoint = Endpoint::Any;
-    let rule = Rule { call, endpoint, effect, rate: SHARE_OF_CALLS, from_ms: 0, until_ms: PLAN_LENGTH_MS };
-    if drawn.random_range(0..2) == 0 {
+    let rule =
+        Rule { call, endpoint, effect, rate: CONSTANT_FAILURE_RATE, from_ms: 0, until_ms: PLAN_LENGTH_MS };
+    if rng.random_range(0..2) == 0 {
         return Some(rule);
     }
-    // Every call, or half of them, for a moment. Where nothing at all can be sent nobody could answer in time.
-    let from_ms = drawn.random_range(500..PLAN_LENGTH_MS - 4_000);
-    let rate = [0.5, 1.0][drawn.random_range(0..2)];
+    // For a short time every call fails, or half of them. Of sends at most half: if none succeeded, no
+    // dispatcher could answer in time.
+    let from_ms = rng.random_range(500..PLAN_LENGTH_MS - 4_000);
+    let rate = [0.5, 1.0][rng.random_range(0..2)];
     let rate = if call == Call::Send { f64::min(rate, 0.5) } else { rate };
-    Some(Rule { rate, from_ms, until_ms: from_ms + drawn.random_range(50..800), ..rule })
+    Some(Rule { rate, from_ms, until_ms: from_ms + rng.random_range(50..800), ..rule })
 }
 
-/// A connection that is found broken: those that the process made itself, as a client's own is excused by nobody.
-fn broken_connections(drawn: &mut Pcg32) -> Option<Rule> {
-    let call = [Call::Receive, Call::Send][drawn.random_range(0..2)];
-    let errno = Errno::named(["ETIMEDOUT", "EHOSTUNREACH"].choose(drawn)?)?;
+/// Draws a rule that breaks connections. Only those that the dispatcher opened itself: the judge does not
+/// excuse an answer that is lost with a client's connection.
+fn broken_connection_rule(rng: &mut Pcg32) -> Option<Rule> {
+    let call = [Call::Receive, Call::Send][rng.random_range(0..2)];
+    let errno = Errno::named(["ETIMEDOUT", "EHOSTUNREACH"].choose(rng)?)?;
     Some(Rule {
         call,
         endpoint: Endpoint::Dialled,
         effect: Effect::Errno(errno),
-        rate: SHARE_OF_CALLS / 4.0,
+        rate: CONSTANT_FAILURE_RATE / 4.0,
         from_ms: 0,
         until_ms: PLAN_LENGTH_MS,
     })
 }
 
-fn plan(drawn: &mut Pcg32) -> Plan {
-    let mut rules: Vec<Rule> = (0..drawn.random_range(2..=5)).filter_map(|_| rule(drawn)).collect();
-    if drawn.random_range(0..2) == 0 {
-        rules.extend(broken_connections(drawn));
+/// Draws the fault plan of one dispatcher.
+fn draw_plan(rng: &mut Pcg32) -> Plan {
+    let mut rules: Vec<Rule> = (0..rng.random_range(2..=5)).filter_map(|_| draw_rule(rng)).collect();
+    if rng.random_range(0..2) == 0 {
+        rules.extend(broken_connection_rule(rng));
     }
-    if drawn.random_range(0..2) == 0 {
+    if rng.random_range(0..2) == 0 {
         let short = |call| Rule {
             call,
             endpoint: Endpoint::Any,
@@ -171,44 +184,46 @@
         rules.extend([Call::Receive, Call::Send].map(short));
     }
     let mut clock_steps = Vec::new();
-    if drawn.random_range(0..3) == 0 {
-        let by_ms = *[1_000, 10_000, 3_600_000, -1_000, -10_000, -3_600_000].choose(drawn).unwrap_or(&1_000);
-        clock_steps.push(ClockStep { at_ms: drawn.random_range(1_000..PLAN_LENGTH_MS), by_ms });
+    if rng.random_range(0..3) == 0 {
+        let by_ms = *[1_000, 10_000, 3_600_000, -1_000, -10_000, -3_600_000].choose(rng).unwrap_or(&1_000);
+        clock_steps.push(ClockStep { at_ms: rng.random_range(1_000..PLAN_LENGTH_MS), by_ms });
     }
-    Plan { seed: drawn.random(), rules, clock_steps }
+    Plan { seed: rng.random(), rules, clock_steps }
 }
 
-/// The day of this seed.
+/// Returns the soak day of a seed.
 ///
 /// # Errors
 ///
-/// What was drawn is no scenario: a fault of this module.
+/// Returns an error if the drawn scenario is not valid, which is a defect of this module.
 pub fn day(seed: u64) -> Result<Day, String> {
-    let mut drawn = chance(seed, 20);
-    let dispatchers = drawn.random_range(3..=6);
-    let store = drawn.random_range(0..2) == 0;
-    let crowd = drawn.random_range(0..4) == 0;
-    let load = if crowd { 0.9 } else { 0.5 };
+    let mut rng = chance(seed, 20);
+    let dispatchers = rng.random_range(3..=6);
+    let store = rng.random_range(0..2) == 0;
+    let is_crowded = rng.random_range(0..4) == 0;
+    let load = if is_crowded { 0.9 } else { 0.5 };
     let mut text = format!(
         "name = \"soak-{seed}\"\nlength = \"{LENGTH_MS}ms\"\nseed = {seed}\ndispatchers = {dispatchers}\n\
          [clients]\nload = {load}\nretries = 2\nretry-wait = \"60ms\"\nhonour = 0.8\nleaves = 0.05\n\
          front-notice = \"300ms\"\n{SITE}"
     );
     if store {
-        let peers = drawn.random_range(0..2) == 0;
+        let peers = rng.random_range(0..2) == 0;
         text += &format!("[store]\nhands-every = \"900ms\"\npeers = {peers}\n");
     }
-    // Rolling restarts, and new configurations in a row.
-    let (at, lasts) = (ms(&mut drawn, 500, 4_000), ms(&mut drawn, 500, 3_500));
+    // A rolling restart, and configuration reloads.
+    let (at, lasts) = (draw_ms(&mut rng, 500, 4_000), draw_ms(&mut rng, 500, 3_500));
     text += &format!("[[fault]]\nkind = \"roll-term\"\nat = \"{at}ms\"\nlasts = \"{lasts}ms\"\n");
-    for _ in 0..drawn.random_range(0..4) {
-        text +=
-            &format!("[[fault]]\nkind = \"reload\"\nat = \"{}ms\"\n", ms(&mut drawn, 500, LENGTH_MS - 500));
+    for _ in 0..rng.random_range(0..4) {
+        text += &format!(
+            "[[fault]]\nkind = \"reload\"\nat = \"{}ms\"\n",
+            draw_ms(&mut rng, 500, LENGTH_MS - 500)
+        );
     }
-    for _ in 0..drawn.random_range(0..=2) {
-        text += &format!("[[fault]]\n{}", trouble(&mut drawn, store));
+    for _ in 0..rng.random_range(0..=2) {
+        text += &format!("[[fault]]\n{}", extra_fault(&mut rng, store));
     }
     let scenario = Scenario::parse(&format!("soak-{seed}"), &text)?;
-    let plans = (0..dispatchers).map(|_| plan(&mut drawn)).collect();
+    let plans = (0..dispatchers).map(|_| draw_plan(&mut rng)).collect();
     Ok(Day { scenario, plans })
 }
--- a/lab/tests/ordeals.rs
+++ b/lab/tests/ordeals.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
 
-use topazsail_lab::ordeal::day;
+use topazsail_lab::fault_days::day;
 use topazsail_lab::scenario::Scenario;
 use topazsail_lab::sockets;
 use topazsail_lab::tally::Outcome;
