--- a/lab/src/sockets/http.rs
+++ b/lab/src/sockets/http.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Closes the connection with a reset, as a process does that dies with unread data.
+    /// Closes the connection with a reset, like a process that ends with unread data.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -42,7 +42,7 @@
 use crate::runner::{Life, Load, News, Taken};
 use crate::scenario::{Effect, Group, Kept, Scenario, Told};
 use crate::tally::{About, End, Outcome, Tally};
-use crate::virtual_clock::runners as of_runners;
+use crate::virtual_clock::runners as runner_results;
 use crate::world::{Change, State, World};
 
 /// Tolerance in microseconds on the judge's time limits for the transport through sockets. The platform's own
@@ -132,8 +132,9 @@
     last_check: (Micros, Micros),
     /// Why the run is void.
     void: Vec<String>,
+    /// Remarks for the report.
     notes: Vec<String>,
-    /// Dispatchers' processes that ended without a reason.
+    /// Ends of dispatchers' processes that the lab did not cause.
     crashes: u64,
     /// Each dispatcher's address for operators; empty without a store.
     admin_addresses: Vec<SocketAddr>,
@@ -293,12 +294,13 @@
 
 /// Listens at a free port of `ip`.
 async fn bind(ip: Ipv4Addr) -> Result<(TcpListener, SocketAddr), String> {
-    let fault = |error: io::Error| format!("listen {ip}: {error}");
-    let listener = TcpListener::bind((ip, 0)).await.map_err(fault)?;
-    let address = listener.local_addr().map_err(fault)?;
+    let describe = |error: io::Error| format!("listen {ip}: {error}");
+    let listener = TcpListener::bind((ip, 0)).await.map_err(describe)?;
+    let address = listener.local_addr().map_err(describe)?;
     Ok((listener, address))
 }
 
+/// Sets up the sockets, starts the dispatchers, plays the scenario and collects the outcome.
 async fn run(
     scenario: &Scenario,
     program: &Path,
@@ -461,7 +463,7 @@
         clock: "sockets".to_owned(),
         program: program.display().to_string(),
         seed,
-        runners: of_runners(scenario, &shared.world, &shared.tally.forwards),
+        runners: runner_results(scenario, &shared.world, &shared.tally.forwards),
         faults: std::mem::take(&mut shared.world.bands),
         cold: (shared.judge.cold_sent, shared.judge.cold_most),
         cold_calls: shared.judge.cold_calls,
@@ -655,7 +657,7 @@
             shared.folders[d as usize].save().map_err(|error| format!("disk of d{d}: {error}"))?;
         }
         Change::Find(d, found, power, all) => {
-            restore_disk(lab, d, (found, power, all), processes[d as usize].is_running())?;
+            prepare_disk(lab, d, (found, power, all), processes[d as usize].is_running())?;
         }
         Change::Reload => {
             for process in processes.iter().filter(|process| process.is_running()) {
@@ -694,19 +696,19 @@
     Ok(())
 }
 
-/// Puts a dispatcher's disk into the state in which its next process finds it. `power` means that its machine
+/// Prepares a dispatcher's disk as its next process is to find it. `power` means that its machine
 /// lost power, `all` that the disks of all dispatchers are treated alike.
-fn restore_disk(
+fn prepare_disk(
     lab: &Lab,
     d: u32,
     (found, power, all): (Found, bool, bool),
-    runs: bool,
+    is_running: bool,
 ) -> Result<(), String> {
     let unix_now = lab.zero.get().1 + lab.now();
     let now = lab.now();
     let shared = &mut *lab.shared.borrow_mut();
     // Outages may overlap, so that the process may still be running.
-    if shared.folders.is_empty() || runs {
+    if shared.folders.is_empty() || is_running {
         return Ok(());
     }
     let (index, count) = (d as usize, shared.folders.len());
@@ -719,7 +721,7 @@
     let other = Some(&shared.folders[(index + 1) % count]).filter(|_| count > 1);
     let changed = shared.folders[index].find(found, other, &mut shared.disk_random);
     let written = changed.and_then(|()| shared.folders[index].tell());
-    // A lost state is excused only if no peer can supply it.
+    // State that a disk lost is excused only where no peer can supply it.
     let store = shared.scenario.store.as_ref();
     let excused = store.is_some_and(|store| store.excused && (all || !store.peers));
     if found != Found::Kept && excused {
@@ -790,12 +792,12 @@
 }
 
 /// Records for the judge what a dispatcher learns from a list that is now sent to it.
-fn record_roster_sent(lab: &Lab, d: u32, listed: &serde_json::Value) {
+fn record_roster_sent(lab: &Lab, d: u32, roster: &serde_json::Value) {
     let now = lab.now();
-    let whole = listed["reset"] == true;
+    let whole = roster["reset"] == true;
     let shared = &mut *lab.shared.borrow_mut();
     let mut named = vec![false; shared.states.len()];
-    for instance in listed["instances"].as_array().into_iter().flatten() {
+    for instance in roster["instances"].as_array().into_iter().flatten() {
         let runner = crate::policy::number(instance["instanceId"].as_str().unwrap_or("r"));
         let wanted = instance["lifecycle"] == "up";
         if let Some(named) = named.get_mut(runner as usize) {
@@ -946,23 +948,23 @@
             Err(io::ErrorKind::ConnectionReset.into())
         }
     };
-    let (died, now) = (lab.shared.borrow().runner_boots[r] != boot, lab.now());
+    let (process_ended, now) = (lab.shared.borrow().runner_boots[r] != boot, lab.now());
     if let Some(inv) = pending {
         // A forward without its 202: it was lost with the runner's process, or the dispatcher withdrew it.
-        let how = if died {
+        let how = if process_ended {
             Seen::Ended { inv, runner: r as u32, how: Back::MayHaveRun }
         } else {
             Seen::Withdrawn { inv, runner: r as u32 }
         };
         lab.record(how);
-        if !died {
+        if !process_ended {
             cancel_job(lab, r, inv);
         }
     }
-    if died || ended.is_err() {
+    if process_ended || ended.is_err() {
         connection.reset();
     }
-    if !died {
+    if !process_ended {
         let runner = &mut lab.shared.borrow_mut().world.runners[r];
         runner.change(now, |runner| runner.connections = runner.connections.saturating_sub(1));
     }
@@ -1264,12 +1266,12 @@
 
 /// Runs one client request with its retries. Returns how it ended.
 async fn run_client(lab: &Lab, number: u64, ask: &Ask) -> End {
-    let gives_up = ask.at + lab.shared.borrow().scenario.operation[ask.operation].client_timeout.0;
+    let gives_up_at = ask.at + lab.shared.borrow().scenario.operation[ask.operation].client_timeout.0;
     let mut attempts = 0;
     loop {
         attempts += 1;
         let inv = number << ATTEMPT_BITS | attempts;
-        let result = attempt(lab, inv, ask, gives_up).await;
+        let result = attempt(lab, inv, ask, gives_up_at).await;
         let end = match result {
             load::Seen::Succeeded => return End::Succeeded,
             load::Seen::Throttled(_) => End::Throttled,
@@ -1280,7 +1282,7 @@
             let shared = lab.shared.borrow();
             returns(&shared.scenario, shared.seed, (number, ask), attempts as u32, result, lab.now())
         });
-        match retry_at.filter(|_| now < gives_up) {
+        match retry_at.filter(|_| now < gives_up_at) {
             Some(at) => lab.sleep_until(at).await,
             None => return end,
         }
@@ -1305,7 +1307,7 @@
 }
 
 /// Sends one attempt of a client request. Returns the result as the client sees it.
-async fn attempt(lab: &Lab, inv: u64, ask: &Ask, gives_up: Micros) -> load::Seen {
+async fn attempt(lab: &Lab, inv: u64, ask: &Ask, gives_up_at: Micros) -> load::Seen {
     let (d, epoch, address, path, extra) = {
         let shared = &mut *lab.shared.borrow_mut();
         shared.tally.traffic.tries += 1;
@@ -1331,13 +1333,13 @@
     };
     let body = json!({"work": ask.work}).to_string();
     let mut taken = false;
-    for fresh in [false, true] {
-        if fresh && taken && !lab.shared.borrow().routable[d] {
+    for use_new_connection in [false, true] {
+        if use_new_connection && taken && !lab.shared.borrow().routable[d] {
             // The dispatcher closed the idle connection and takes no new ones: the client retries elsewhere.
             lab.record(Seen::Crossed { inv });
             return load::Seen::Untaken;
         }
-        let reused = if fresh { None } else { reusable_connection(lab, 0, d) };
+        let reused = if use_new_connection { None } else { reusable_connection(lab, 0, d) };
         let was_reused = reused.is_some();
         let connection = match reused {
             Some(connection) => Ok(connection),
@@ -1349,7 +1351,7 @@
             }
             return load::Seen::Untaken;
         };
-        let left = (gives_up - lab.now()).max(0);
+        let left = (gives_up_at - lab.now()).max(0);
         let head = format!("X-Request-Id: {inv:x}\r\nX-Deadline-Ms: {}\r\n{extra}", left / 1000);
         // A process that has ended cannot take the request, even if the kernel accepted the connection.
         if lab.shared.borrow().epochs[d].is_multiple_of(2) {
@@ -1358,7 +1360,7 @@
         if !std::mem::replace(&mut taken, true) {
             let now = lab.now();
             let seen =
-                Seen::Taken { inv, dispatcher: d as u32, operation: ask.operation, expires_at: gives_up };
+                Seen::Taken { inv, dispatcher: d as u32, operation: ask.operation, expires_at: gives_up_at };
             let shared = &mut *lab.shared.borrow_mut();
             shared.judge.see(now, seen);
             shared.judge.note_work(inv, ask.work);
--- a/lab/src/sockets/operators.rs
+++ b/lab/src/sockets/operators.rs
@@ -19,6 +19,7 @@
 
 /// How long an operator waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Upper limit of an answer.
 const MAX_ANSWER_BYTES: u64 = 64 << 10;
 /// Interval of status polls until the dispatcher serves.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -56,6 +57,7 @@
         )
     };
     let mut rng = chance(seed, 9);
+    // Runners that are out of service.
     let mut out: BTreeSet<u32> = BTreeSet::new();
     if interval <= 0 {
         return;
--- a/lab/src/sockets/process.rs
+++ b/lab/src/sockets/process.rs
@@ -73,7 +73,7 @@
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(&self.config);
         if let Some(plan) = &self.plan {
-            let library = shim::library().map_err(|error| format!("the fault shim: {error}"))?;
+            let library = shim::library().map_err(|error| format!("cannot build the fault shim: {error}"))?;
             shim::inject(&mut command, library, plan);
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
@@ -109,9 +109,9 @@
             self.usage.peak_mb = self.usage.peak_mb.max((kb / 102.4).round() / 10.0);
         }
         // The first field of schedstat is the time on a CPU in nanoseconds.
-        let run_cpu_ms = fs::read_to_string(folder.join("schedstat")).unwrap_or_default();
-        let run_cpu_ms = run_cpu_ms.split(' ').next().and_then(|text| text.parse::<f64>().ok());
-        self.run_cpu_ms = run_cpu_ms.map_or(self.run_cpu_ms, |ns| (ns / 1e5).round() / 10.0);
+        let schedstat = fs::read_to_string(folder.join("schedstat")).unwrap_or_default();
+        let cpu_ns = schedstat.split(' ').next().and_then(|text| text.parse::<f64>().ok());
+        self.run_cpu_ms = cpu_ns.map_or(self.run_cpu_ms, |ns| (ns / 1e5).round() / 10.0);
     }
 
     /// Returns the exit code if the process has ended by itself since the last call; the code is `None` if a
