--- a/lab/src/bin/lab-dispatcher.rs
+++ b/lab/src/bin/lab-dispatcher.rs
@@ -15,13 +15,13 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use topazsail_lab::disks::{Ailment, control};
+use topazsail_lab::disks::{DiskCondition, control_file};
 use topazsail_store::{DirectoryDisk, Disk, DiskFaults, FaultyDisk, Machine};
 
 const TWIN: &str = "LAB_TWIN";
 const LOOK_EVERY: Duration = Duration::from_millis(10);
 
-fn read(path: &Path) -> Option<Ailment> {
+fn read(path: &Path) -> Option<DiskCondition> {
     serde_json::from_slice(&std::fs::read(path).ok()?).ok()
 }
 
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-fn faults(ailment: &Ailment) -> DiskFaults {
+fn faults(ailment: &DiskCondition) -> DiskFaults {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
     DiskFaults {
         full: ailment.full,
@@ -72,7 +72,7 @@
 }
 
 fn disk_at(folder: &Path) -> io::Result<Box<dyn Disk>> {
-    let path: PathBuf = control(folder);
+    let path: PathBuf = control_file(folder);
     tamper(folder)?;
     let first = read(&path).unwrap_or_default();
     let shared = Arc::new(Mutex::new(faults(&first)));
--- a/lab/src/disks.rs
+++ b/lab/src/disks.rs
@@ -13,7 +13,7 @@
 
 /// What is wrong with a disk now, as written for the process that uses it.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Ailment {
+pub struct DiskCondition {
     pub seed: u64,
     pub full: bool,
     pub read_only: bool,
@@ -30,7 +30,7 @@
 /// What is wrong, as scenarios name it.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Wrong {
+pub enum DiskFault {
     Full,
     ReadOnly,
     SyncFails,
@@ -40,7 +40,7 @@
 /// In which state a process finds its disk when it is back.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Found {
+pub enum DiskState {
     /// As it was when the process was killed.
     #[default]
     Kept,
@@ -54,7 +54,7 @@
 }
 
 /// Where the word on a folder's disk stands.
-pub fn control(folder: &Path) -> PathBuf {
+pub fn control_file(folder: &Path) -> PathBuf {
     folder.with_extension("disk")
 }
 
@@ -64,18 +64,18 @@
 }
 
 /// One dispatcher's folder.
-pub struct Folder {
+pub struct DispatcherDirectory {
     path: PathBuf,
-    pub ailment: Ailment,
+    pub condition: DiskCondition,
     saved: Vec<(String, Vec<u8>)>,
 }
 
-impl Folder {
-    pub fn new(path: PathBuf, seed: u64) -> io::Result<Folder> {
+impl DispatcherDirectory {
+    pub fn new(path: PathBuf, seed: u64) -> io::Result<DispatcherDirectory> {
         fs::create_dir(&path)?;
-        let ailment = Ailment { seed, life: 1, ..Ailment::default() };
-        let folder = Folder { path, ailment, saved: Vec::new() };
-        folder.tell()?;
+        let condition = DiskCondition { seed, life: 1, ..DiskCondition::default() };
+        let folder = DispatcherDirectory { path, condition, saved: Vec::new() };
+        folder.write_control_file()?;
         Ok(folder)
     }
 
@@ -84,10 +84,10 @@
     }
 
     /// Whole or not at all, as it may be read at this very moment.
-    pub fn tell(&self) -> io::Result<()> {
+    pub fn write_control_file(&self) -> io::Result<()> {
         let next = self.path.with_extension("next");
-        fs::write(&next, serde_json::to_vec(&self.ailment)?)?;
-        fs::rename(next, control(&self.path))
+        fs::write(&next, serde_json::to_vec(&self.condition)?)?;
+        fs::rename(next, control_file(&self.path))
     }
 
     fn files(&self) -> io::Result<Vec<(String, Vec<u8>)>> {
@@ -118,13 +118,20 @@
     }
 
     /// What the next life finds.
-    pub fn find(&self, found: Found, other: Option<&Folder>, drawn: &mut Pcg32) -> io::Result<()> {
+    pub fn prepare(
+        &self,
+        found: DiskState,
+        other: Option<&DispatcherDirectory>,
+        drawn: &mut Pcg32,
+    ) -> io::Result<()> {
         match found {
-            Found::Kept => Ok(()),
-            Found::Empty => self.replace(&[]),
-            Found::Old => self.replace(&self.saved),
-            Found::Copied => self.replace(&other.map(Folder::files).transpose()?.unwrap_or_default()),
-            Found::Damaged => {
+            DiskState::Kept => Ok(()),
+            DiskState::Empty => self.replace(&[]),
+            DiskState::Old => self.replace(&self.saved),
+            DiskState::Copied => {
+                self.replace(&other.map(DispatcherDirectory::files).transpose()?.unwrap_or_default())
+            }
+            DiskState::Damaged => {
                 let mut files = self.files()?;
                 let logs = files.iter_mut().rev().find(|(name, bytes)| is_log(name) && !bytes.is_empty());
                 if let Some((_, bytes)) = logs {
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -16,32 +16,36 @@
 use crate::virtual_clock::{self, Options};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum SystemUnderTest {
     /// In virtual time.
     Policy(Policy),
     /// On sockets.
     Program(PathBuf),
 }
 
-impl Who {
+impl SystemUnderTest {
     /// A policy's name, or a program's path, which has a '/' in it.
-    pub fn parse(text: &str) -> Result<Who, String> {
-        if text.contains('/') { Ok(Who::Program(text.into())) } else { text.parse().map(Who::Policy) }
+    pub fn parse(text: &str) -> Result<SystemUnderTest, String> {
+        if text.contains('/') {
+            Ok(SystemUnderTest::Program(text.into()))
+        } else {
+            text.parse().map(SystemUnderTest::Policy)
+        }
     }
 
     pub fn name(&self) -> String {
         match self {
-            Who::Policy(policy) => format!("{policy:?}"),
-            Who::Program(path) => path.display().to_string(),
+            SystemUnderTest::Policy(policy) => format!("{policy:?}"),
+            SystemUnderTest::Program(path) => path.display().to_string(),
         }
     }
 
     pub fn play(&self, scenario: &Scenario, seed: u64, progress: &dyn Fn(f64)) -> Result<Outcome, String> {
         match self {
-            Who::Policy(policy) => {
+            SystemUnderTest::Policy(policy) => {
                 virtual_clock::play(scenario, *policy, seed, Options::default()).map(|run| run.outcome)
             }
-            Who::Program(path) => sockets::play(scenario, path, seed, progress),
+            SystemUnderTest::Program(path) => sockets::play(scenario, path, seed, progress),
         }
     }
 }
@@ -67,7 +71,7 @@
     }
 
     /// Whether the interval leaves out zero.
-    pub fn shows(&self) -> bool {
+    pub fn is_significant(&self) -> bool {
         self.mean.abs() > self.half_width
     }
 }
@@ -95,8 +99,8 @@
 /// The same seeds with both; a pair with a void run is left out and counted.
 pub fn compare(
     scenario: &Scenario,
-    ours: &Who,
-    against: &Who,
+    ours: &SystemUnderTest,
+    against: &SystemUnderTest,
     pairs: u32,
     progress: &(dyn Fn(f64) + Sync),
 ) -> Result<Comparison, String> {
@@ -104,7 +108,7 @@
     let one = |seed: &u64| -> Result<(Outcome, Outcome), String> {
         Ok((ours.play(scenario, *seed, &|_| ())?, against.play(scenario, *seed, &|_| ())?))
     };
-    let in_memory = |who: &Who| matches!(who, Who::Policy(_));
+    let in_memory = |who: &SystemUnderTest| matches!(who, SystemUnderTest::Policy(_));
     let played: Vec<(Outcome, Outcome)> = if in_memory(ours) && in_memory(against) {
         seeds.par_iter().map(one).collect::<Result<_, _>>()?
     } else {
@@ -195,7 +199,7 @@
 
 pub fn sweep(
     steps: Vec<(String, Scenario)>,
-    who: &Who,
+    who: &SystemUnderTest,
     seeds: u32,
     progress: &(dyn Fn(f64) + Sync),
 ) -> Result<Vec<Step>, String> {
@@ -204,11 +208,11 @@
     for (nth, (value, scenario)) in steps.into_iter().enumerate() {
         let seeds = (0..u64::from(seeds)).map(|nth| scenario.seed + nth);
         let outcomes: Result<Vec<Outcome>, String> = match who {
-            Who::Policy(_) => {
+            SystemUnderTest::Policy(_) => {
                 let seeds: Vec<u64> = seeds.collect();
                 seeds.par_iter().map(|seed| who.play(&scenario, *seed, &|_| ())).collect()
             }
-            Who::Program(_) => seeds.map(|seed| who.play(&scenario, seed, &|_| ())).collect(),
+            SystemUnderTest::Program(_) => seeds.map(|seed| who.play(&scenario, seed, &|_| ())).collect(),
         };
         done.push(Step { value, outcomes: outcomes? });
         progress((nth + 1) as f64 / all as f64);
--- a/lab/src/experiment/tests.rs
+++ b/lab/src/experiment/tests.rs
@@ -5,7 +5,7 @@
     // Differences 1, 2, 3: mean 2, standard deviation 1, t(0.975, 2) = 4.3027.
     let found = Difference::of(&[(1.0, 0.0), (2.0, 0.0), (3.0, 0.0)]).unwrap();
     assert_eq!((found.mean, found.half_width), (2.0, 2.4841));
-    assert!(!found.shows());
+    assert!(!found.is_significant());
     assert!(Difference::of(&[(1.0, 0.0)]).is_none());
 }
 
--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -11,12 +11,12 @@
 use serde::Serialize;
 use topazsail::Micros;
 
-use crate::scenario::{Effect, Group, Operation, Scenario};
+use crate::scenario::{DeduplicationScope, Effect, Operation, Scenario};
 
-pub type Inv = u64;
+pub type InvocationId = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalStatus {
     Succeeded,
     Throttled,
     Errored,
@@ -24,7 +24,7 @@
 
 /// How a forward came back, as it was put on the wire to the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Back {
+pub enum ForwardEnd {
     Succeeded,
     MayHaveRun,
     NeverRan,
@@ -32,37 +32,37 @@
 
 /// One thing seen on a wire.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum Observation {
     /// An invocation's last byte has reached a dispatcher.
     Taken {
-        inv: Inv,
+        inv: InvocationId,
         dispatcher: u32,
         operation: usize,
         expires_at: Micros,
     },
     Answered {
-        inv: Inv,
-        how: Final,
+        inv: InvocationId,
+        how: FinalStatus,
     },
     /// A success came with what no runner made for this invocation.
     Forged {
-        inv: Inv,
+        inv: InvocationId,
     },
     /// The client has left: nothing more is owed.
     Left {
-        inv: Inv,
+        inv: InvocationId,
     },
     /// A kept connection ended under it, and it goes elsewhere: nothing is owed if it had not been read.
     Crossed {
-        inv: Inv,
+        inv: InvocationId,
     },
     /// The dispatcher that owed it was killed outright.
     Lost {
-        inv: Inv,
+        inv: InvocationId,
     },
     /// A forward has left the dispatcher; at a cold runner, with its true capacity now.
     Forwarded {
-        inv: Inv,
+        inv: InvocationId,
         dispatcher: u32,
         runner: u32,
         work: f64,
@@ -70,22 +70,22 @@
     },
     /// A forward has told its runner how long its client will still wait.
     TimeTold {
-        inv: Inv,
+        inv: InvocationId,
         told: Micros,
     },
     Ended {
-        inv: Inv,
+        inv: InvocationId,
         runner: u32,
-        how: Back,
+        how: ForwardEnd,
     },
     /// The dispatcher has withdrawn a forward that was out.
     Withdrawn {
-        inv: Inv,
+        inv: InvocationId,
         runner: u32,
     },
     /// A runner has begun on it and its effect is new there.
     Ran {
-        inv: Inv,
+        inv: InvocationId,
         runner: u32,
     },
     /// Discovery knows a runner's state from now on.
@@ -167,14 +167,14 @@
 pub struct Violation {
     pub rule: Rule,
     pub at: Micros,
-    pub inv: Inv,
+    pub inv: InvocationId,
     pub what: String,
     /// All that was seen of the invocation until then, a line each.
     pub history: Vec<String>,
 }
 
 /// What the judge must know of a deployment.
-pub struct Terms {
+pub struct JudgeParameters {
     pub operations: Vec<Operation>,
     /// Zone and cell of each runner.
     pub places: Vec<(usize, i64)>,
@@ -190,9 +190,14 @@
     pub answer_slack: Micros,
 }
 
-impl Terms {
-    pub fn of(scenario: &Scenario, places: Vec<(usize, i64)>, slack: Micros, answer_slack: Micros) -> Terms {
-        Terms {
+impl JudgeParameters {
+    pub fn of(
+        scenario: &Scenario,
+        places: Vec<(usize, i64)>,
+        slack: Micros,
+        answer_slack: Micros,
+    ) -> JudgeParameters {
+        JudgeParameters {
             operations: scenario.operation.clone(),
             places,
             drain_grace: scenario.limits.drain_grace.0,
@@ -209,7 +214,7 @@
 struct Sent {
     runner: u32,
     at: Micros,
-    back: Option<Back>,
+    back: Option<ForwardEnd>,
     withdrawn: bool,
 }
 
@@ -219,7 +224,7 @@
     }
 
     fn never_ran(&self) -> bool {
-        self.back == Some(Back::NeverRan)
+        self.back == Some(ForwardEnd::NeverRan)
     }
 }
 
@@ -227,7 +232,7 @@
     dispatcher: u32,
     operation: usize,
     expires_at: Micros,
-    answered: Option<(Micros, Final)>,
+    answered: Option<(Micros, FinalStatus)>,
     /// Nothing is owed: the client has left, or the dispatcher was killed.
     excused: bool,
     /// When the client closed its connection.
@@ -235,7 +240,7 @@
     sent: Vec<Sent>,
     ran: u32,
     work: f64,
-    history: Vec<(Micros, Seen)>,
+    history: Vec<(Micros, Observation)>,
 }
 
 impl Case {
@@ -268,10 +273,10 @@
 const TOLD_SLACK: Micros = 150_000;
 
 pub struct Judge {
-    terms: Terms,
-    cases: HashMap<Inv, Case>,
+    terms: JudgeParameters,
+    cases: HashMap<InvocationId, Case>,
     /// In the order in which they were taken, to be let go of.
-    order: VecDeque<(Micros, Inv)>,
+    order: VecDeque<(Micros, InvocationId)>,
     /// What each dispatcher has been told of each runner: since when it is not wanted, or none.
     told: HashMap<(u32, u32), (Option<Micros>, bool)>,
     listed: BTreeMap<u32, (Micros, bool, Option<Micros>)>,
@@ -287,10 +292,10 @@
     pub verdict: Verdict,
     /// How late the eyes of the lab are now: what they see may have been there for so long. Nobody else is to blame
     /// for that.
-    pub behind: Micros,
+    pub observation_delay: Micros,
     /// Work sent to cold runners, and the largest share of a budget that was used by all together.
-    pub cold_sent: f64,
-    pub cold_most: f64,
+    pub cold_work: f64,
+    pub max_cold_share: f64,
     pub cold_calls: ColdCalls,
 }
 
@@ -319,13 +324,13 @@
 }
 
 impl Verdict {
-    pub fn clean(&self) -> bool {
+    pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 }
 
 impl Judge {
-    pub fn new(terms: Terms) -> Judge {
+    pub fn new(terms: JudgeParameters) -> Judge {
         Judge {
             terms,
             cases: HashMap::new(),
@@ -338,14 +343,14 @@
             boots: BTreeMap::new(),
             first: BTreeMap::new(),
             verdict: Verdict::default(),
-            behind: 0,
-            cold_sent: 0.0,
-            cold_most: 0.0,
+            observation_delay: 0,
+            cold_work: 0.0,
+            max_cold_share: 0.0,
             cold_calls: ColdCalls::default(),
         }
     }
 
-    fn violate(&mut self, at: Micros, rule: Rule, inv: Inv, what: String) {
+    fn violate(&mut self, at: Micros, rule: Rule, inv: InvocationId, what: String) {
         *self.verdict.violations.entry(rule).or_default() += 1;
         if self.verdict.kept.len() < KEPT {
             let lines = self.cases.get(&inv).map(|case| case.history.as_slice()).unwrap_or_default();
@@ -361,111 +366,111 @@
     }
 
     /// Takes in one thing seen, in the order of time.
-    pub fn see(&mut self, at: Micros, seen: Seen) {
+    pub fn observe(&mut self, at: Micros, seen: Observation) {
         let inv = match &seen {
-            Seen::Taken { inv, .. }
-            | Seen::Answered { inv, .. }
-            | Seen::Forged { inv }
-            | Seen::Left { inv }
-            | Seen::Crossed { inv }
-            | Seen::Lost { inv }
-            | Seen::Forwarded { inv, .. }
-            | Seen::TimeTold { inv, .. }
-            | Seen::Ended { inv, .. }
-            | Seen::Withdrawn { inv, .. }
-            | Seen::Ran { inv, .. } => Some(*inv),
+            Observation::Taken { inv, .. }
+            | Observation::Answered { inv, .. }
+            | Observation::Forged { inv }
+            | Observation::Left { inv }
+            | Observation::Crossed { inv }
+            | Observation::Lost { inv }
+            | Observation::Forwarded { inv, .. }
+            | Observation::TimeTold { inv, .. }
+            | Observation::Ended { inv, .. }
+            | Observation::Withdrawn { inv, .. }
+            | Observation::Ran { inv, .. } => Some(*inv),
             _ => None,
         };
         if let Some(case) = inv.and_then(|inv| self.cases.get_mut(&inv)) {
             case.history.push((at, seen.clone()));
         }
         match seen {
-            Seen::Taken { inv, dispatcher, operation, expires_at } => {
+            Observation::Taken { inv, dispatcher, operation, expires_at } => {
                 self.take(at, inv, (dispatcher, operation), expires_at, seen);
             }
-            Seen::Answered { inv, how } => self.answered(at, inv, how),
-            Seen::Forged { inv } => {
+            Observation::Answered { inv, how } => self.answered(at, inv, how),
+            Observation::Forged { inv } => {
                 self.violate(at, Rule::OneAnswer, inv, "succeeded with what no runner made for it".into());
             }
-            Seen::Left { inv } => {
+            Observation::Left { inv } => {
                 if let Some(case) = self.cases.get_mut(&inv) {
                     case.excused = true;
                     case.left_at.get_or_insert(at);
                 }
             }
             // What was forwarded had been read.
-            Seen::Crossed { inv } => {
+            Observation::Crossed { inv } => {
                 if let Some(case) = self.cases.get_mut(&inv).filter(|case| case.sent.is_empty()) {
                     case.excused = true;
                     case.left_at.get_or_insert(at);
                 }
             }
-            Seen::Lost { inv } => {
+            Observation::Lost { inv } => {
                 if let Some(case) = self.cases.get_mut(&inv).filter(|case| case.answered.is_none()) {
                     self.verdict.lost_by_kill += u64::from(!case.excused);
                     case.excused = true;
                 }
             }
-            Seen::Forwarded { inv, dispatcher, runner, work, cold } => {
+            Observation::Forwarded { inv, dispatcher, runner, work, cold } => {
                 self.forwarded(at, inv, (dispatcher, runner), work, cold);
             }
-            Seen::TimeTold { inv, told } => self.time_told(at, inv, told),
-            Seen::Ended { inv, runner, how } => self.came_back(at, inv, runner, Some(how)),
-            Seen::Withdrawn { inv, runner } => self.came_back(at, inv, runner, None),
-            Seen::Ran { inv, runner } => self.ran(at, inv, runner),
-            Seen::Listed { runner, wanted, launched } => {
+            Observation::TimeTold { inv, told } => self.time_told(at, inv, told),
+            Observation::Ended { inv, runner, how } => self.came_back(at, inv, runner, Some(how)),
+            Observation::Withdrawn { inv, runner } => self.came_back(at, inv, runner, None),
+            Observation::Ran { inv, runner } => self.ran(at, inv, runner),
+            Observation::Listed { runner, wanted, launched } => {
                 self.listed.insert(runner, (at, wanted, launched));
                 if wanted && launched.is_some() {
                     self.cold.insert(runner, Cold::default());
                 }
             }
-            Seen::Told { dispatcher, runner, wanted } => {
+            Observation::Told { dispatcher, runner, wanted } => {
                 let told = self.told.entry((dispatcher, runner)).or_insert((None, true));
                 // Told once more of the same does not lengthen the grace.
                 let since = if wanted { None } else { Some(told.0.unwrap_or(at)) };
                 *told = (since, wanted);
             }
-            Seen::Began { dispatcher } => {
+            Observation::Began { dispatcher } => {
                 self.told.retain(|(d, _), _| *d != dispatcher);
                 self.still.remove(&dispatcher);
                 self.first.remove(&dispatcher);
                 let (before, now) = self.boots.entry(dispatcher).or_default();
                 *before = (*before).max(now.take().unwrap_or(0));
             }
-            Seen::Hand { dispatcher, runner, out: Some(true) } => {
+            Observation::Hand { dispatcher, runner, out: Some(true) } => {
                 self.hands.entry((dispatcher, runner)).or_insert(at);
             }
-            Seen::Hand { dispatcher, runner, .. } => _ = self.hands.remove(&(dispatcher, runner)),
-            Seen::Boot { dispatcher, boot } => self.booted(at, dispatcher, boot),
-            Seen::Unlisted { dispatcher, asked } => {
+            Observation::Hand { dispatcher, runner, .. } => _ = self.hands.remove(&(dispatcher, runner)),
+            Observation::Boot { dispatcher, boot } => self.booted(at, dispatcher, boot),
+            Observation::Unlisted { dispatcher, asked } => {
                 if self.first.get(&dispatcher).is_some_and(|first| *first < asked) {
                     let what = format!("d{dispatcher} had forwarded before it had a list");
                     self.violate(at, Rule::NotBeforeListed, 0, what);
                 }
             }
-            Seen::Forgets { dispatcher } => {
+            Observation::Forgets { dispatcher } => {
                 self.hands.retain(|(d, _), _| *d != dispatcher);
                 self.boots.remove(&dispatcher);
             }
-            Seen::Still { dispatcher, still: true } => {
+            Observation::Still { dispatcher, still: true } => {
                 self.still.entry(dispatcher).or_insert(at);
             }
-            Seen::Still { dispatcher, still: false } => self.goes_on(at, dispatcher),
+            Observation::Still { dispatcher, still: false } => self.goes_on(at, dispatcher),
         }
     }
 
     /// How much work an invocation is, from whoever brought it.
-    pub fn note_work(&mut self, inv: Inv, work: f64) {
+    pub fn note_work(&mut self, inv: InvocationId, work: f64) {
         if let Some(case) = self.cases.get_mut(&inv) {
             case.work = work;
         }
     }
 
-    pub fn work(&self, inv: Inv) -> f64 {
+    pub fn work(&self, inv: InvocationId) -> f64 {
         self.cases.get(&inv).map_or(0.0, |case| case.work)
     }
 
-    pub fn operation(&self, inv: Inv) -> Option<usize> {
+    pub fn operation(&self, inv: InvocationId) -> Option<usize> {
         self.cases.get(&inv).map(|case| case.operation)
     }
 
@@ -493,10 +498,10 @@
     fn take(
         &mut self,
         at: Micros,
-        inv: Inv,
+        inv: InvocationId,
         (dispatcher, operation): (u32, usize),
         expires_at: Micros,
-        seen: Seen,
+        seen: Observation,
     ) {
         self.verdict.taken += 1;
         let case = Case {
@@ -525,7 +530,7 @@
     }
 
     /// Lets go of an invocation, and looks whether it was answered at all.
-    fn close(&mut self, at: Micros, inv: Inv) {
+    fn close(&mut self, at: Micros, inv: InvocationId) {
         let Some(case) = self.cases.get(&inv) else { return };
         if case.answered.is_none() && !case.excused {
             self.violate(at, Rule::OneAnswer, inv, "never answered".into());
@@ -533,8 +538,8 @@
         self.cases.remove(&inv);
     }
 
-    fn answered(&mut self, at: Micros, inv: Inv, how: Final) {
-        let slack = self.terms.answer_slack + self.behind;
+    fn answered(&mut self, at: Micros, inv: InvocationId, how: FinalStatus) {
+        let slack = self.terms.answer_slack + self.observation_delay;
         let Some(case) = self.cases.get_mut(&inv) else {
             return self.own_fault(at, format!("an answer to {inv:x}, which nobody took"));
         };
@@ -542,16 +547,16 @@
         let op = &self.terms.operations[case.operation];
         let repeatable = match op.effect {
             Effect::Idempotent => true,
-            Effect::Deduplicated => op.group == Group::All,
+            Effect::Deduplicated => op.group == DeduplicationScope::All,
             Effect::NonIdempotent => false,
         };
         let harmless = repeatable || case.sent.iter().all(Sent::never_ran);
         case.answered = Some((at, how));
         let excused = case.excused;
         match how {
-            Final::Succeeded => self.verdict.succeeded += 1,
-            Final::Throttled => self.verdict.throttled += 1,
-            Final::Errored => self.verdict.errored += 1,
+            FinalStatus::Succeeded => self.verdict.succeeded += 1,
+            FinalStatus::Throttled => self.verdict.throttled += 1,
+            FinalStatus::Errored => self.verdict.errored += 1,
         }
         if let Some((first, _)) = before {
             self.violate(at, Rule::OneAnswer, inv, format!("answered twice, first at {first}"));
@@ -559,16 +564,16 @@
         if late && !excused {
             self.violate(at, Rule::OneAnswer, inv, "answered after the client timeout".into());
         }
-        if how == Final::Throttled && !harmless {
+        if how == FinalStatus::Throttled && !harmless {
             self.violate(at, Rule::NoEffectTwice, inv, "throttled, though it may have run".into());
         }
     }
 
     /// What a runner is told of the time left, against what the client still waits.
-    fn time_told(&mut self, at: Micros, inv: Inv, told: Micros) {
+    fn time_told(&mut self, at: Micros, inv: InvocationId, told: Micros) {
         let Some(case) = self.cases.get(&inv) else { return };
         let left = case.expires_at - at;
-        if told > left + TOLD_SLACK + self.behind {
+        if told > left + TOLD_SLACK + self.observation_delay {
             let what = format!("its runner was told {told} us with {left} us left");
             self.violate(at, Rule::DeadlineTold, inv, what);
         }
@@ -577,13 +582,13 @@
     fn forwarded(
         &mut self,
         at: Micros,
-        inv: Inv,
+        inv: InvocationId,
         (dispatcher, runner): (u32, u32),
         work: f64,
         cold: Option<f64>,
     ) {
         self.verdict.forwards += 1;
-        let slack = self.terms.slack + self.behind;
+        let slack = self.terms.slack + self.observation_delay;
         let Some(case) = self.cases.get_mut(&inv) else {
             return self.own_fault(at, format!("a forward of {inv:x}, which nobody took"));
         };
@@ -591,7 +596,7 @@
         if let Some((answered, _)) = case.answered.filter(|(answered, _)| at > answered + slack) {
             wrong.push((Rule::OneAnswer, format!("forwarded after its answer at {answered}")));
         }
-        if let Some(left) = case.left_at.filter(|left| at > left + LEFT_MOST + self.behind) {
+        if let Some(left) = case.left_at.filter(|left| at > left + LEFT_MOST + self.observation_delay) {
             wrong.push((Rule::OneAnswer, format!("forwarded {} us after its client had left", at - left)));
         }
         if case.sent.iter().any(Sent::out) {
@@ -609,9 +614,9 @@
             (Effect::Deduplicated, Some(first)) => {
                 let (there, here) = (place(first.runner), place(runner));
                 let inside = match op.group {
-                    Group::All => true,
-                    Group::Zone => there.0 == here.0,
-                    Group::Cell => there.1 == here.1,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => there.0 == here.0,
+                    DeduplicationScope::Cell => there.1 == here.1,
                 };
                 if !inside {
                     let what = format!("forwarded again outside the group of r{}", first.runner);
@@ -652,8 +657,8 @@
             let all: f64 = cold.spent.iter().map(|(_, work, _)| work).sum();
             let knowing: f64 = cold.spent.iter().filter(|(.., told)| *told).map(|(_, work, _)| work).sum();
             let budget = self.terms.overload_factor * capacity * span as f64;
-            self.cold_sent += work;
-            self.cold_most = self.cold_most.max(all / budget);
+            self.cold_work += work;
+            self.max_cold_share = self.max_cold_share.max(all / budget);
             let allowed = budget / self.terms.mean_work;
             let (calls, by_chance) = (cold.spent.len() as f64, allowed + 2.0 * allowed.sqrt() + 2.0);
             let counted = &mut self.cold_calls;
@@ -679,7 +684,7 @@
         }
     }
 
-    fn came_back(&mut self, at: Micros, inv: Inv, runner: u32, how: Option<Back>) {
+    fn came_back(&mut self, at: Micros, inv: InvocationId, runner: u32, how: Option<ForwardEnd>) {
         let Some(case) = self.cases.get_mut(&inv) else { return };
         let Some(sent) = case.sent.iter_mut().rev().find(|sent| sent.runner == runner) else {
             // Whoever likes may give up what was never there.
@@ -695,7 +700,7 @@
         }
     }
 
-    fn ran(&mut self, at: Micros, inv: Inv, runner: u32) {
+    fn ran(&mut self, at: Micros, inv: InvocationId, runner: u32) {
         let Some(case) = self.cases.get_mut(&inv) else { return };
         case.ran += 1;
         if case.ran > 1 && self.terms.operations[case.operation].effect != Effect::Idempotent {
@@ -705,7 +710,7 @@
 
     /// The run is over: whatever is still owed now was never answered.
     pub fn finish(&mut self, at: Micros) {
-        let mut open: Vec<Inv> = self.cases.keys().copied().collect();
+        let mut open: Vec<InvocationId> = self.cases.keys().copied().collect();
         open.sort_unstable();
         for inv in open {
             self.close(at, inv);
--- a/lab/src/judge/tests.rs
+++ b/lab/src/judge/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 /// Each rule broken in the smallest way, and the same without the breach: the judge must tell them apart.
-fn verdict(text: &str, seen: &[(Micros, Seen)]) -> Verdict {
+fn verdict(text: &str, seen: &[(Micros, Observation)]) -> Verdict {
     verdict_behind(0, text, seen)
 }
 
 /// The same by a lab that is so late.
-fn verdict_behind(behind: Micros, text: &str, seen: &[(Micros, Seen)]) -> Verdict {
+fn verdict_behind(behind: Micros, text: &str, seen: &[(Micros, Observation)]) -> Verdict {
     let base = r#"
             name = "t"
             length = "10s"
@@ -26,26 +26,26 @@
         "#;
     let scenario = Scenario::parse("t", &format!("{base}{text}")).unwrap();
     let places = vec![(0, 0), (1, 1), (0, 0), (1, 1)];
-    let mut judge = Judge::new(Terms::of(&scenario, places, 0, 0));
-    judge.behind = behind;
-    judge.see(0, Seen::Taken { inv: 1, dispatcher: 0, operation: 0, expires_at: 5_000_000 });
+    let mut judge = Judge::new(JudgeParameters::of(&scenario, places, 0, 0));
+    judge.observation_delay = behind;
+    judge.observe(0, Observation::Taken { inv: 1, dispatcher: 0, operation: 0, expires_at: 5_000_000 });
     for (at, seen) in seen {
-        judge.see(*at, seen.clone());
+        judge.observe(*at, seen.clone());
     }
     judge.finish(60_000_000);
     judge.verdict
 }
 
-fn sent(at: Micros, runner: u32) -> (Micros, Seen) {
-    (at, Seen::Forwarded { inv: 1, dispatcher: 0, runner, work: 100_000.0, cold: None })
+fn sent(at: Micros, runner: u32) -> (Micros, Observation) {
+    (at, Observation::Forwarded { inv: 1, dispatcher: 0, runner, work: 100_000.0, cold: None })
 }
 
-fn ended(at: Micros, runner: u32, how: Back) -> (Micros, Seen) {
-    (at, Seen::Ended { inv: 1, runner, how })
+fn ended(at: Micros, runner: u32, how: ForwardEnd) -> (Micros, Observation) {
+    (at, Observation::Ended { inv: 1, runner, how })
 }
 
-fn answered(at: Micros, how: Final) -> (Micros, Seen) {
-    (at, Seen::Answered { inv: 1, how })
+fn answered(at: Micros, how: FinalStatus) -> (Micros, Observation) {
+    (at, Observation::Answered { inv: 1, how })
 }
 
 const ZONE: &str = "effect = \"deduplicated\"\ngroup = \"zone\"\nmemory-span = \"3s\"";
@@ -57,126 +57,129 @@
 
 #[test]
 fn one_answer_in_time_and_nothing_after_it() {
-    let good = [sent(10, 0), ended(20, 0, Back::Succeeded), answered(20, Final::Succeeded)];
-    assert!(verdict("", &good).clean());
+    let good = [sent(10, 0), ended(20, 0, ForwardEnd::Succeeded), answered(20, FinalStatus::Succeeded)];
+    assert!(verdict("", &good).is_clean());
     for bad in [
         vec![],
-        vec![answered(5_000_001, Final::Errored)],
-        vec![answered(20, Final::Errored), answered(30, Final::Errored)],
-        vec![answered(20, Final::Throttled), sent(21, 0)],
-        vec![(9, Seen::Forged { inv: 1 }), answered(20, Final::Succeeded)],
+        vec![answered(5_000_001, FinalStatus::Errored)],
+        vec![answered(20, FinalStatus::Errored), answered(30, FinalStatus::Errored)],
+        vec![answered(20, FinalStatus::Throttled), sent(21, 0)],
+        vec![(9, Observation::Forged { inv: 1 }), answered(20, FinalStatus::Succeeded)],
     ] {
         assert_eq!(rules(&verdict("", &bad)), [Rule::OneAnswer], "{bad:?}");
     }
-    let killed = verdict("", &[sent(10, 0), (20, Seen::Lost { inv: 1 })]);
-    assert!(killed.clean() && killed.lost_by_kill == 1);
+    let killed = verdict("", &[sent(10, 0), (20, Observation::Lost { inv: 1 })]);
+    assert!(killed.is_clean() && killed.lost_by_kill == 1);
 }
 
 #[test]
 fn what_the_lab_saw_late_is_nobody_elses_fault() {
     let clean = |behind| {
-        let late = answered(5_100_000, Final::Errored);
-        verdict_behind(behind, "", &[late]).clean()
+        let late = answered(5_100_000, FinalStatus::Errored);
+        verdict_behind(behind, "", &[late]).is_clean()
     };
     assert!(clean(100_000) && !clean(99_999));
 }
 
 #[test]
 fn no_effect_twice() {
-    let end = answered(900, Final::Errored);
-    let throttled = answered(900, Final::Throttled);
-    let never = [sent(10, 0), ended(20, 0, Back::NeverRan), sent(30, 1), ended(40, 1, Back::NeverRan)];
-    let perhaps = [sent(10, 0), ended(20, 0, Back::MayHaveRun)];
-    let clean = |text, seen: &[(Micros, Seen)], end: &(Micros, Seen)| {
-        verdict(text, &[seen, std::slice::from_ref(end)].concat()).clean()
+    let end = answered(900, FinalStatus::Errored);
+    let throttled = answered(900, FinalStatus::Throttled);
+    let never =
+        [sent(10, 0), ended(20, 0, ForwardEnd::NeverRan), sent(30, 1), ended(40, 1, ForwardEnd::NeverRan)];
+    let perhaps = [sent(10, 0), ended(20, 0, ForwardEnd::MayHaveRun)];
+    let clean = |text, seen: &[(Micros, Observation)], end: &(Micros, Observation)| {
+        verdict(text, &[seen, std::slice::from_ref(end)].concat()).is_clean()
     };
     assert!(clean(ONCE, &never, &throttled));
     assert!(!clean(ONCE, &perhaps, &throttled));
     assert!(clean(ONCE, &perhaps, &end));
     assert!(!clean(ONCE, &[&perhaps[..], &[sent(30, 1)]].concat(), &end));
     // Withdrawn is no proof that it never ran, but it is not out any more.
-    let withdrawn = [sent(10, 0), (20, Seen::Withdrawn { inv: 1, runner: 0 }), sent(30, 1)];
+    let withdrawn = [sent(10, 0), (20, Observation::Withdrawn { inv: 1, runner: 0 }), sent(30, 1)];
     assert!(!clean(ONCE, &withdrawn, &end) && clean("", &withdrawn, &end));
     assert!(!clean("", &[sent(10, 0), sent(30, 1)], &end), "two out at once");
     assert!(clean(ZONE, &[&perhaps[..], &[sent(30, 2)]].concat(), &end));
     assert!(!clean(ZONE, &[&perhaps[..], &[sent(30, 1)]].concat(), &end), "outside the zone");
-    let after = answered(4_000_000, Final::Errored);
+    let after = answered(4_000_000, FinalStatus::Errored);
     assert!(!clean(ZONE, &[&perhaps[..], &[sent(3_000_011, 2)]].concat(), &after), "after the span");
-    let ran = |runner| (50, Seen::Ran { inv: 1, runner });
+    let ran = |runner| (50, Observation::Ran { inv: 1, runner });
     assert!(!clean(ZONE, &[ran(0), ran(1)], &end) && clean("", &[ran(0), ran(1)], &end));
 }
 
 #[test]
 fn nothing_to_a_runner_past_the_grace() {
-    let told = |wanted| (100, Seen::Told { dispatcher: 0, runner: 0, wanted });
-    let end = answered(900_000, Final::Errored);
-    assert!(verdict("", &[told(false), sent(500_100, 0), end.clone()]).clean());
+    let told = |wanted| (100, Observation::Told { dispatcher: 0, runner: 0, wanted });
+    let end = answered(900_000, FinalStatus::Errored);
+    assert!(verdict("", &[told(false), sent(500_100, 0), end.clone()]).is_clean());
     let late = verdict("", &[told(false), sent(500_101, 0), end.clone()]);
     assert_eq!(rules(&late), [Rule::NothingToDraining]);
-    assert!(verdict("", &[told(false), told(true), sent(800_000, 0), end.clone()]).clean());
+    assert!(verdict("", &[told(false), told(true), sent(800_000, 0), end.clone()]).is_clean());
     // Not told, but listed for longer than anyone may go without asking.
-    let listed = (-12_000_000, Seen::Listed { runner: 0, wanted: false, launched: None });
+    let listed = (-12_000_000, Observation::Listed { runner: 0, wanted: false, launched: None });
     assert_eq!(rules(&verdict("", &[listed, sent(800_000, 0), end])), [Rule::NothingToDraining]);
 }
 
 #[test]
 fn who_stood_still_is_excused_for_that_and_for_nothing_else() {
-    let still = |at, still| (at, Seen::Still { dispatcher: 0, still });
-    let told = (1_500_000, Seen::Told { dispatcher: 0, runner: 0, wanted: false });
-    let late = answered(6_000_000, Final::Errored);
-    assert!(verdict("", &[still(1_000_000, true), still(5_500_000, false), late.clone()]).clean());
+    let still = |at, still| (at, Observation::Still { dispatcher: 0, still });
+    let told = (1_500_000, Observation::Told { dispatcher: 0, runner: 0, wanted: false });
+    let late = answered(6_000_000, FinalStatus::Errored);
+    assert!(verdict("", &[still(1_000_000, true), still(5_500_000, false), late.clone()]).is_clean());
     // It went on in time for that.
     let early = verdict("", &[still(1_000_000, true), still(4_000_000, false), late]);
     assert_eq!(rules(&early), [Rule::OneAnswer]);
     let frozen = [still(1_000_000, true), told, still(2_000_000, false)];
-    let end = answered(4_000_000, Final::Errored);
-    let clean = |at| verdict("", &[&frozen[..], &[sent(at, 0), end.clone()]].concat()).clean();
+    let end = answered(4_000_000, FinalStatus::Errored);
+    let clean = |at| verdict("", &[&frozen[..], &[sent(at, 0), end.clone()]].concat()).is_clean();
     assert!(clean(2_400_000) && !clean(2_600_000));
 }
 
 #[test]
 fn what_an_operator_was_told_holds_over_a_restart() {
-    let hand = |at, out| (at, Seen::Hand { dispatcher: 0, runner: 0, out });
-    let began = (200, Seen::Began { dispatcher: 0 });
-    let end = answered(900, Final::Errored);
-    let broken = |seen: &[(Micros, Seen)]| rules(&verdict("", &[seen, std::slice::from_ref(&end)].concat()));
+    let hand = |at, out| (at, Observation::Hand { dispatcher: 0, runner: 0, out });
+    let began = (200, Observation::Began { dispatcher: 0 });
+    let end = answered(900, FinalStatus::Errored);
+    let broken =
+        |seen: &[(Micros, Observation)]| rules(&verdict("", &[seen, std::slice::from_ref(&end)].concat()));
     assert_eq!(broken(&[hand(100, Some(true)), began.clone(), sent(300, 0)]), [Rule::HandHolds]);
     assert_eq!(broken(&[hand(100, Some(true)), sent(300, 1)]), []);
     for back in [Some(false), None] {
         assert_eq!(broken(&[hand(100, Some(true)), hand(150, back), sent(300, 0)]), []);
     }
-    let forgets = (200, Seen::Forgets { dispatcher: 0 });
+    let forgets = (200, Observation::Forgets { dispatcher: 0 });
     assert_eq!(broken(&[hand(100, Some(true)), forgets, sent(300, 0)]), []);
 }
 
 #[test]
 fn boot_numbers_rise_and_nothing_is_forwarded_without_a_list() {
-    let boot = |boot| (10, Seen::Boot { dispatcher: 0, boot });
-    let began = (20, Seen::Began { dispatcher: 0 });
-    let end = answered(900, Final::Errored);
-    let broken = |seen: &[(Micros, Seen)]| rules(&verdict("", &[seen, std::slice::from_ref(&end)].concat()));
+    let boot = |boot| (10, Observation::Boot { dispatcher: 0, boot });
+    let began = (20, Observation::Began { dispatcher: 0 });
+    let end = answered(900, FinalStatus::Errored);
+    let broken =
+        |seen: &[(Micros, Observation)]| rules(&verdict("", &[seen, std::slice::from_ref(&end)].concat()));
     assert_eq!(broken(&[boot(3), boot(3), began.clone(), boot(4)]), []);
     assert_eq!(broken(&[boot(3), began.clone(), boot(3)]), [Rule::BootRises]);
     assert_eq!(broken(&[boot(3), began.clone(), began.clone(), boot(2)]), [Rule::BootRises]);
     assert_eq!(broken(&[boot(3), boot(2)]), [Rule::BootRises]);
-    let unlisted = |asked| (500, Seen::Unlisted { dispatcher: 0, asked });
+    let unlisted = |asked| (500, Observation::Unlisted { dispatcher: 0, asked });
     assert_eq!(broken(&[sent(300, 0), unlisted(400)]), [Rule::NotBeforeListed]);
     assert_eq!(broken(&[sent(300, 0), unlisted(200)]), []);
-    assert_eq!(broken(&[sent(300, 0), (350, Seen::Began { dispatcher: 0 }), unlisted(400)]), []);
+    assert_eq!(broken(&[sent(300, 0), (350, Observation::Began { dispatcher: 0 }), unlisted(400)]), []);
 }
 
 /// 3 x 0.2 x 2 s is twelve calls of the mean 100 ms: 20 are put down to chance, 21 are not, however short they are.
 #[test]
 fn cold_runners_are_sent_no_more_calls_than_chance_explains() {
     let sent = |count: i64, told: bool| {
-        let mut seen = vec![(5, Seen::Listed { runner: 0, wanted: true, launched: Some(5) })];
-        seen.extend(told.then_some((6, Seen::Told { dispatcher: 0, runner: 0, wanted: true })));
+        let mut seen = vec![(5, Observation::Listed { runner: 0, wanted: true, launched: Some(5) })];
+        seen.extend(told.then_some((6, Observation::Told { dispatcher: 0, runner: 0, wanted: true })));
         for nth in 0..count {
             let (inv, at, work) = (1, 10 + 2 * nth, 1000.0);
-            let forwarded = Seen::Forwarded { inv, dispatcher: 0, runner: 0, work, cold: Some(0.2) };
-            seen.extend([(at, forwarded), (at + 1, ended(11, 0, Back::NeverRan).1)]);
+            let forwarded = Observation::Forwarded { inv, dispatcher: 0, runner: 0, work, cold: Some(0.2) };
+            seen.extend([(at, forwarded), (at + 1, ended(11, 0, ForwardEnd::NeverRan).1)]);
         }
-        seen.push(answered(900, Final::Throttled));
+        seen.push(answered(900, FinalStatus::Throttled));
         rules(&verdict("", &seen))
     };
     assert_eq!(sent(20, true), []);
@@ -186,20 +189,20 @@
 
 #[test]
 fn cold_runners_keep_their_budget() {
-    let began = (5, Seen::Listed { runner: 0, wanted: true, launched: Some(5) });
-    let told = (6, Seen::Told { dispatcher: 0, runner: 0, wanted: true });
+    let began = (5, Observation::Listed { runner: 0, wanted: true, launched: Some(5) });
+    let told = (6, Observation::Told { dispatcher: 0, runner: 0, wanted: true });
     // 3 x 0.2 x 2 s is 1.2 s of work; 1.38 s with the slack for chance.
     let send = |nth: i64, work: f64| {
         let (inv, at) = (1, 10 + nth);
-        (at, Seen::Forwarded { inv, dispatcher: 0, runner: 0, work, cold: Some(0.2) })
+        (at, Observation::Forwarded { inv, dispatcher: 0, runner: 0, work, cold: Some(0.2) })
     };
-    let back = ended(11, 0, Back::NeverRan);
-    let flood = |work: f64, told: &[(Micros, Seen)]| {
+    let back = ended(11, 0, ForwardEnd::NeverRan);
+    let flood = |work: f64, told: &[(Micros, Observation)]| {
         let mut seen = told.to_vec();
         for nth in 0..5 {
             seen.extend([send(nth * 2, work), (11 + nth * 2, back.1.clone())]);
         }
-        seen.push(answered(900, Final::Throttled));
+        seen.push(answered(900, FinalStatus::Throttled));
         rules(&verdict("", &seen))
     };
     assert_eq!(flood(300_000.0, &[began.clone(), told.clone()]), [Rule::ColdBudget]);
@@ -211,34 +214,39 @@
 #[test]
 fn a_runner_is_told_no_later_deadline_than_the_clients() {
     let told = |at, told| {
-        let told = (at, Seen::TimeTold { inv: 1, told });
+        let told = (at, Observation::TimeTold { inv: 1, told });
         verdict(
             "",
-            &[sent(at, 0), told, ended(at + 10, 0, Back::Succeeded), answered(at + 10, Final::Succeeded)],
+            &[
+                sent(at, 0),
+                told,
+                ended(at + 10, 0, ForwardEnd::Succeeded),
+                answered(at + 10, FinalStatus::Succeeded),
+            ],
         )
     };
-    assert!(told(1_000_000, 4_150_000).clean());
+    assert!(told(1_000_000, 4_150_000).is_clean());
     assert_eq!(rules(&told(1_000_000, 4_150_001)), [Rule::DeadlineTold]);
 }
 
 #[test]
 fn nothing_begins_for_a_client_that_has_left() {
     let left_at = |left, begun| {
-        let left = (left, Seen::Left { inv: 1 });
+        let left = (left, Observation::Left { inv: 1 });
         let mut seen = vec![left, sent(begun, 0)];
         seen.sort_by_key(|(at, _)| *at);
-        verdict("", &[seen, vec![ended(begun + 10, 0, Back::MayHaveRun)]].concat())
+        verdict("", &[seen, vec![ended(begun + 10, 0, ForwardEnd::MayHaveRun)]].concat())
     };
-    assert!(left_at(1_000_000, 1_100_000).clean());
+    assert!(left_at(1_000_000, 1_100_000).is_clean());
     assert_eq!(rules(&left_at(1_000_000, 1_100_001)), [Rule::OneAnswer]);
 }
 
 #[test]
 fn a_kept_connection_that_ends_excuses_only_what_had_not_been_read() {
-    let crossed = (30, Seen::Crossed { inv: 1 });
-    assert!(verdict("", std::slice::from_ref(&crossed)).clean());
-    let read = [sent(10, 0), ended(20, 0, Back::Succeeded), crossed.clone()];
+    let crossed = (30, Observation::Crossed { inv: 1 });
+    assert!(verdict("", std::slice::from_ref(&crossed)).is_clean());
+    let read = [sent(10, 0), ended(20, 0, ForwardEnd::Succeeded), crossed.clone()];
     assert_eq!(rules(&verdict("", &read)), [Rule::OneAnswer]);
-    let late = [crossed, sent(100_031, 0), ended(100_040, 0, Back::MayHaveRun)];
+    let late = [crossed, sent(100_031, 0), ended(100_040, 0, ForwardEnd::MayHaveRun)];
     assert_eq!(rules(&verdict("", &late)), [Rule::OneAnswer]);
 }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -9,11 +9,11 @@
 use rand_pcg::Pcg32;
 use topazsail::Micros;
 
-use crate::scenario::{Arrivals, Clients, Effect, Group, Operation, Scenario, Shape};
+use crate::scenario::{Arrivals, Clients, DeduplicationScope, Effect, Operation, Scenario, Shape};
 
 /// One thing that a client wants, with all its tries.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     pub at: Micros,
     pub operation: usize,
     /// Work at speed 1.
@@ -23,12 +23,12 @@
 }
 
 /// A generator of its own for each purpose, so that one purpose's draws never shift another's.
-pub fn chance(seed: u64, purpose: u64) -> Pcg32 {
+pub fn seeded_generator(seed: u64, purpose: u64) -> Pcg32 {
     let mixed = topazsail::hash(&[seed.to_le_bytes(), purpose.to_le_bytes()].concat());
     Pcg32::seed_from_u64(mixed)
 }
 
-pub struct Bring {
+pub struct ArrivalGenerator {
     operations: Vec<Operation>,
     shares: Vec<f64>,
     works: Vec<Option<LogNormal<f64>>>,
@@ -45,9 +45,9 @@
     stretch: (f64, bool),
 }
 
-impl Bring {
+impl ArrivalGenerator {
     /// `capacity` is the work that all runners do in a microsecond when warm and well.
-    pub fn new(scenario: &Scenario, capacity: f64, seed: u64) -> Bring {
+    pub fn new(scenario: &Scenario, capacity: f64, seed: u64) -> ArrivalGenerator {
         let operations = scenario.operation.clone();
         let total: f64 = operations.iter().map(|op| op.share).sum();
         let mut sum = 0.0;
@@ -65,7 +65,7 @@
         };
         let clients = scenario.clients.clone();
         let peak = if clients.arrivals == Arrivals::Poisson { 1.0 } else { 1.0 + clients.swing };
-        Bring {
+        ArrivalGenerator {
             works: operations.iter().map(lognormal).collect(),
             keys: operations.iter().map(zipf).collect(),
             gap: scenario.mean_work() / (capacity * clients.load * peak).max(1e-12),
@@ -76,7 +76,7 @@
             clients,
             at: 0.0,
             ends: scenario.length.0,
-            chance: chance(seed, 1),
+            chance: seeded_generator(seed, 1),
             stretch: (0.0, false),
         }
     }
@@ -98,10 +98,10 @@
     }
 }
 
-impl Iterator for Bring {
-    type Item = Ask;
+impl Iterator for ArrivalGenerator {
+    type Item = ClientRequest;
 
-    fn next(&mut self) -> Option<Ask> {
+    fn next(&mut self) -> Option<ClientRequest> {
         loop {
             let draw: f64 = Exp1.sample(&mut self.chance);
             self.at += draw * self.gap;
@@ -128,13 +128,13 @@
         };
         let key = self.keys[operation].as_ref().map(|zipf| zipf.sample(&mut self.chance) as u32);
         let zone = self.chance.random_range(0..self.zones);
-        Some(Ask { at: self.at as Micros, operation, work: work.max(1.0), key, zone })
+        Some(ClientRequest { at: self.at as Micros, operation, work: work.max(1.0), key, zone })
     }
 }
 
 /// What a client sees of one try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum AttemptResult {
     Succeeded,
     Throttled(Option<Micros>),
     Errored,
@@ -145,31 +145,31 @@
 }
 
 /// Whether and when a client tries again: its own draws, so that one policy's answers shift no one else's.
-pub fn returns(
+pub fn retry_time(
     scenario: &Scenario,
     seed: u64,
-    ask: (u64, &Ask),
+    ask: (u64, &ClientRequest),
     tries: u32,
-    seen: Seen,
+    seen: AttemptResult,
     now: Micros,
 ) -> Option<Micros> {
     let (number, ask) = ask;
     let (clients, op) = (&scenario.clients, &scenario.operation[ask.operation]);
     let inside = op.effect == Effect::Deduplicated
-        && op.group == Group::All
+        && op.group == DeduplicationScope::All
         && now < ask.at + op.memory_span.0.saturating_sub(100_000);
     let harmless = match seen {
-        Seen::Succeeded => false,
-        Seen::Throttled(_) | Seen::Untaken => true,
-        Seen::Errored | Seen::Nothing => op.effect == Effect::Idempotent || inside,
+        AttemptResult::Succeeded => false,
+        AttemptResult::Throttled(_) | AttemptResult::Untaken => true,
+        AttemptResult::Errored | AttemptResult::Nothing => op.effect == Effect::Idempotent || inside,
     };
     if !harmless || tries > clients.retries {
         return None;
     }
-    let mut chance = chance(seed, (number << 8) | 0x80 | u64::from(tries));
+    let mut chance = seeded_generator(seed, (number << 8) | 0x80 | u64::from(tries));
     let wait = (clients.retry_wait.0 << (tries - 1).min(10)) as f64 * chance.random_range(0.5..1.5);
     let wait = match seen {
-        Seen::Throttled(Some(advice)) if chance.random::<f64>() < clients.honour => advice as f64,
+        AttemptResult::Throttled(Some(advice)) if chance.random::<f64>() < clients.honour => advice as f64,
         _ => wait,
     };
     let at = now + wait as Micros;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -10,7 +10,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
-use topazsail_lab::experiment::{self, Who};
+use topazsail_lab::experiment::{self, SystemUnderTest};
 use topazsail_lab::policy::Policy;
 use topazsail_lab::report;
 use topazsail_lab::scenario::Scenario;
@@ -177,9 +177,10 @@
 }
 
 fn timed(scenario: &Scenario, policy: Policy, seed: u64, time: bool) -> Result<Outcome, String> {
-    let run = virtual_clock::play(scenario, policy, seed, Options { time, ..Options::default() })?;
+    let run =
+        virtual_clock::play(scenario, policy, seed, Options { measure_time: time, ..Options::default() })?;
     if time {
-        let [lists, rest] = run.spent.map(|spent| spent.as_secs_f64() * 1e6);
+        let [lists, rest] = run.decision_time.map(|spent| spent.as_secs_f64() * 1e6);
         let asked = run.outcome.counts.asked.max(1) as f64;
         let (calls, each) = (run.decisions, rest / asked);
         println!("module: {each:.2} us an invocation, {:.1} ms for lists in all, {calls} calls", lists / 1e3);
@@ -247,14 +248,16 @@
         Command::Run { scenario, clock, seed, program, policy, time, json: to, report: folder } => {
             let scenario = Scenario::load(&scenario)?;
             let who = match clock {
-                ClockName::Virtual => Who::Policy(policy.parse::<Policy>()?),
-                ClockName::Sockets => Who::Program(program.unwrap_or_else(|| own_program(&scenario))),
+                ClockName::Virtual => SystemUnderTest::Policy(policy.parse::<Policy>()?),
+                ClockName::Sockets => {
+                    SystemUnderTest::Program(program.unwrap_or_else(|| own_program(&scenario)))
+                }
             };
             let seed = seed.unwrap_or(scenario.seed);
             let bar = bar(&scenario.name);
             let played = match &who {
-                Who::Policy(policy) => timed(&scenario, *policy, seed, time),
-                Who::Program(_) => {
+                SystemUnderTest::Policy(policy) => timed(&scenario, *policy, seed, time),
+                SystemUnderTest::Program(_) => {
                     who.play(&scenario, seed, &|share| bar.set_position((share * 1000.0) as u64))
                 }
             };
@@ -271,7 +274,7 @@
             let steps = experiment::vary(&scenario, field, &values)?;
             let bar = bar(field);
             let progress = |share: f64| bar.set_position((share * 1000.0) as u64);
-            let steps = experiment::sweep(steps, &Who::parse(&who)?, seeds.max(1), &progress);
+            let steps = experiment::sweep(steps, &SystemUnderTest::parse(&who)?, seeds.max(1), &progress);
             bar.finish_and_clear();
             let steps = steps?;
             print!("{}", report::sweep_text(field, &steps));
@@ -283,7 +286,7 @@
             let scenario = Scenario::load(&scenario)?;
             let bar = bar(&scenario.name);
             let progress = |share: f64| bar.set_position((share * 1000.0) as u64);
-            let (ours, other) = (Who::parse(&who)?, Who::parse(&against)?);
+            let (ours, other) = (SystemUnderTest::parse(&who)?, SystemUnderTest::parse(&against)?);
             let found = experiment::compare(&scenario, &ours, &other, pairs.max(2), &progress);
             bar.finish_and_clear();
             let found = found?;
--- a/lab/src/ordeal.rs
+++ b/lab/src/ordeal.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-use crate::load::chance;
+use crate::load::seeded_generator;
 use crate::scenario::Scenario;
 
 const SITE: &str = r#"
@@ -115,7 +115,7 @@
 
 /// One day: at least one loss of power of the whole site, and up to three more things.
 pub fn day(seed: u64) -> Result<Scenario, String> {
-    let mut drawn = chance(seed, 10);
+    let mut drawn = seeded_generator(seed, 10);
     let (length, dispatchers) = (9_000, drawn.random_range(7..=9));
     let mut text = format!(
         "name = \"ordeal-{seed}\"\nlength = \"{length}ms\"\nseed = {seed}\ndispatchers = {dispatchers}\n\
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -13,7 +13,7 @@
     Settings,
 };
 
-use crate::load::chance;
+use crate::load::seeded_generator;
 use crate::runner::Runner;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,24 +55,24 @@
     }
 }
 
-pub trait Decide {
+pub trait DecisionMaker {
     /// As [`RoutingPolicy::decide`]; `truth` is for those baselines that are told it.
     fn decide(&mut self, now: Micros, happened: Event, truth: &[Runner]) -> Vec<Action>;
 }
 
-impl Decide for RoutingPolicy {
+impl DecisionMaker for RoutingPolicy {
     fn decide(&mut self, now: Micros, happened: Event, _: &[Runner]) -> Vec<Action> {
         RoutingPolicy::decide(self, now, vec![happened])
     }
 }
 
-pub fn decider(policy: Policy, settings: Settings, seed: u64) -> Box<dyn Decide> {
+pub fn new_decider(policy: Policy, settings: Settings, seed: u64) -> Box<dyn DecisionMaker> {
     match policy {
         Policy::Topazsail => Box::new(RoutingPolicy::new(settings, seed)),
         _ => Box::new(Baseline {
             policy,
             settings,
-            chance: chance(seed, 4),
+            chance: seeded_generator(seed, 4),
             listed: Vec::new(),
             reported: HashMap::new(),
             turn: 0,
@@ -100,7 +100,7 @@
 }
 
 /// A runner's number, as it stands in its id.
-pub fn number(id: &str) -> u32 {
+pub fn runner_number(id: &str) -> u32 {
     id[1..].parse().unwrap_or(u32::MAX)
 }
 
@@ -165,7 +165,7 @@
     }
 }
 
-impl Decide for Baseline {
+impl DecisionMaker for Baseline {
     fn decide(&mut self, _: Micros, happened: Event, truth: &[Runner]) -> Vec<Action> {
         match happened {
             Event::Arrival(arrival) => {
@@ -175,7 +175,7 @@
             }
             Event::Outcome(outcome) => {
                 if let Some(in_flight) = outcome.report.get(2) {
-                    self.reported.insert(number(&outcome.runner), *in_flight);
+                    self.reported.insert(runner_number(&outcome.runner), *in_flight);
                 }
                 if outcome.answered {
                     self.invs.remove(&outcome.invocation);
@@ -206,7 +206,7 @@
                     self.listed.clear();
                 }
                 for entry in roster.entries {
-                    let r = number(&entry.runner);
+                    let r = runner_number(&entry.runner);
                     if !whole {
                         self.listed.retain(|(known, _)| *known != r);
                     }
--- a/lab/src/ramp.rs
+++ b/lab/src/ramp.rs
@@ -5,8 +5,8 @@
 //! all that is asked. What it leaves undone in a second is lost, so that it has no queue to catch up with. It is
 //! no bound, as a fleet may prefer what is worth most for its length; `best` is the same with that preference.
 
-use crate::load::Bring;
-use crate::runner::Life;
+use crate::load::ArrivalGenerator;
+use crate::runner::ProcessState;
 use crate::scenario::Scenario;
 use crate::tally::{Window, round};
 use crate::world::World;
@@ -28,14 +28,14 @@
         while let Some((_, change)) = schedule.next_if(|(due, _)| *due <= at) {
             world.apply(at, &change);
         }
-        let able = world.runners.iter().filter(|r| r.life == Life::Up && !r.frozen && !r.draining);
+        let able = world.runners.iter().filter(|r| r.state == ProcessState::Up && !r.frozen && !r.draining);
         let cold = able.clone().filter(|runner| runner.warmth(at) < 1.0);
         budget += cold.map(|runner| runner.capacity(at)).sum::<f64>() * STEP as f64;
         let capacity: f64 = able.map(|runner| runner.capacity(at)).sum();
         room[(at / SECOND) as usize] += capacity * STEP as f64;
     }
     let mut asked: Vec<Vec<(f64, f64)>> = vec![Vec::new(); seconds];
-    for ask in Bring::new(scenario, world.capacity(), seed) {
+    for ask in ArrivalGenerator::new(scenario, world.capacity(), seed) {
         let value = scenario.operation[ask.operation].billed_value;
         asked[((ask.at / SECOND) as usize).min(seconds - 1)].push((value, ask.work));
     }
@@ -63,10 +63,10 @@
 /// Seconds over which runners are short: from the first in which the ramp falls below what it is worth measuring,
 /// until it is whole again; how much was had in them, and how much the ramp had.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Against {
+pub struct RampComparison {
     pub from: f64,
     pub until: f64,
-    pub had: f64,
+    pub achieved: f64,
     pub ramp: f64,
     /// The ramp where what is worth most comes first.
     pub best: f64,
@@ -79,7 +79,7 @@
 
 /// The longest stretch after an outage in which warmth binds; none where it never does. Seconds without power are
 /// no part of it.
-pub fn against(windows: &[Window]) -> Option<Against> {
+pub fn compare_with_ramp(windows: &[Window]) -> Option<RampComparison> {
     let short = |window: &&Window| window.ramp > 0.0 && window.ramp < WHOLE;
     let first = windows.iter().position(|window| short(&window))?;
     let last = windows.iter().rposition(|window| short(&window))?;
@@ -89,10 +89,10 @@
         None => Some(0.0),
         Some(nth) => stretch.get(nth + 1).map(|window| round(window.at - windows[first].at)),
     };
-    Some(Against {
+    Some(RampComparison {
         from: windows[first].at,
         until: windows[last].at + 1.0,
-        had: round(stretch.iter().map(|window| window.goodput).sum()),
+        achieved: round(stretch.iter().map(|window| window.goodput).sum()),
         ramp: round(stretch.iter().map(|window| window.ramp).sum()),
         best: round(stretch.iter().map(|window| window.best).sum()),
         caught_up,
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -11,7 +11,7 @@
 
 use crate::experiment::{Comparison, Step};
 use crate::ramp;
-use crate::tally::{Band, Outcome};
+use crate::tally::{FaultBand, Outcome};
 
 const SIZE: (u32, u32) = (920, 260);
 const PALETTE: [RGBColor; 6] = [
@@ -73,12 +73,18 @@
 }
 
 /// Lines, with faults as bands behind them.
-fn plot(title: &str, unit: &str, x: Range<f64>, lines: &[Line], bands: &[Band]) -> Result<String, String> {
+fn plot(
+    title: &str,
+    unit: &str,
+    x: Range<f64>,
+    lines: &[Line],
+    bands: &[FaultBand],
+) -> Result<String, String> {
     let most = lines.iter().flat_map(|(_, points)| points).map(|(_, y)| *y).fold(0.0, f64::max);
     let top = if most > 0.0 { most * 1.08 } else { 1.0 };
     canvas(title, unit, x, top, None, |chart| {
         let shade = RGBColor(240, 170, 60).mix(0.18);
-        let band = |band: &Band| {
+        let band = |band: &FaultBand| {
             Rectangle::new([(band.from, 0.0), (band.to.max(band.from + 0.05), top)], shade.filled())
         };
         chart.draw_series(bands.iter().map(band)).map_err(fault)?;
@@ -256,7 +262,7 @@
                 "  {name}: {:+.4} ± {:.4} (95%){}\n",
                 d.mean,
                 d.half_width,
-                if d.shows() { "" } else { ", within noise" }
+                if d.is_significant() { "" } else { ", within noise" }
             ),
             None => format!("  {name}: too few pairs\n"),
         };
@@ -328,14 +334,14 @@
         outcome.traffic.probes,
         outcome.traffic.connections,
     );
-    if let Some(found) = ramp::against(&outcome.windows) {
+    if let Some(found) = ramp::compare_with_ramp(&outcome.windows) {
         text += &format!(
             "  cold from {} s to {} s: {:.2} of the ramp's {:.2} ({:.3}; {:.2} by value), at 0.95 of it {}\n",
             found.from,
             found.until,
-            found.had,
+            found.achieved,
             found.ramp,
-            found.had / found.ramp,
+            found.achieved / found.ramp,
             found.best,
             found.caught_up.map_or_else(|| "never".to_owned(), |after| format!("after {after} s")),
         );
--- a/lab/src/runner.rs
+++ b/lab/src/runner.rs
@@ -18,7 +18,7 @@
 pub type Job = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum JobEvent {
     Started,
     /// Share done.
     Progress(f64),
@@ -30,14 +30,14 @@
 
 /// What a runner says at once to a forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    Yes,
+pub enum OfferResult {
+    Accepted,
     Full,
     Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     Up,
     /// The process is gone: connections are refused.
     Down,
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     pub free: u32,
     pub waiting: u32,
     pub in_flight: u32,
@@ -60,12 +60,12 @@
 
 /// What strikes only some operations, or all where `operation` is none.
 #[derive(Clone, Copy, Debug)]
-pub struct Ail {
+pub struct Impairment {
     pub operation: Option<usize>,
     pub size: f64,
 }
 
-impl Ail {
+impl Impairment {
     fn strikes(&self, operation: usize) -> bool {
         self.operation.is_none_or(|only| only == operation)
     }
@@ -82,19 +82,19 @@
     places: u32,
     pub speed: f64,
     handshake: Micros,
-    pub connections_most: u32,
+    pub max_connections: u32,
     pub connections: u32,
     cold_from: f64,
     warm_within: Micros,
-    pub life: Life,
+    pub state: ProcessState,
     /// The process stands still: nothing is read, nothing goes on.
     pub frozen: bool,
     pub draining: bool,
     /// When it last started, if not before the run.
     pub launched: Option<Micros>,
-    pub slow: Option<Ail>,
-    pub errors: Option<Ail>,
-    pub loses: Option<Ail>,
+    pub slow: Option<Impairment>,
+    pub errors: Option<Impairment>,
+    pub loses: Option<Impairment>,
     progress: Micros,
     /// How far the service clock has come, in work of one slot at speed 1, and when that was.
     service: f64,
@@ -106,9 +106,9 @@
     notes: BTreeMap<(Micros, Job), ()>,
     chance: Pcg32,
     report_delay: Micros,
-    past: VecDeque<(Micros, Load)>,
+    past: VecDeque<(Micros, LoadReport)>,
     /// Work done, for the report of a run.
-    pub worked: f64,
+    pub work_done: f64,
 }
 
 impl Runner {
@@ -121,11 +121,11 @@
             places: pool.queue,
             speed: pool.speed,
             handshake: pool.handshake.0,
-            connections_most: pool.connections,
+            max_connections: pool.connections,
             connections: 0,
             cold_from: limits.cold_from,
             warm_within: limits.warm_within.0,
-            life: Life::Up,
+            state: ProcessState::Up,
             frozen: false,
             draining: false,
             launched: None,
@@ -142,16 +142,16 @@
             chance,
             report_delay: 0,
             past: VecDeque::new(),
-            worked: 0.0,
+            work_done: 0.0,
         }
     }
 
     /// Notes of progress at this gap; none for 0.
-    pub fn tells_progress(&mut self, gap: Micros) {
+    pub fn set_progress_interval(&mut self, gap: Micros) {
         self.progress = gap;
     }
 
-    pub fn reports_late(&mut self, now: Micros, delay: Micros) {
+    pub fn set_report_delay(&mut self, now: Micros, delay: Micros) {
         self.report_delay = delay;
         self.past.clear();
         self.remember(now);
@@ -176,7 +176,7 @@
 
     fn rate(&self, now: Micros) -> f64 {
         let slow = self.slow.filter(|ail| ail.operation.is_none()).map_or(1.0, |ail| ail.size);
-        if self.frozen || self.life != Life::Up { 0.0 } else { self.speed * self.warmth(now) / slow }
+        if self.frozen || self.state != ProcessState::Up { 0.0 } else { self.speed * self.warmth(now) / slow }
     }
 
     fn next_step(&self) -> Option<Micros> {
@@ -200,13 +200,13 @@
     fn run_until(&mut self, now: Micros) {
         let done = self.rate(self.at) * (now - self.at).max(0) as f64;
         self.service += done;
-        self.worked += done * self.running.len() as f64;
+        self.work_done += done * self.running.len() as f64;
         self.at = self.at.max(now);
     }
 
     /// When it has something to say or do next.
     pub fn due(&self) -> Option<Micros> {
-        if self.frozen || self.life != Life::Up {
+        if self.frozen || self.state != ProcessState::Up {
             return None;
         }
         let first = self.running.keys().next().map(|(end, _)| f64::from_bits(*end));
@@ -220,9 +220,9 @@
     }
 
     /// Ends, starts and notes up to `now`.
-    pub fn wake(&mut self, now: Micros, news: &mut Vec<(Job, News)>) {
+    pub fn wake(&mut self, now: Micros, news: &mut Vec<(Job, JobEvent)>) {
         self.advance(now);
-        if self.frozen || self.life != Life::Up {
+        if self.frozen || self.state != ProcessState::Up {
             return;
         }
         let mut ended = false;
@@ -234,7 +234,7 @@
             self.running.pop_first();
             self.ends.remove(&job);
             ended = true;
-            news.push((job, News::Done));
+            news.push((job, JobEvent::Done));
         }
         if ended {
             self.fill(now, news);
@@ -246,7 +246,7 @@
             let Some(end) = self.ends.get(&job) else { continue };
             if let Some(running) = self.running.get(&(*end, job)) {
                 let left = (f64::from_bits(*end) - self.service).max(0.0);
-                news.push((job, News::Progress((1.0 - left / running.work.max(1.0)).clamp(0.0, 1.0))));
+                news.push((job, JobEvent::Progress((1.0 - left / running.work.max(1.0)).clamp(0.0, 1.0))));
                 self.notes.insert((now + self.progress, job), ());
             }
         }
@@ -254,7 +254,7 @@
     }
 
     /// Starts what waits while slots are free.
-    fn fill(&mut self, now: Micros, news: &mut Vec<(Job, News)>) {
+    fn fill(&mut self, now: Micros, news: &mut Vec<(Job, JobEvent)>) {
         while self.running.len() < self.slots as usize {
             let Some((job, _, work)) = self.waiting.pop_front() else { break };
             let end = (self.service + work).to_bits();
@@ -263,7 +263,7 @@
             if self.progress > 0 {
                 self.notes.insert((now + self.progress, job), ());
             }
-            news.push((job, News::Started));
+            news.push((job, JobEvent::Started));
         }
     }
 
@@ -274,33 +274,33 @@
         job: Job,
         operation: usize,
         work: f64,
-        news: &mut Vec<(Job, News)>,
-    ) -> Taken {
+        news: &mut Vec<(Job, JobEvent)>,
+    ) -> OfferResult {
         self.advance(now);
         if self.draining {
-            return Taken::Full;
+            return OfferResult::Full;
         }
         if self.holds(job) {
-            return Taken::Failed;
+            return OfferResult::Failed;
         }
         if let Some(ail) = self.errors.filter(|ail| ail.strikes(operation))
             && self.chance.random_bool(ail.size)
         {
-            return Taken::Failed;
+            return OfferResult::Failed;
         }
         if let Some(ail) = self.loses.filter(|ail| ail.strikes(operation))
             && self.chance.random_bool(ail.size)
         {
-            return Taken::Yes;
+            return OfferResult::Accepted;
         }
         if self.running.len() >= self.slots as usize && self.waiting.len() >= self.places as usize {
-            return Taken::Full;
+            return OfferResult::Full;
         }
         let only = self.slow.filter(|ail| ail.operation == Some(operation)).map_or(1.0, |ail| ail.size);
         self.waiting.push_back((job, operation, work.max(1.0) * only));
         self.fill(now, news);
         self.remember(now);
-        Taken::Yes
+        OfferResult::Accepted
     }
 
     pub fn holds(&self, job: Job) -> bool {
@@ -308,7 +308,7 @@
     }
 
     /// Gives a job up, wherever it is. Whether it was known.
-    pub fn cancel(&mut self, now: Micros, job: Job, news: &mut Vec<(Job, News)>) -> bool {
+    pub fn cancel(&mut self, now: Micros, job: Job, news: &mut Vec<(Job, JobEvent)>) -> bool {
         self.advance(now);
         let before = self.waiting.len();
         self.waiting.retain(|(waits, ..)| *waits != job);
@@ -323,7 +323,7 @@
 
     /// A new connection: what it costs is taken from whatever runs. False where it holds all it can.
     pub fn connect(&mut self, now: Micros) -> bool {
-        if self.connections >= self.connections_most {
+        if self.connections >= self.max_connections {
             return false;
         }
         self.connections += 1;
@@ -347,17 +347,17 @@
     }
 
     /// Drains: what has not started is handed back, nothing new is taken.
-    pub fn drain(&mut self, now: Micros, news: &mut Vec<(Job, News)>) {
+    pub fn drain(&mut self, now: Micros, news: &mut Vec<(Job, JobEvent)>) {
         self.advance(now);
         self.draining = true;
-        news.extend(self.waiting.drain(..).map(|(job, ..)| (job, News::Returned)));
+        news.extend(self.waiting.drain(..).map(|(job, ..)| (job, JobEvent::Returned)));
         self.remember(now);
     }
 
     /// The process ends; the jobs that it held are gone.
-    pub fn stop(&mut self, now: Micros, life: Life) -> Vec<Job> {
+    pub fn stop(&mut self, now: Micros, state: ProcessState) -> Vec<Job> {
         self.advance(now);
-        self.life = life;
+        self.state = state;
         let mut jobs: Vec<Job> = self.ends.keys().copied().collect();
         jobs.extend(self.waiting.iter().map(|(job, ..)| *job));
         jobs.sort_unstable();
@@ -372,15 +372,15 @@
     /// A new process, cold.
     pub fn start(&mut self, now: Micros) {
         self.advance(now);
-        self.life = Life::Up;
+        self.state = ProcessState::Up;
         (self.frozen, self.draining) = (false, false);
         self.launched = Some(now);
         self.remember(now);
     }
 
-    pub fn load(&self) -> Load {
+    pub fn load(&self) -> LoadReport {
         let (running, waiting) = (self.running.len() as u32, self.waiting.len() as u32);
-        Load { free: self.slots.saturating_sub(running), waiting, in_flight: running + waiting }
+        LoadReport { free: self.slots.saturating_sub(running), waiting, in_flight: running + waiting }
     }
 
     /// How long the job that has run longest has been at it.
@@ -405,7 +405,7 @@
     }
 
     /// The load report that it hands out.
-    pub fn report(&self, now: Micros) -> Load {
+    pub fn report(&self, now: Micros) -> LoadReport {
         let told = self.past.iter().rev().find(|(at, _)| *at <= now - self.report_delay);
         if self.report_delay == 0 {
             self.load()
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize, Serializer};
 use topazsail::Micros;
 
-use crate::disks::{Found, Wrong};
+use crate::disks::{DiskFault, DiskState};
 
 /// A span of time, written with its unit (`250ms`, `2s`); whole microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -271,7 +271,7 @@
 /// Which runners recognise a deduplicated invocation's repeats.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Group {
+pub enum DeduplicationScope {
     #[default]
     All,
     Zone,
@@ -304,7 +304,7 @@
     #[serde(default)]
     pub effect: Effect,
     #[serde(default)]
-    pub group: Group,
+    pub group: DeduplicationScope,
     #[serde(default)]
     pub memory_span: Span,
     pub latency_objective: Span,
@@ -467,7 +467,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// The process dies and is back, cold, after `lasts`.
     Crash,
     /// Takes work and says nothing for `lasts`.
@@ -513,17 +513,17 @@
     Disk,
 }
 
-impl Kind {
+impl FaultKind {
     /// Whether it strikes dispatchers: `part` is then a share of them.
     pub fn of_dispatchers(self) -> bool {
-        matches!(self, Kind::Kill | Kind::Freeze | Kind::Disk | Kind::Link)
+        matches!(self, FaultKind::Kill | FaultKind::Freeze | FaultKind::Disk | FaultKind::Link)
     }
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Fault {
-    pub kind: Kind,
+    pub kind: FaultKind,
     pub at: Span,
     #[serde(default)]
     pub lasts: Span,
@@ -545,17 +545,17 @@
     pub away: f64,
     /// In which state killed dispatchers find their disks; `old` is `size` ms from before they were killed.
     #[serde(default)]
-    pub disk: Found,
+    pub disk: DiskState,
     #[serde(default)]
-    pub wrong: Option<Wrong>,
+    pub wrong: Option<DiskFault>,
     #[serde(default)]
-    pub link: Option<Bad>,
+    pub link: Option<LinkFaultKind>,
 }
 
 /// What becomes of datagrams between dispatchers; `size` is a share, or milliseconds where it is a time.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Bad {
+pub enum LinkFaultKind {
     /// Nothing passes, either way.
     Cut,
     /// Nothing that they send passes.
@@ -680,7 +680,9 @@
             if let Some(zone) = fault.zone.as_ref().filter(|zone| !self.zones.names.contains(zone)) {
                 return wrong(format!("there is no zone '{zone}'"));
             }
-            if matches!(fault.kind, Kind::ZoneCut | Kind::ZoneMute | Kind::ZoneLoss) && fault.zone.is_none() {
+            if matches!(fault.kind, FaultKind::ZoneCut | FaultKind::ZoneMute | FaultKind::ZoneLoss)
+                && fault.zone.is_none()
+            {
                 return wrong("zone is missing".to_owned());
             }
             if let Some(name) = fault.operation.as_ref()
@@ -688,50 +690,53 @@
             {
                 return wrong(format!("there is no operation '{name}'"));
             }
-            let lasting = !matches!(fault.kind, Kind::Reload);
+            let lasting = !matches!(fault.kind, FaultKind::Reload);
             if lasting && fault.lasts.0 < 1 {
                 return wrong("lasts is missing".to_owned());
             }
             let sized = matches!(
                 fault.kind,
-                Kind::Pauses
-                    | Kind::Slow
-                    | Kind::FastErrors
-                    | Kind::Loses
-                    | Kind::LateReports
-                    | Kind::BadClients
+                FaultKind::Pauses
+                    | FaultKind::Slow
+                    | FaultKind::FastErrors
+                    | FaultKind::Loses
+                    | FaultKind::LateReports
+                    | FaultKind::BadClients
             );
             if sized && fault.size <= 0.0 {
                 return wrong("size is missing".to_owned());
             }
-            if matches!(fault.kind, Kind::FastErrors | Kind::Loses) && fault.size > 1.0 {
+            if matches!(fault.kind, FaultKind::FastErrors | FaultKind::Loses) && fault.size > 1.0 {
                 return wrong("size is a share, 1 at most".to_owned());
             }
-            let kills = matches!(fault.kind, Kind::Kill | Kind::PowerLoss);
+            let kills = matches!(fault.kind, FaultKind::Kill | FaultKind::PowerLoss);
             if !kills && (fault.spread.0 > 0 || fault.away > 0.0) {
                 return wrong("spread and away are for what kills dispatchers".to_owned());
             }
-            if !kills && fault.disk != Found::Kept {
+            if !kills && fault.disk != DiskState::Kept {
                 return wrong("disk is for what kills dispatchers".to_owned());
             }
-            if (fault.kind == Kind::Disk || fault.disk != Found::Kept) && self.store.is_none() {
+            if (fault.kind == FaultKind::Disk || fault.disk != DiskState::Kept) && self.store.is_none() {
                 return wrong("there is no [store]".to_owned());
             }
-            if (fault.kind == Kind::Disk) != fault.wrong.is_some() {
+            if (fault.kind == FaultKind::Disk) != fault.wrong.is_some() {
                 return wrong("wrong is for the kind disk, and missing there".to_owned());
             }
-            if (fault.kind == Kind::Link) != fault.link.is_some() {
+            if (fault.kind == FaultKind::Link) != fault.link.is_some() {
                 return wrong("link is for the kind link, and missing there".to_owned());
             }
-            if fault.kind == Kind::Link && !self.store.as_ref().is_some_and(|store| store.peers) {
+            if fault.kind == FaultKind::Link && !self.store.as_ref().is_some_and(|store| store.peers) {
                 return wrong("there are no peers in [store]".to_owned());
             }
-            let share = matches!(fault.link, Some(Bad::Loss | Bad::Repeat | Bad::Reorder));
-            let sized = share || matches!(fault.link, Some(Bad::Delay | Bad::Flap));
+            let share = matches!(
+                fault.link,
+                Some(LinkFaultKind::Loss | LinkFaultKind::Repeat | LinkFaultKind::Reorder)
+            );
+            let sized = share || matches!(fault.link, Some(LinkFaultKind::Delay | LinkFaultKind::Flap));
             if sized && (fault.size <= 0.0 || share && fault.size > 1.0) {
                 return wrong("size is missing, or no share".to_owned());
             }
-            if (fault.disk == Found::Old || fault.wrong == Some(Wrong::Slow)) && fault.size <= 0.0 {
+            if (fault.disk == DiskState::Old || fault.wrong == Some(DiskFault::Slow)) && fault.size <= 0.0 {
                 return wrong("size is missing".to_owned());
             }
             if fault.at.0 > self.length.0 {
@@ -748,7 +753,7 @@
 
     /// The file that a dispatcher of this scenario is started with: the platform's form, in both clocks.
     /// Addresses are those of the stand-ins; in virtual time they are never used.
-    pub fn configuration(&self, told: &Told) -> String {
+    pub fn configuration(&self, told: &DispatcherParameters) -> String {
         let us = |span: Span| span.0;
         let operations: Vec<_> = self
             .operation
@@ -760,9 +765,9 @@
                     Effect::NonIdempotent => "at_most_once",
                 };
                 let group = match op.group {
-                    Group::All => "all",
-                    Group::Zone => "zone",
-                    Group::Cell => "cell",
+                    DeduplicationScope::All => "all",
+                    DeduplicationScope::Zone => "zone",
+                    DeduplicationScope::Cell => "cell",
                 };
                 serde_json::json!({
                     "name": op.name, "effect": effect, "group": group, "memorySpan": us(op.memory_span),
@@ -808,7 +813,7 @@
             "known": told.known, "settings": settings,
         });
         let mut whole = whole;
-        if let (Some(store), Some(kept)) = (&self.store, &told.kept) {
+        if let (Some(store), Some(kept)) = (&self.store, &told.store) {
             whole["admin_addr"] = kept.admin.as_str().into();
             whole["store"] = serde_json::json!({"folder": kept.folder, "require": store.require});
             if let Some((listen, members)) = &kept.peers {
@@ -822,7 +827,7 @@
 }
 
 /// What differs from one dispatcher's configuration to the next.
-pub struct Told {
+pub struct DispatcherParameters {
     pub number: u32,
     pub zone: String,
     pub seed: u64,
@@ -831,10 +836,10 @@
     /// The list as this dispatcher last had it, in discovery's form.
     pub known: serde_json::Value,
     /// Where it keeps what outlives it, and where operators call.
-    pub kept: Option<Kept>,
+    pub store: Option<StoreParameters>,
 }
 
-pub struct Kept {
+pub struct StoreParameters {
     pub folder: String,
     pub admin: String,
     /// Where it hears other dispatchers, and their names and addresses.
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg32;
 use topazsail_faults::{Call, ClockStep, Effect, Endpoint, Errno, Plan, Rule};
 
-use crate::load::chance;
+use crate::load::seeded_generator;
 use crate::ordeal::ms;
 use crate::scenario::Scenario;
 
@@ -184,7 +184,7 @@
 ///
 /// What was drawn is no scenario: a fault of this module.
 pub fn day(seed: u64) -> Result<Day, String> {
-    let mut drawn = chance(seed, 20);
+    let mut drawn = seeded_generator(seed, 20);
     let dispatchers = drawn.random_range(3..=6);
     let store = drawn.random_range(0..2) == 0;
     let crowd = drawn.random_range(0..4) == 0;
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -33,14 +33,14 @@
 
 use self::http::{Message, Rest, Wire, answer, request};
 use self::process::Process;
-use crate::disks::{Folder, Found, Wrong};
-use crate::judge::{Back, Final, Judge, Seen, Terms};
-use crate::load::{self, Ask, Bring, chance, returns};
-use crate::runner::{Life, Load, News, Taken};
-use crate::scenario::{Effect, Group, Kept, Scenario, Told};
-use crate::tally::{About, End, Outcome, Tally};
-use crate::virtual_clock::runners as of_runners;
-use crate::world::{Change, State, World};
+use crate::disks::{DiskFault, DiskState, DispatcherDirectory};
+use crate::judge::{FinalStatus, ForwardEnd, Judge, JudgeParameters, Observation};
+use crate::load::{self, ArrivalGenerator, ClientRequest, retry_time, seeded_generator};
+use crate::runner::{JobEvent, LoadReport, OfferResult, ProcessState};
+use crate::scenario::{DeduplicationScope, DispatcherParameters, Effect, Scenario, StoreParameters};
+use crate::tally::{Outcome, RequestResult, RunDetails, Tally};
+use crate::virtual_clock::runner_outcomes as of_runners;
+use crate::world::{Change, ListingState, World};
 
 /// What the wire's own way may take beyond what the rules allow: the platform gives as much.
 const ORDER_SLACK: Micros = 50_000;
@@ -74,8 +74,8 @@
     judge: Judge,
     tally: Tally,
     /// What discovery lists, and every change of it in order.
-    states: Vec<State>,
-    changes: Vec<(u64, usize, State)>,
+    states: Vec<ListingState>,
+    changes: Vec<(u64, usize, ListingState)>,
     generation: u64,
     discovery_busy: Micros,
     /// Who waits for a job's end.
@@ -107,7 +107,7 @@
     crashes: u64,
     /// Where operators call each dispatcher, and its disk, where it has one.
     admins: Vec<SocketAddr>,
-    folders: Vec<Folder>,
+    folders: Vec<DispatcherDirectory>,
     /// When each was last killed.
     killed: Vec<Micros>,
     /// Where each dispatcher hears others, and where each is told to reach each other one.
@@ -128,9 +128,9 @@
     }
 
     /// What came on a wire, which the lab may have been late to look at.
-    fn see(&mut self, now: Micros, seen: Seen) {
-        self.judge.behind = self.behind(now);
-        self.judge.see(now, seen);
+    fn see(&mut self, now: Micros, seen: Observation) {
+        self.judge.observation_delay = self.behind(now);
+        self.judge.observe(now, seen);
     }
 }
 
@@ -156,7 +156,7 @@
         }
     }
 
-    fn see(&self, seen: Seen) {
+    fn see(&self, seen: Observation) {
         let now = self.now();
         self.stage.borrow_mut().see(now, seen);
     }
@@ -195,7 +195,7 @@
     }
 }
 
-fn load_json(load: Load) -> serde_json::Value {
+fn load_json(load: LoadReport) -> serde_json::Value {
     json!({"x0": load.free, "backlog": load.waiting, "outstanding": load.in_flight})
 }
 
@@ -279,7 +279,7 @@
         held.push(listener);
         admins.push(address);
         let at = folder.join(format!("d{d}-store"));
-        let made = Folder::new(at, seed ^ (d as u64) << 32);
+        let made = DispatcherDirectory::new(at, seed ^ (d as u64) << 32);
         folders.push(made.map_err(|error| format!("no folder for d{d}: {error}"))?);
     }
     let (mut peers, mut relays, mut relay_sockets, mut held_peers) =
@@ -299,11 +299,11 @@
     drop(held_peers);
     // Only now: a port that is free again could be given twice.
     drop(held);
-    let terms = Terms::of(scenario, world.places(), ORDER_SLACK, ANSWER_SLACK);
+    let terms = JudgeParameters::of(scenario, world.places(), ORDER_SLACK, ANSWER_SLACK);
     let stage = Stage {
         judge: Judge::new(terms),
         tally: Tally::new(scenario),
-        states: vec![State::Up; r_all],
+        states: vec![ListingState::Up; r_all],
         changes: Vec::new(),
         generation: 1,
         discovery_busy: Micros::MIN,
@@ -318,7 +318,7 @@
         discoveries: discoveries.iter().map(|(_, address)| *address).collect(),
         idle: [(0..d_all).map(|_| Vec::new()).collect(), (0..d_all).map(|_| Vec::new()).collect()],
         marks: BTreeMap::new(),
-        network: chance(seed, 5),
+        network: seeded_generator(seed, 5),
         open: 0,
         bad_rate: 0.0,
         ticks: (0, 0, 0),
@@ -331,9 +331,9 @@
         killed: vec![0; d_all],
         peers,
         relays,
-        carried: chance(seed, 11),
+        carried: seeded_generator(seed, 11),
         hands: [0; 2],
-        spoils: chance(seed, 8),
+        spoils: seeded_generator(seed, 8),
         scenario: scenario.clone(),
         seed,
         world,
@@ -395,13 +395,13 @@
     {
         stage.notes.push(format!("operators' calls: {done} answered yes, {refused} not"));
     }
-    let about = About {
+    let about = RunDetails {
         clock: "sockets".to_owned(),
         program: program.display().to_string(),
         seed,
         runners: of_runners(scenario, &stage.world, &stage.tally.forwards),
         faults: std::mem::take(&mut stage.world.bands),
-        cold: (stage.judge.cold_sent, stage.judge.cold_most),
+        cold: (stage.judge.cold_work, stage.judge.max_cold_share),
         cold_calls: stage.judge.cold_calls,
         verdict: std::mem::take(&mut stage.judge.verdict),
         void: std::mem::take(&mut stage.void),
@@ -424,14 +424,14 @@
     let known = list(lab, d, None);
     let stage = &mut *lab.stage.borrow_mut();
     let nth = d as usize;
-    let told = Told {
+    let told = DispatcherParameters {
         number: d,
         zone: stage.scenario.zones.names[nth % stage.world.zones].clone(),
-        seed: chance(stage.seed, 1 << 41 | u64::from(d) << 8 | stage.epochs[nth]).random(),
+        seed: seeded_generator(stage.seed, 1 << 41 | u64::from(d) << 8 | stage.epochs[nth]).random(),
         listen: stage.listen[nth].to_string(),
         discovery: stage.discoveries[nth].to_string(),
         known,
-        kept: stage.folders.get(nth).map(|folder| Kept {
+        store: stage.folders.get(nth).map(|folder| StoreParameters {
             folder: folder.path().display().to_string(),
             admin: stage.admins[nth].to_string(),
             peers: stage.peers.get(nth).map(|at| {
@@ -444,7 +444,7 @@
     process.start()?;
     stage.epochs[nth] += 1;
     let now = lab.now();
-    stage.judge.see(now, Seen::Began { dispatcher: d });
+    stage.judge.observe(now, Observation::Began { dispatcher: d });
     Ok(())
 }
 
@@ -552,38 +552,38 @@
                 front(lab, d, false, notice);
             }
         }
-        Change::Begin(d) => {
+        Change::StartDispatcher(d) => {
             begin(lab, &mut processes[d as usize])?;
             front(lab, d, true, BACK_NOTICED);
         }
-        Change::Still(d, still) => {
+        Change::Suspend(d, still) => {
             let process = &processes[d as usize];
             process.signal(if still { libc::SIGSTOP } else { libc::SIGCONT });
             if process.runs() {
                 let now = lab.now();
                 let stage = &mut *lab.stage.borrow_mut();
-                stage.judge.see(now, Seen::Still { dispatcher: d, still });
+                stage.judge.observe(now, Observation::Still { dispatcher: d, still });
                 stage.still[d as usize] = still;
             }
             let notice = lab.stage.borrow().scenario.clients.front_notice.0;
             front(lab, d, !still, if still { notice } else { BACK_NOTICED });
         }
-        Change::Wrong(d, wrong, slow, on) => {
+        Change::DiskFault(d, wrong, slow, on) => {
             let stage = &mut *lab.stage.borrow_mut();
             let folder = &mut stage.folders[d as usize];
             match wrong {
-                Wrong::Full => folder.ailment.full = on,
-                Wrong::ReadOnly => folder.ailment.read_only = on,
-                Wrong::SyncFails => folder.ailment.sync_fails = on,
-                Wrong::Slow => folder.ailment.slow = if on { slow } else { 0 },
+                DiskFault::Full => folder.condition.full = on,
+                DiskFault::ReadOnly => folder.condition.read_only = on,
+                DiskFault::SyncFails => folder.condition.sync_fails = on,
+                DiskFault::Slow => folder.condition.slow = if on { slow } else { 0 },
             }
-            folder.tell().map_err(|error| format!("disk of d{d}: {error}"))?;
+            folder.write_control_file().map_err(|error| format!("disk of d{d}: {error}"))?;
         }
-        Change::Save(d) => {
+        Change::SaveDisk(d) => {
             let stage = &mut *lab.stage.borrow_mut();
             stage.folders[d as usize].save().map_err(|error| format!("disk of d{d}: {error}"))?;
         }
-        Change::Find(d, found, power, all) => {
+        Change::PrepareDisk(d, found, power, all) => {
             find(lab, d, (found, power, all), processes[d as usize].runs())?;
         }
         Change::Reload => {
@@ -600,11 +600,11 @@
     }
     for (r, inv) in follows.lost {
         let owner = lab.stage.borrow_mut().owners.remove(&(r, inv));
-        if let Some(d) = owner.filter(|_| lab.stage.borrow().world.runners[r].life == Life::Down) {
+        if let Some(d) = owner.filter(|_| lab.stage.borrow().world.runners[r].state == ProcessState::Down) {
             let lab = lab.clone();
             spawn_local(async move {
                 sleep(Duration::from_micros(AGENT as u64)).await;
-                call_back(&lab, r, d, inv, "lost", None, Some(Back::MayHaveRun)).await;
+                call_back(&lab, r, d, inv, "lost", None, Some(ForwardEnd::MayHaveRun)).await;
             });
         }
     }
@@ -624,7 +624,7 @@
 }
 
 /// The disk as the next life of a dispatcher finds it.
-fn find(lab: &Lab, d: u32, (found, power, all): (Found, bool, bool), runs: bool) -> Result<(), String> {
+fn find(lab: &Lab, d: u32, (found, power, all): (DiskState, bool, bool), runs: bool) -> Result<(), String> {
     let unix = lab.zero.get().1 + lab.now();
     let now = lab.now();
     let stage = &mut *lab.stage.borrow_mut();
@@ -633,20 +633,20 @@
         return Ok(());
     }
     let (nth, count) = (d as usize, stage.folders.len());
-    let ailment = &mut stage.folders[nth].ailment;
-    ailment.seed = ailment.seed.wrapping_add(1);
+    let condition = &mut stage.folders[nth].condition;
+    condition.seed = condition.seed.wrapping_add(1);
     if power {
         // Power was away for a moment, and since then the machine has been starting.
-        (ailment.life, ailment.up_since) = (ailment.life + 1, unix - (now - stage.killed[nth]));
+        (condition.life, condition.up_since) = (condition.life + 1, unix - (now - stage.killed[nth]));
     }
     let other = Some(&stage.folders[(nth + 1) % count]).filter(|_| count > 1);
-    let done = stage.folders[nth].find(found, other, &mut stage.spoils);
-    let told = done.and_then(|()| stage.folders[nth].tell());
+    let done = stage.folders[nth].prepare(found, other, &mut stage.spoils);
+    let told = done.and_then(|()| stage.folders[nth].write_control_file());
     // Where others still know, it can be told by them.
     let store = stage.scenario.store.as_ref();
     let excused = store.is_some_and(|store| store.excused && (all || !store.peers));
-    if found != Found::Kept && excused {
-        stage.judge.see(now, Seen::Forgets { dispatcher: d });
+    if found != DiskState::Kept && excused {
+        stage.judge.observe(now, Observation::Forgets { dispatcher: d });
     }
     told.map_err(|error| format!("disk of d{d}: {error}"))
 }
@@ -668,16 +668,16 @@
 
 // Discovery.
 
-fn list_change(lab: &Lab, r: usize, state: State) {
+fn list_change(lab: &Lab, r: usize, state: ListingState) {
     let now = lab.now();
     let stage = &mut *lab.stage.borrow_mut();
     let runner = &stage.world.runners[r];
     // What has been overtaken by a new start is passed over.
-    if state != State::Up && runner.life == Life::Up && !runner.draining {
+    if state != ListingState::Up && runner.state == ProcessState::Up && !runner.draining {
         return;
     }
-    let (wanted, launched) = (state == State::Up, runner.launched);
-    stage.judge.see(now, Seen::Listed { runner: r as u32, wanted, launched });
+    let (wanted, launched) = (state == ListingState::Up, runner.launched);
+    stage.judge.observe(now, Observation::Listed { runner: r as u32, wanted, launched });
     stage.states[r] = state;
     stage.generation += 1;
     stage.changes.push((stage.generation, r, state));
@@ -688,16 +688,21 @@
 fn list(lab: &Lab, d: u32, since: Option<u64>) -> serde_json::Value {
     let stage = lab.stage.borrow();
     let addresses = &stage.addresses[d as usize];
-    let entry = |(r, state): (usize, State)| {
+    let entry = |(r, state): (usize, ListingState)| {
         stage.world.entry(&stage.scenario, r, state, lab.zero.get().1, &addresses[r].to_string())
     };
     let instances: Vec<serde_json::Value> = match since {
-        None => {
-            stage.states.iter().copied().enumerate().filter(|(_, s)| *s != State::Gone).map(entry).collect()
-        }
+        None => stage
+            .states
+            .iter()
+            .copied()
+            .enumerate()
+            .filter(|(_, s)| *s != ListingState::Gone)
+            .map(entry)
+            .collect(),
         Some(since) => {
             // The latest word on each.
-            let changed: BTreeMap<usize, State> = stage
+            let changed: BTreeMap<usize, ListingState> = stage
                 .changes
                 .iter()
                 .filter(|(at, ..)| *at > since)
@@ -716,15 +721,15 @@
     let stage = &mut *lab.stage.borrow_mut();
     let mut named = vec![false; stage.states.len()];
     for instance in listed["instances"].as_array().into_iter().flatten() {
-        let runner = crate::policy::number(instance["instanceId"].as_str().unwrap_or("r"));
+        let runner = crate::policy::runner_number(instance["instanceId"].as_str().unwrap_or("r"));
         let wanted = instance["lifecycle"] == "up";
         if let Some(named) = named.get_mut(runner as usize) {
             *named = true;
         }
-        stage.judge.see(now, Seen::Told { dispatcher: d, runner, wanted });
+        stage.judge.observe(now, Observation::Told { dispatcher: d, runner, wanted });
     }
     for runner in (0..named.len()).filter(|r| whole && !named[*r]) {
-        stage.judge.see(now, Seen::Told { dispatcher: d, runner: runner as u32, wanted: false });
+        stage.judge.observe(now, Observation::Told { dispatcher: d, runner: runner as u32, wanted: false });
     }
 }
 
@@ -807,7 +812,7 @@
     let address = lab.stage.borrow().addresses[d as usize][r];
     let mut changed = lab.changed.subscribe();
     loop {
-        let down = lab.stage.borrow().world.runners[r].life == Life::Down;
+        let down = lab.stage.borrow().world.runners[r].state == ProcessState::Down;
         if down {
             listener = None;
         } else if listener.is_none() {
@@ -844,7 +849,7 @@
         let stage = &mut *lab.stage.borrow_mut();
         let runner = &mut stage.world.runners[r];
         // Accepted in the moment of its death: nobody reads there, and the kernel resets it.
-        if runner.life == Life::Down || !runner.connect(now) {
+        if runner.state == ProcessState::Down || !runner.connect(now) {
             return wire.reset();
         }
         stage.tally.traffic.connections += 1;
@@ -863,9 +868,9 @@
     if let Some(inv) = asked {
         // A forward without its 202: the process took it along, or the dispatcher has given it up.
         let how = if died {
-            Seen::Ended { inv, runner: r as u32, how: Back::MayHaveRun }
+            Observation::Ended { inv, runner: r as u32, how: ForwardEnd::MayHaveRun }
         } else {
-            Seen::Withdrawn { inv, runner: r as u32 }
+            Observation::Withdrawn { inv, runner: r as u32 }
         };
         lab.see(how);
         if !died {
@@ -910,7 +915,7 @@
             sent(lab, d, r, inv);
             let told = message.header("x-deadline-ms").and_then(|text| text.parse::<Micros>().ok());
             if let Some(told) = told {
-                lab.stage.borrow_mut().see(lab.now(), Seen::TimeTold { inv, told: told * 1000 });
+                lab.stage.borrow_mut().see(lab.now(), Observation::TimeTold { inv, told: told * 1000 });
             }
         }
         // A dispatcher that closes its connection meanwhile has given the forward up.
@@ -918,7 +923,7 @@
             lab.pass(near, far).await;
             lab.wait_while(|stage| {
                 let runner = &stage.world.runners[r];
-                runner.frozen || runner.life == Life::Silent
+                runner.frozen || runner.state == ProcessState::Silent
             })
             .await;
         };
@@ -936,7 +941,7 @@
                 let inv = target.strip_prefix("/jobs/").and_then(|id| u64::from_str_radix(id, 16).ok());
                 match inv {
                     Some(inv) => {
-                        lab.see(Seen::Withdrawn { inv, runner: r as u32 });
+                        lab.see(Observation::Withdrawn { inv, runner: r as u32 });
                         let known = drop_job(lab, r, inv);
                         (answer(if known { 200 } else { 404 }, "", ""), None)
                     }
@@ -953,7 +958,7 @@
         };
         lab.pass(far, near).await;
         if let (Some(inv), Some(how)) = (*asked, said.1) {
-            lab.see(Seen::Ended { inv, runner: r as u32, how });
+            lab.see(Observation::Ended { inv, runner: r as u32, how });
         }
         wire.say(&said.0).await?;
         *asked = None;
@@ -972,13 +977,13 @@
     let cold = (runner.warmth(now) < 1.0).then(|| runner.capacity(now));
     let work = stage.judge.work(inv);
     let far = runner.zone != d as usize % stage.world.zones;
-    stage.see(now, Seen::Forwarded { inv, dispatcher: d, runner: r as u32, work, cold });
+    stage.see(now, Observation::Forwarded { inv, dispatcher: d, runner: r as u32, work, cold });
     stage.tally.traffic.forwards += 1;
     stage.tally.traffic.crossings += u64::from(far);
     stage.tally.forwards[r] += 1;
 }
 
-fn take(lab: &Lab, d: u32, r: usize, inv: u64, message: &Message) -> (Vec<u8>, Option<Back>) {
+fn take(lab: &Lab, d: u32, r: usize, inv: u64, message: &Message) -> (Vec<u8>, Option<ForwardEnd>) {
     let now = lab.now();
     // The work stands in the body, as a job's would.
     let body: serde_json::Value = serde_json::from_slice(&message.body).unwrap_or_default();
@@ -992,9 +997,9 @@
         let taken = runner.offer(now, inv, operation, work, &mut news);
         let load = load_json(runner.report(now));
         match taken {
-            Taken::Yes => drop(stage.owners.insert((r, inv), d)),
-            Taken::Full => stage.tally.traffic.turned_away += 1,
-            Taken::Failed => {}
+            OfferResult::Accepted => drop(stage.owners.insert((r, inv), d)),
+            OfferResult::Full => stage.tally.traffic.turned_away += 1,
+            OfferResult::Failed => {}
         }
         (taken, load)
     };
@@ -1003,11 +1008,13 @@
     }
     lab.stirred[r].notify_one();
     match taken {
-        Taken::Yes => (answer(202, "", ""), None),
-        Taken::Full => {
-            (answer(503, &format!("X-Not-Run: 1\r\nX-Load: {load}\r\n"), ""), Some(Back::NeverRan))
+        OfferResult::Accepted => (answer(202, "", ""), None),
+        OfferResult::Full => {
+            (answer(503, &format!("X-Not-Run: 1\r\nX-Load: {load}\r\n"), ""), Some(ForwardEnd::NeverRan))
+        }
+        OfferResult::Failed => {
+            (answer(500, &format!("X-Load: {load}\r\n"), ""), Some(ForwardEnd::MayHaveRun))
         }
-        Taken::Failed => (answer(500, &format!("X-Load: {load}\r\n"), ""), Some(Back::MayHaveRun)),
     }
 }
 
@@ -1039,23 +1046,23 @@
 }
 
 /// News of a job: to the judge where its effect begins, to its dispatcher where it has to know.
-fn tell(lab: &Lab, r: usize, inv: u64, news: News) {
-    if news == News::Started {
+fn tell(lab: &Lab, r: usize, inv: u64, news: JobEvent) {
+    if news == JobEvent::Started {
         return ran(lab, r, inv);
     }
     let now = lab.now();
     let stage = &mut *lab.stage.borrow_mut();
     let load = load_json(stage.world.runners[r].report(now));
     let owner = match news {
-        News::Progress(_) => stage.owners.get(&(r, inv)).copied(),
+        JobEvent::Progress(_) => stage.owners.get(&(r, inv)).copied(),
         _ => stage.owners.remove(&(r, inv)),
     };
     let Some(d) = owner else { return };
     let (state, share, back) = match news {
-        News::Progress(share) => ("running", Some(share), None),
-        News::Done => ("done", None, Some(Back::Succeeded)),
-        News::Returned => ("returned", None, Some(Back::NeverRan)),
-        News::Started | News::Failed => ("failed", None, Some(Back::MayHaveRun)),
+        JobEvent::Progress(share) => ("running", Some(share), None),
+        JobEvent::Done => ("done", None, Some(ForwardEnd::Succeeded)),
+        JobEvent::Returned => ("returned", None, Some(ForwardEnd::NeverRan)),
+        JobEvent::Started | JobEvent::Failed => ("failed", None, Some(ForwardEnd::MayHaveRun)),
     };
     let more = match share {
         Some(share) => json!({"share": share}),
@@ -1074,9 +1081,9 @@
     let runner = &stage.world.runners[r];
     let new = op.effect != Effect::Deduplicated || {
         let group = match op.group {
-            Group::All => -1,
-            Group::Zone => runner.zone as i64,
-            Group::Cell => runner.cell,
+            DeduplicationScope::All => -1,
+            DeduplicationScope::Zone => runner.zone as i64,
+            DeduplicationScope::Cell => runner.cell,
         };
         let mark = (inv >> TRY_BITS, group);
         let new = stage.marks.get(&mark).is_none_or(|at| now > at + op.memory_span.0);
@@ -1086,7 +1093,7 @@
         new
     };
     if new {
-        stage.judge.see(now, Seen::Ran { inv, runner: r as u32 });
+        stage.judge.observe(now, Observation::Ran { inv, runner: r as u32 });
     }
 }
 
@@ -1098,7 +1105,7 @@
     inv: u64,
     state: &str,
     more: Option<serde_json::Value>,
-    back: Option<Back>,
+    back: Option<ForwardEnd>,
 ) {
     let mut body = json!({"id": format!("{inv:x}"), "from": format!("r{r}"), "state": state});
     if let (Some(body), Some(serde_json::Value::Object(more))) = (body.as_object_mut(), more) {
@@ -1118,7 +1125,7 @@
         };
         if let Ok(mut wire) = wire {
             if let Some(how) = back.filter(|_| !std::mem::replace(&mut seen, true)) {
-                lab.see(Seen::Ended { inv, runner: r as u32, how });
+                lab.see(Observation::Ended { inv, runner: r as u32, how });
             }
             let said = async {
                 wire.say(&message).await?;
@@ -1145,9 +1152,9 @@
 
 /// Brings each ask when it is due, whatever became of those before.
 async fn bring(lab: Lab) {
-    let asks: Vec<Ask> = {
+    let asks: Vec<ClientRequest> = {
         let stage = lab.stage.borrow();
-        Bring::new(&stage.scenario, stage.world.capacity(), stage.seed).collect()
+        ArrivalGenerator::new(&stage.scenario, stage.world.capacity(), stage.seed).collect()
     };
     lab.stage.borrow_mut().open = asks.len() as u64;
     for (number, ask) in asks.into_iter().enumerate() {
@@ -1158,13 +1165,13 @@
             let now = lab.now();
             let stage = &mut *lab.stage.borrow_mut();
             // From when it was due: a client that was held up has waited as well.
-            stage.tally.end(&ask, end, now - ask.at);
+            stage.tally.record_end(&ask, end, now - ask.at);
             stage.open -= 1;
         });
     }
 }
 
-async fn client(lab: &Lab, number: u64, ask: &Ask) -> End {
+async fn client(lab: &Lab, number: u64, ask: &ClientRequest) -> RequestResult {
     let gives_up = ask.at + lab.stage.borrow().scenario.operation[ask.operation].client_timeout.0;
     let mut tries = 0;
     loop {
@@ -1172,14 +1179,14 @@
         let inv = number << TRY_BITS | tries;
         let seen = try_once(lab, inv, ask, gives_up).await;
         let end = match seen {
-            load::Seen::Succeeded => return End::Succeeded,
-            load::Seen::Throttled(_) => End::Throttled,
-            load::Seen::Errored => End::Errored,
-            load::Seen::Untaken | load::Seen::Nothing => End::Nothing,
+            load::AttemptResult::Succeeded => return RequestResult::Succeeded,
+            load::AttemptResult::Throttled(_) => RequestResult::Throttled,
+            load::AttemptResult::Errored => RequestResult::Errored,
+            load::AttemptResult::Untaken | load::AttemptResult::Nothing => RequestResult::Nothing,
         };
         let (now, again) = (lab.now(), {
             let stage = lab.stage.borrow();
-            returns(&stage.scenario, stage.seed, (number, ask), tries as u32, seen, lab.now())
+            retry_time(&stage.scenario, stage.seed, (number, ask), tries as u32, seen, lab.now())
         });
         match again.filter(|_| now < gives_up) {
             Some(at) => lab.until(at).await,
@@ -1196,23 +1203,25 @@
     while let Some(mut wire) = stage.idle[whose][d].pop() {
         match (wire.rest(), wire.last) {
             (Rest::Quiet, _) => return Some(wire),
-            (Rest::Speaks, Some(inv)) => stage.judge.see(now, Seen::Answered { inv, how: Final::Errored }),
+            (Rest::Speaks, Some(inv)) => {
+                stage.judge.observe(now, Observation::Answered { inv, how: FinalStatus::Errored })
+            }
             _ => {}
         }
     }
     None
 }
 
-async fn try_once(lab: &Lab, inv: u64, ask: &Ask, gives_up: Micros) -> load::Seen {
+async fn try_once(lab: &Lab, inv: u64, ask: &ClientRequest, gives_up: Micros) -> load::AttemptResult {
     let (d, epoch, address, path, extra) = {
         let stage = &mut *lab.stage.borrow_mut();
         stage.tally.traffic.tries += 1;
         let all = stage.listen.len();
-        let start = chance(stage.seed ^ 0x5eed, inv).random_range(0..all);
+        let start = seeded_generator(stage.seed ^ 0x5eed, inv).random_range(0..all);
         let sends = |d: &usize| stage.front[*d] || stage.ending[*d] && !stage.idle[0][*d].is_empty();
         let order = || (0..all).map(|step| (start + step) % all).filter(sends);
         let near = order().find(|d| d % stage.world.zones == ask.zone);
-        let Some(d) = near.or_else(|| order().next()) else { return load::Seen::Untaken };
+        let Some(d) = near.or_else(|| order().next()) else { return load::AttemptResult::Untaken };
         let op = &stage.scenario.operation[ask.operation];
         let mut extra = String::new();
         if op.effect == Effect::Deduplicated {
@@ -1231,8 +1240,8 @@
     for fresh in [false, true] {
         if fresh && taken && !lab.stage.borrow().front[d] {
             // It ended the connection between two requests, and nobody new is sent there: this one goes elsewhere.
-            lab.see(Seen::Crossed { inv });
-            return load::Seen::Untaken;
+            lab.see(Observation::Crossed { inv });
+            return load::AttemptResult::Untaken;
         }
         let kept = if fresh { None } else { kept(lab, 0, d) };
         let was_kept = kept.is_some();
@@ -1244,20 +1253,24 @@
             if taken {
                 break;
             }
-            return load::Seen::Untaken;
+            return load::AttemptResult::Untaken;
         };
         let left = (gives_up - lab.now()).max(0);
         let head = format!("X-Request-Id: {inv:x}\r\nX-Deadline-Ms: {}\r\n{extra}", left / 1000);
         // Bytes for a process that is gone are taken by nobody.
         if lab.stage.borrow().epochs[d].is_multiple_of(2) {
-            return load::Seen::Untaken;
+            return load::AttemptResult::Untaken;
         }
         if !std::mem::replace(&mut taken, true) {
             let now = lab.now();
-            let seen =
-                Seen::Taken { inv, dispatcher: d as u32, operation: ask.operation, expires_at: gives_up };
+            let seen = Observation::Taken {
+                inv,
+                dispatcher: d as u32,
+                operation: ask.operation,
+                expires_at: gives_up,
+            };
             let stage = &mut *lab.stage.borrow_mut();
-            stage.judge.see(now, seen);
+            stage.judge.observe(now, seen);
             stage.judge.note_work(inv, ask.work);
         }
         let said = async {
@@ -1270,10 +1283,10 @@
         match timeout(leaves.unwrap_or(patience), said).await {
             Err(_) if leaves.is_some() => {
                 drop(wire);
-                lab.see(Seen::Left { inv });
-                return load::Seen::Nothing;
+                lab.see(Observation::Left { inv });
+                return load::AttemptResult::Nothing;
             }
-            Err(_) => return load::Seen::Nothing,
+            Err(_) => return load::AttemptResult::Nothing,
             Ok(Ok(Some(message))) => return answered(lab, inv, d, wire, &message),
             // Ended between two requests: it had not been read.
             Ok(Ok(None) | Err(_)) if was_kept && lab.stage.borrow().epochs[d] == epoch => {}
@@ -1282,26 +1295,26 @@
     }
     // Its dispatcher was killed, or it broke the rule.
     if lab.stage.borrow().epochs[d] != epoch {
-        lab.see(Seen::Lost { inv });
+        lab.see(Observation::Lost { inv });
     } else {
         // The kill may be known to us only a moment later than to the socket.
         sleep(Duration::from_millis(60)).await;
         if lab.stage.borrow().epochs[d] != epoch {
-            lab.see(Seen::Lost { inv });
+            lab.see(Observation::Lost { inv });
         }
     }
-    load::Seen::Nothing
+    load::AttemptResult::Nothing
 }
 
 /// When its client closes the connection before the answer, if it does.
 fn leaves_after(lab: &Lab, inv: u64, left: Micros) -> Option<Duration> {
     let stage = lab.stage.borrow();
-    let mut drawn = chance(stage.seed ^ 0x1ea7, inv);
+    let mut drawn = seeded_generator(stage.seed ^ 0x1ea7, inv);
     let leaves = drawn.random::<f64>() < stage.scenario.clients.leaves;
     leaves.then(|| Duration::from_micros((left as f64 * drawn.random_range(0.01..0.4)) as u64))
 }
 
-fn answered(lab: &Lab, inv: u64, d: usize, mut wire: Wire, message: &Message) -> load::Seen {
+fn answered(lab: &Lab, inv: u64, d: usize, mut wire: Wire, message: &Message) -> load::AttemptResult {
     let come_back = message.header("retry-after").and_then(|text| text.parse::<f64>().ok());
     let come_back = come_back.map(|seconds| (seconds.clamp(0.0, 3600.0) * 1e6) as Micros);
     if message.keeps() {
@@ -1309,20 +1322,20 @@
         lab.stage.borrow_mut().idle[0][d].push(wire);
     }
     let (how, seen) = match message.status {
-        200 => (Final::Succeeded, load::Seen::Succeeded),
-        429 | 503 => (Final::Throttled, load::Seen::Throttled(come_back)),
-        _ => (Final::Errored, load::Seen::Errored),
+        200 => (FinalStatus::Succeeded, load::AttemptResult::Succeeded),
+        429 | 503 => (FinalStatus::Throttled, load::AttemptResult::Throttled(come_back)),
+        _ => (FinalStatus::Errored, load::AttemptResult::Errored),
     };
-    if how == Final::Succeeded && message.body != format!("result of {inv:x}").as_bytes() {
-        lab.see(Seen::Forged { inv });
+    if how == FinalStatus::Succeeded && message.body != format!("result of {inv:x}").as_bytes() {
+        lab.see(Observation::Forged { inv });
     }
-    lab.see(Seen::Answered { inv, how });
+    lab.see(Observation::Answered { inv, how });
     seen
 }
 
 /// Clients that send what is no request, as long as the scenario has them.
 async fn bad_clients(lab: Lab) {
-    let mut drawn = chance(lab.stage.borrow().seed, 7);
+    let mut drawn = seeded_generator(lab.stage.borrow().seed, 7);
     loop {
         let (rate, all) = {
             let stage = lab.stage.borrow();
--- a/lab/src/sockets/operators.rs
+++ b/lab/src/sockets/operators.rs
@@ -13,8 +13,8 @@
 use tokio::time::{sleep, timeout};
 
 use super::Lab;
-use crate::judge::Seen;
-use crate::load::chance;
+use crate::judge::Observation;
+use crate::load::seeded_generator;
 
 const ANSWER_WITHIN: Duration = Duration::from_secs(4);
 const ANSWER_MOST: u64 = 64 << 10;
@@ -51,7 +51,7 @@
             stage.epochs.len(),
         )
     };
-    let mut drawn = chance(seed, 9);
+    let mut drawn = seeded_generator(seed, 9);
     let mut out: BTreeSet<u32> = BTreeSet::new();
     if every <= 0 {
         return;
@@ -78,13 +78,17 @@
         for d in 0..all as u32 {
             let (lab, line) = (lab.clone(), line.clone());
             calls.spawn_local(async move {
-                let unknown = Seen::Hand { dispatcher: d, runner, out: None };
+                let unknown = Observation::Hand { dispatcher: d, runner, out: None };
                 if !takes {
                     lab.see(unknown.clone());
                 }
                 let yes = call(&lab, d, &line).await.is_some_and(|answer| answer.starts_with("YES"));
                 lab.stage.borrow_mut().hands[usize::from(yes)] += 1;
-                lab.see(if yes { Seen::Hand { dispatcher: d, runner, out: Some(takes) } } else { unknown });
+                lab.see(if yes {
+                    Observation::Hand { dispatcher: d, runner, out: Some(takes) }
+                } else {
+                    unknown
+                });
             });
         }
         while calls.join_next().await.is_some() {}
@@ -107,11 +111,11 @@
         let answer = if up { call(&lab, d, "status").await } else { None };
         if let Some(answer) = &answer {
             if let Some(boot) = word(answer, "boot").and_then(|boot| boot.parse().ok()) {
-                lab.see(Seen::Boot { dispatcher: d, boot });
+                lab.see(Observation::Boot { dispatcher: d, boot });
             }
             let stage = word(answer, "stage").unwrap_or_default();
             if matches!(stage, "finding" | "numbered") {
-                lab.see(Seen::Unlisted { dispatcher: d, asked });
+                lab.see(Observation::Unlisted { dispatcher: d, asked });
             }
             if stage == "serving" {
                 served = epoch;
--- a/lab/src/sockets/relay.rs
+++ b/lab/src/sockets/relay.rs
@@ -50,7 +50,7 @@
                 continue;
             }
             let path = (from as u32, to as u32);
-            (stage.world.carry(&stage.scenario, path, now, &mut stage.carried), stage.peers[to])
+            (stage.world.datagram_delays(&stage.scenario, path, now, &mut stage.carried), stage.peers[to])
         };
         for delay in after {
             if delay < NO_DELAY {
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Serialize};
 use topazsail::Micros;
 
-use crate::load::Ask;
+use crate::load::ClientRequest;
 use crate::ramp::ramp;
 use crate::scenario::Scenario;
 
 /// How an ask ended for its client, over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestResult {
     Succeeded,
     Throttled,
     Errored,
@@ -34,14 +34,14 @@
 }
 
 impl Counts {
-    fn note(&mut self, end: End, in_time: bool) {
+    fn note(&mut self, end: RequestResult, in_time: bool) {
         self.asked += 1;
         match end {
-            End::Succeeded if in_time => self.in_time += 1,
-            End::Succeeded => self.late += 1,
-            End::Throttled => self.throttled += 1,
-            End::Errored => self.errored += 1,
-            End::Nothing => self.nothing += 1,
+            RequestResult::Succeeded if in_time => self.in_time += 1,
+            RequestResult::Succeeded => self.late += 1,
+            RequestResult::Throttled => self.throttled += 1,
+            RequestResult::Errored => self.errored += 1,
+            RequestResult::Nothing => self.nothing += 1,
         }
     }
 }
@@ -65,7 +65,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct OfOperation {
+pub struct OperationOutcome {
     pub name: String,
     pub counts: Counts,
     pub goodput: f64,
@@ -90,7 +90,7 @@
 }
 
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct OfRunner {
+pub struct RunnerOutcome {
     pub name: String,
     pub zone: String,
     pub kind: String,
@@ -101,7 +101,7 @@
 
 /// A fault as it was played, for the report's bands.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Band {
+pub struct FaultBand {
     pub what: String,
     pub from: f64,
     pub to: f64,
@@ -131,7 +131,7 @@
 /// What all dispatchers together sent to cold runners, of what the rule on them allows: in the mean of all of it, and
 /// at most in any span that the rule looks at.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct OfCold {
+pub struct ColdUsage {
     pub used: f64,
     pub most: f64,
     /// Spans that ended with a call, those of them with more calls than chance explains, and the most of that in any.
@@ -156,13 +156,13 @@
     pub goodput: f64,
     pub counts: Counts,
     pub latency: Latency,
-    pub operations: Vec<OfOperation>,
+    pub operations: Vec<OperationOutcome>,
     pub traffic: Traffic,
     pub windows: Vec<Window>,
-    pub runners: Vec<OfRunner>,
+    pub runners: Vec<RunnerOutcome>,
     #[serde(default)]
-    pub cold: Option<OfCold>,
-    pub faults: Vec<Band>,
+    pub cold: Option<ColdUsage>,
+    pub faults: Vec<FaultBand>,
     pub verdict: serde_json::Value,
     /// Rules broken, by name: empty where all were kept.
     pub broken: BTreeMap<String, u64>,
@@ -230,12 +230,12 @@
     }
 
     /// An ask has ended, so long after it was due.
-    pub fn end(&mut self, ask: &Ask, end: End, after: Micros) {
+    pub fn record_end(&mut self, ask: &ClientRequest, end: RequestResult, after: Micros) {
         let (objective, timeout, value, late) = self.objectives[ask.operation];
         let in_time = after <= objective;
         let got = match end {
-            End::Succeeded if in_time => value,
-            End::Succeeded if after <= timeout => value * late,
+            RequestResult::Succeeded if in_time => value,
+            RequestResult::Succeeded if after <= timeout => value * late,
             _ => 0.0,
         };
         let hundredths = (after.max(0) / 10) as u64;
@@ -243,7 +243,7 @@
         of.0.note(end, in_time);
         of.1 += value;
         of.2 += got;
-        if end == End::Succeeded {
+        if end == RequestResult::Succeeded {
             let _ = of.3.record(hundredths);
             let _ = self.all.record(hundredths);
         }
@@ -252,13 +252,13 @@
         stretch.counts.note(end, in_time);
         stretch.asked += value;
         stretch.got += got;
-        if end == End::Succeeded {
+        if end == RequestResult::Succeeded {
             let _ = stretch.latency.record(hundredths);
         }
     }
 
     /// A call has reached discovery.
-    pub fn called(&mut self, at: Micros) {
+    pub fn record_discovery_call(&mut self, at: Micros) {
         self.traffic.calls += 1;
         self.calls.push_back(at);
         while self.calls.front().is_some_and(|first| *first <= at - WINDOW) {
@@ -267,7 +267,7 @@
         self.traffic.calls_most = self.traffic.calls_most.max(self.calls.len() as u64);
     }
 
-    pub fn outcome(self, scenario: &Scenario, about: About) -> Outcome {
+    pub fn outcome(self, scenario: &Scenario, about: RunDetails) -> Outcome {
         let ratio = |got: f64, asked: f64| if asked > 0.0 { round(got / asked) } else { 1.0 };
         let (mut counts, mut asked, mut got) = (Counts::default(), 0.0, 0.0);
         let mut operations = Vec::new();
@@ -280,7 +280,7 @@
             counts.nothing += of.nothing;
             asked += value;
             got += had;
-            operations.push(OfOperation {
+            operations.push(OperationOutcome {
                 name: op.name.clone(),
                 counts: of.clone(),
                 goodput: ratio(*had, *value),
@@ -315,7 +315,7 @@
             traffic: self.traffic,
             windows: self.stretches.into_iter().enumerate().map(window).collect(),
             runners: about.runners,
-            cold: (budget > 0.0).then(|| OfCold {
+            cold: (budget > 0.0).then(|| ColdUsage {
                 used: round(about.cold.0 / budget),
                 most: round(about.cold.1),
                 spans: about.cold_calls.spans,
@@ -333,12 +333,12 @@
 }
 
 /// What a clock tells of its run besides the tally.
-pub struct About {
+pub struct RunDetails {
     pub clock: String,
     pub program: String,
     pub seed: u64,
-    pub runners: Vec<OfRunner>,
-    pub faults: Vec<Band>,
+    pub runners: Vec<RunnerOutcome>,
+    pub faults: Vec<FaultBand>,
     pub verdict: crate::judge::Verdict,
     /// Work that was sent to cold runners, and the largest share of a budget that was used.
     pub cold: (f64, f64),
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -17,15 +17,15 @@
     RosterEntry, Settings,
 };
 
-use crate::judge::{Back, Final, Judge, Seen, Terms};
-use crate::load::{self, Ask, Bring, chance, returns};
-use crate::policy::{Decide, Policy, decider, number};
-use crate::runner::{Life, Load, News, Taken};
-use crate::scenario::{Scenario, Told};
+use crate::judge::{FinalStatus, ForwardEnd, Judge, JudgeParameters, Observation};
+use crate::load::{self, ArrivalGenerator, ClientRequest, retry_time, seeded_generator};
+use crate::policy::{DecisionMaker, Policy, new_decider, runner_number};
+use crate::runner::{JobEvent, LoadReport, OfferResult, ProcessState};
+use crate::scenario::{DispatcherParameters, Scenario};
 use crate::start::Start;
 use crate::talk::{Datagram, Talk};
-use crate::tally::{About, End, OfRunner, Outcome, Tally, round};
-use crate::world::{Change, State, World};
+use crate::tally::{Outcome, RequestResult, RunDetails, RunnerOutcome, Tally, round};
+use crate::world::{Change, ListingState, World};
 
 /// An answer on its way when the client's time ends is as good as none; as the dispatcher on sockets has it.
 const WAY_BACK: Micros = 20_000;
@@ -54,7 +54,7 @@
     /// An invocation has reached its dispatcher.
     Reach(u64, u32),
     /// A try's end has reached its client.
-    Back(u64, load::Seen),
+    Back(u64, load::AttemptResult),
     Retry(u64),
     GiveUp(u64),
     /// A dispatcher's due time for an invocation.
@@ -64,11 +64,11 @@
     Submit(Incarnation, u64, u32, u32),
     /// The connection of a forward is free again.
     Free(Incarnation, u32),
-    Heard(Incarnation, u64, u32, ForwardResult, Option<Load>),
+    Heard(Incarnation, u64, u32, ForwardResult, Option<LoadReport>),
     Progress(Incarnation, u64, u32),
     Cancel(Incarnation, u64, u32, u32),
     Probe(Incarnation, u32, u64),
-    Probed(Incarnation, u32, u64, Option<Load>),
+    Probed(Incarnation, u32, u64, Option<LoadReport>),
     RunnerDue(u32, u32),
     Tick(Incarnation),
     /// A dispatcher's round of words to the others.
@@ -76,8 +76,8 @@
     /// To whom, from whom.
     Datagram(u32, u32, Rc<[u8]>),
     Change(usize),
-    Listed(u32, State),
-    Tell(Incarnation, u32, State),
+    Listed(u32, ListingState),
+    Tell(Incarnation, u32, ListingState),
     Call(Incarnation),
     TellAll(Incarnation),
     Refused(Incarnation),
@@ -123,7 +123,7 @@
 }
 
 struct Dispatcher {
-    decide: Box<dyn Decide>,
+    decide: Box<dyn DecisionMaker>,
     alive: bool,
     epoch: u32,
     starts: u64,
@@ -144,16 +144,16 @@
 }
 
 struct Asked {
-    ask: Ask,
+    ask: ClientRequest,
     tries: u32,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// Samples how many runners hold how many jobs, at this gap, after the first fifth of the run.
-    pub sample: Micros,
+    pub sample_interval: Micros,
     /// Takes the wall clock's time round each call of the module: a figure for people, beside the outcome.
-    pub time: bool,
+    pub measure_time: bool,
 }
 
 /// How often a runner was seen with at least so many jobs, as a share, from 0.
@@ -165,7 +165,7 @@
     /// Calls of the decision module, and the wall clock's time in them where it was asked for: for lists, and for
     /// all else.
     pub decisions: u64,
-    pub spent: [Duration; 2],
+    pub decision_time: [Duration; 2],
 }
 
 struct Clock<'a> {
@@ -186,15 +186,15 @@
     ids: Vec<Id>,
     asks: BTreeMap<u64, Asked>,
     brought: u64,
-    bring: Bring,
-    next: Option<Ask>,
+    bring: ArrivalGenerator,
+    next: Option<ClientRequest>,
     /// Who waits for a job's end: its dispatcher's life, and the forward's number.
     owners: FxHashMap<(u32, u64), (Incarnation, u32)>,
     inbox: Vec<Vec<Ev>>,
     due: Vec<(Option<Micros>, u32)>,
     /// What waits for a cut link, with the zones at both ends.
     held: Vec<(usize, usize, Ev)>,
-    states: Vec<State>,
+    states: Vec<ListingState>,
     busy_until: Micros,
     network: Pcg32,
     links: Pcg32,
@@ -203,11 +203,11 @@
     tally: Tally,
     /// Deduplicated work by its mark and group: when its effect first came.
     marks: FxHashMap<(u64, i64), Micros>,
-    told: Vec<(u64, News)>,
+    told: Vec<(u64, JobEvent)>,
     sampled: (u64, Vec<u64>),
     options: Options,
     decisions: u64,
-    spent: [Duration; 2],
+    decision_time: [Duration; 2],
 }
 
 /// Plays a scenario with a policy from the first arrival to the last answer.
@@ -224,14 +224,14 @@
         let mut settings = Vec::new();
         // The settings go the way that they go on sockets, so that both clocks tell the same.
         for number in 0..scenario.dispatchers {
-            let told = Told {
+            let told = DispatcherParameters {
                 number,
                 zone: zones[number as usize % zones.len()].clone(),
                 seed,
                 listen: "127.0.0.1:1".to_owned(),
                 discovery: "127.0.0.1:1".to_owned(),
                 known: serde_json::Value::Null,
-                kept: None,
+                store: None,
             };
             let decoded = topazsail_node::config::decode(&scenario.configuration(&told))?;
             let mut own_settings = decoded.decoded.settings;
@@ -240,7 +240,7 @@
         }
         let runners = world.runners.len();
         let places = world.places();
-        let bring = Bring::new(scenario, world.capacity(), seed);
+        let bring = ArrivalGenerator::new(scenario, world.capacity(), seed);
         Ok(Clock {
             scenario,
             seed,
@@ -260,19 +260,19 @@
             inbox: (0..runners).map(|_| Vec::new()).collect(),
             due: vec![(None, 0); runners],
             held: Vec::new(),
-            states: vec![State::Up; runners],
+            states: vec![ListingState::Up; runners],
             busy_until: 0,
-            network: chance(seed, 5),
-            links: chance(seed, 7),
-            clients: chance(seed, 6),
-            judge: Judge::new(Terms::of(scenario, places, 0, 0)),
+            network: seeded_generator(seed, 5),
+            links: seeded_generator(seed, 7),
+            clients: seeded_generator(seed, 6),
+            judge: Judge::new(JudgeParameters::of(scenario, places, 0, 0)),
             tally: Tally::new(scenario),
             marks: FxHashMap::default(),
             told: Vec::new(),
             sampled: (0, Vec::new()),
             options,
             decisions: 0,
-            spent: [Duration::ZERO; 2],
+            decision_time: [Duration::ZERO; 2],
             settings,
             world,
         })
@@ -324,7 +324,7 @@
         for at in 0..self.world.schedule.len() {
             self.push(self.world.schedule[at].0, Ev::Change(at));
         }
-        if self.options.sample > 0 {
+        if self.options.sample_interval > 0 {
             self.push(self.scenario.length.0 / 5, Ev::Sample);
         }
         self.next = self.bring.next();
@@ -371,7 +371,7 @@
             Ev::Reach(inv, d) => self.reach(inv, d),
             Ev::Back(inv, seen) => self.back(inv, seen),
             Ev::Retry(ask) => self.try_it(ask),
-            Ev::GiveUp(ask) => self.end(ask, End::Nothing),
+            Ev::GiveUp(ask) => self.end(ask, RequestResult::Nothing),
             Ev::Overdue(life, inv) => self.overdue(life, inv),
             Ev::Dialled(life, inv, number, r) => self.dialled(life, inv, number, r),
             Ev::Submit(..) | Ev::Cancel(..) | Ev::Probe(..) => self.at_runner(ev),
@@ -425,8 +425,8 @@
             Ev::Listed(r, state) => self.list(r, state),
             Ev::Tell(life, r, state) => {
                 if self.living(life).is_some_and(|dispatcher| dispatcher.subscribed) {
-                    let wanted = state == State::Up;
-                    self.judge.see(self.now, Seen::Told { dispatcher: life.d, runner: r, wanted });
+                    let wanted = state == ListingState::Up;
+                    self.judge.observe(self.now, Observation::Told { dispatcher: life.d, runner: r, wanted });
                     let (now, launched) = (self.now, self.world.runners[r as usize].launched);
                     if let Some(start) = &mut self.dispatchers[life.d as usize].start {
                         start.list(std::iter::once((r, wanted, launched)), false, now);
@@ -503,7 +503,7 @@
             self.tally.traffic.datagram_bytes += bytes.len() as u64;
             let bytes: Rc<[u8]> = bytes.into();
             let path = (d, to);
-            for after in self.world.carry(self.scenario, path, self.now, &mut self.links) {
+            for after in self.world.datagram_delays(self.scenario, path, self.now, &mut self.links) {
                 self.push(self.now + after, Ev::Datagram(to, d, bytes.clone()));
             }
         }
@@ -539,42 +539,42 @@
         self.tally.traffic.tries += 1;
         let all = self.dispatchers.len();
         // Drawn from this try alone: one policy's answers are not to shift where others' clients go.
-        let start = chance(self.seed ^ 0x5eed, inv).random_range(0..all);
+        let start = seeded_generator(self.seed ^ 0x5eed, inv).random_range(0..all);
         let order = || (0..all).map(|step| (start + step) % all).filter(|d| self.front[*d]);
         let near = order().find(|d| self.dispatchers[*d].zone == zone);
         let chosen = near.or_else(|| order().next());
         let delay = self.client_delay();
         match chosen {
             Some(d) => self.push(self.now + delay, Ev::Reach(inv, d as u32)),
-            None => self.push(self.now + delay, Ev::Back(inv, load::Seen::Untaken)),
+            None => self.push(self.now + delay, Ev::Back(inv, load::AttemptResult::Untaken)),
         }
     }
 
-    fn back(&mut self, inv: u64, seen: load::Seen) {
+    fn back(&mut self, inv: u64, seen: load::AttemptResult) {
         let number = inv >> TRY_BITS;
         let Some(asked) = self.asks.get(&number) else { return };
         if u64::from(asked.tries) != inv & ((1 << TRY_BITS) - 1) {
             return;
         }
-        if seen == load::Seen::Succeeded {
-            return self.end(number, End::Succeeded);
+        if seen == load::AttemptResult::Succeeded {
+            return self.end(number, RequestResult::Succeeded);
         }
-        match returns(self.scenario, self.seed, (number, &asked.ask), asked.tries, seen, self.now) {
+        match retry_time(self.scenario, self.seed, (number, &asked.ask), asked.tries, seen, self.now) {
             Some(at) => self.push(at, Ev::Retry(number)),
             None => self.end(
                 number,
                 match seen {
-                    load::Seen::Throttled(_) => End::Throttled,
-                    load::Seen::Errored => End::Errored,
-                    _ => End::Nothing,
+                    load::AttemptResult::Throttled(_) => RequestResult::Throttled,
+                    load::AttemptResult::Errored => RequestResult::Errored,
+                    _ => RequestResult::Nothing,
                 },
             ),
         }
     }
 
-    fn end(&mut self, number: u64, end: End) {
+    fn end(&mut self, number: u64, end: RequestResult) {
         if let Some(asked) = self.asks.remove(&number) {
-            self.tally.end(&asked.ask, end, self.now - asked.ask.at);
+            self.tally.record_end(&asked.ask, end, self.now - asked.ask.at);
         }
     }
 
@@ -584,24 +584,25 @@
         let Some(asked) = self.asks.get(&(inv >> TRY_BITS)) else { return };
         if !self.dispatchers[d as usize].alive {
             let delay = self.client_delay();
-            return self.push(self.now + delay, Ev::Back(inv, load::Seen::Untaken));
+            return self.push(self.now + delay, Ev::Back(inv, load::AttemptResult::Untaken));
         }
         let operation = asked.ask.operation;
         let gives_up = asked.ask.at + self.scenario.operation[operation].client_timeout.0;
         let key = asked.ask.key.map(|key| Id::from(format!("k{key}")));
         let id = Id::from(format!("{inv:x}"));
         let expires_in = gives_up - WAY_BACK - self.now;
-        self.judge.see(self.now, Seen::Taken { inv, dispatcher: d, operation, expires_at: gives_up });
+        self.judge
+            .observe(self.now, Observation::Taken { inv, dispatcher: d, operation, expires_at: gives_up });
         let open = Open { id: id.clone(), at: self.now, answered: false, sent: Vec::new() };
         self.dispatchers[d as usize].invs.insert(inv, open);
         if expires_in <= 0 {
-            return self.answer(d, inv, Final::Throttled, None);
+            return self.answer(d, inv, FinalStatus::Throttled, None);
         }
         let now = self.now;
         let taken =
             self.dispatchers[d as usize].start.as_mut().map_or(Ok(()), |start| start.takes(operation, now));
         if let Err(come_back) = taken {
-            return self.answer(d, inv, Final::Throttled, come_back);
+            return self.answer(d, inv, FinalStatus::Throttled, come_back);
         }
         let life = self.life(d);
         self.push(self.now + expires_in, Ev::Overdue(life, inv));
@@ -633,7 +634,7 @@
         // What the module has not ended by now gets its error all the same.
         if let Some(open) = self.dispatchers[life.d as usize].invs.get(&inv).filter(|open| !open.answered) {
             let id = open.id.clone();
-            self.answer(life.d, inv, Final::Errored, None);
+            self.answer(life.d, inv, FinalStatus::Errored, None);
             self.tell(life.d, Event::ClientLeft { invocation: id });
         }
     }
@@ -645,12 +646,12 @@
         (forward, r): (u32, u32),
         ending: ForwardResult,
         elapsed: Micros,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     ) {
         let mut finished = self.dispatchers[d as usize].invs.get(&inv).is_none_or(|open| open.answered);
         if ending == ForwardResult::Succeeded && !finished {
             finished = true;
-            self.answer(d, inv, Final::Succeeded, None);
+            self.answer(d, inv, FinalStatus::Succeeded, None);
         }
         let tgt = self.ids[r as usize].clone();
         let ended = Ended {
@@ -674,15 +675,15 @@
         }
     }
 
-    fn answer(&mut self, d: u32, inv: u64, how: Final, come_back: Option<Micros>) {
+    fn answer(&mut self, d: u32, inv: u64, how: FinalStatus, come_back: Option<Micros>) {
         let dispatcher = &mut self.dispatchers[d as usize];
         let Some(open) = dispatcher.invs.get_mut(&inv).filter(|open| !open.answered) else { return };
         open.answered = true;
-        self.judge.see(self.now, Seen::Answered { inv, how });
+        self.judge.observe(self.now, Observation::Answered { inv, how });
         let seen = match how {
-            Final::Succeeded => load::Seen::Succeeded,
-            Final::Throttled => load::Seen::Throttled(come_back),
-            Final::Errored => load::Seen::Errored,
+            FinalStatus::Succeeded => load::AttemptResult::Succeeded,
+            FinalStatus::Throttled => load::AttemptResult::Throttled(come_back),
+            FinalStatus::Errored => load::AttemptResult::Errored,
         };
         let delay = self.client_delay();
         self.push(self.now + delay, Ev::Back(inv, seen));
@@ -693,10 +694,10 @@
     fn tell(&mut self, d: u32, event: Event) {
         self.decisions += 1;
         let dispatcher = &mut self.dispatchers[d as usize];
-        let began = self.options.time.then(Instant::now);
+        let began = self.options.measure_time.then(Instant::now);
         let about = usize::from(!matches!(event, Event::Roster(_)));
         let actions = dispatcher.decide.decide(self.now, event, &self.world.runners);
-        self.spent[about] += began.map_or(Duration::ZERO, |began| began.elapsed());
+        self.decision_time[about] += began.map_or(Duration::ZERO, |began| began.elapsed());
         let life = self.life(d);
         for action in actions {
             match action {
@@ -721,10 +722,10 @@
                     if let Some(start) = &mut self.dispatchers[d as usize].start {
                         start.short(now);
                     }
-                    self.answer(d, key(&inv), Final::Throttled, come_back);
+                    self.answer(d, key(&inv), FinalStatus::Throttled, come_back);
                 }
-                Action::Error { invocation: inv } => self.answer(d, key(&inv), Final::Errored, None),
-                Action::Probe { runner: tgt } => self.probe(life, number(&tgt)),
+                Action::Error { invocation: inv } => self.answer(d, key(&inv), FinalStatus::Errored, None),
+                Action::Probe { runner: tgt } => self.probe(life, runner_number(&tgt)),
                 Action::Subscribe => {
                     let zone = self.dispatchers[d as usize].zone;
                     self.send(zone, 0, Ev::Call(life));
@@ -740,7 +741,7 @@
     }
 
     fn forward(&mut self, life: Incarnation, id: &Id, tgt: &Id) {
-        let (inv, r, now) = (key(id), number(tgt), self.now);
+        let (inv, r, now) = (key(id), runner_number(tgt), self.now);
         let dispatcher = &mut self.dispatchers[life.d as usize];
         let Some(open) = dispatcher.invs.get_mut(&inv) else { return };
         let number = open.sent.len() as u32;
@@ -768,9 +769,9 @@
         let runner = &self.world.runners[r as usize];
         // One way alone brings no connection up.
         let linked = self.world.linked(from, to) && self.world.linked(to, from);
-        if runner.life == Life::Silent || !linked {
+        if runner.state == ProcessState::Silent || !linked {
             self.push(self.now + self.scenario.limits.dial_timeout.0, never);
-        } else if runner.life == Life::Down || runner.connections >= runner.connections_most {
+        } else if runner.state == ProcessState::Down || runner.connections >= runner.max_connections {
             self.push(self.now + there_and_back, never);
         } else {
             self.push(self.now + there_and_back + runner.handshake(), up);
@@ -780,7 +781,7 @@
     fn connected(&mut self, life: Incarnation, r: u32) -> bool {
         let now = self.now;
         let runner = &mut self.world.runners[r as usize];
-        let up = runner.life == Life::Up && runner.connect(now);
+        let up = runner.state == ProcessState::Up && runner.connect(now);
         if up {
             self.tally.traffic.connections += 1;
             self.reschedule(r);
@@ -814,7 +815,8 @@
         let runner = &self.world.runners[r as usize];
         let cold = (runner.warmth(self.now) < 1.0).then(|| runner.capacity(self.now));
         let work = self.asks.get(&(inv >> TRY_BITS)).map_or(0.0, |asked| asked.ask.work);
-        self.judge.see(self.now, Seen::Forwarded { inv, dispatcher: life.d, runner: r, work, cold });
+        self.judge
+            .observe(self.now, Observation::Forwarded { inv, dispatcher: life.d, runner: r, work, cold });
         self.tally.traffic.forwards += 1;
         self.tally.traffic.crossings += u64::from(from != to);
         self.tally.forwards[r as usize] += 1;
@@ -833,7 +835,7 @@
         self.push(late, Ev::Probed(life, r, nth, None));
         if kept {
             self.send(from, to, Ev::Probe(life, r, nth));
-        } else if self.world.runners[r as usize].life == Life::Up && self.connected(life, r) {
+        } else if self.world.runners[r as usize].state == ProcessState::Up && self.connected(life, r) {
             let delay = 2 * self.delay(from, to) + self.world.runners[r as usize].handshake();
             if let Some((idle, _)) = self.dispatchers[life.d as usize].conns.get_mut(&r) {
                 *idle += 1;
@@ -841,13 +843,20 @@
             if self.world.linked(from, to) {
                 self.push(self.now + delay, Ev::Probe(life, r, nth));
             }
-        } else if self.world.runners[r as usize].life != Life::Silent {
+        } else if self.world.runners[r as usize].state != ProcessState::Silent {
             let delay = 2 * self.delay(from, to);
             self.push(self.now + delay, Ev::Probed(life, r, nth, None));
         }
     }
 
-    fn heard(&mut self, life: Incarnation, inv: u64, number: u32, ending: ForwardResult, load: Option<Load>) {
+    fn heard(
+        &mut self,
+        life: Incarnation,
+        inv: u64,
+        number: u32,
+        ending: ForwardResult,
+        load: Option<LoadReport>,
+    ) {
         let now = self.now;
         let operation = self.asks.get(&(inv >> TRY_BITS)).map(|asked| asked.ask.operation);
         let Some(dispatcher) = self.living(life) else { return };
@@ -862,21 +871,21 @@
         let (r, elapsed, was_out) = (sent.runner, now - sent.at, sent.out);
         sent.out = false;
         let how = match ending {
-            ForwardResult::Succeeded => Some(Back::Succeeded),
-            ForwardResult::Overloaded => Some(Back::NeverRan),
+            ForwardResult::Succeeded => Some(ForwardEnd::Succeeded),
+            ForwardResult::Overloaded => Some(ForwardEnd::NeverRan),
             // No byte left: the judge never saw a forward.
             ForwardResult::Unreachable | ForwardResult::Void => None,
             ForwardResult::Withdrawn => None,
-            _ => Some(Back::MayHaveRun),
+            _ => Some(ForwardEnd::MayHaveRun),
         };
         if let Some(how) = how {
-            self.judge.see(now, Seen::Ended { inv, runner: r, how });
+            self.judge.observe(now, Observation::Ended { inv, runner: r, how });
         }
         if was_out || ending == ForwardResult::Void {
             self.outcome(life.d, (inv, id), (number, r), ending, elapsed, load);
         } else if ending == ForwardResult::Succeeded {
             // Given up, but it came to its end all the same: this is the result that is owed.
-            self.answer(life.d, inv, Final::Succeeded, None);
+            self.answer(life.d, inv, FinalStatus::Succeeded, None);
             self.tell(life.d, Event::ClientLeft { invocation: id });
         }
     }
@@ -890,16 +899,16 @@
             _ => return,
         };
         let runner = &self.world.runners[r as usize];
-        match runner.life {
-            Life::Silent => return,
-            Life::Down => return self.at_nobody(ev),
-            Life::Up if runner.frozen => return self.inbox[r as usize].push(ev),
-            Life::Up => {}
+        match runner.state {
+            ProcessState::Silent => return,
+            ProcessState::Down => return self.at_nobody(ev),
+            ProcessState::Up if runner.frozen => return self.inbox[r as usize].push(ev),
+            ProcessState::Up => {}
         }
         match ev {
             Ev::Submit(life, inv, number, r) => self.submit(life, inv, number, r),
             Ev::Cancel(life, inv, number, r) => {
-                self.judge.see(self.now, Seen::Withdrawn { inv, runner: r });
+                self.judge.observe(self.now, Observation::Withdrawn { inv, runner: r });
                 // A later forward of the same invocation to the same runner is not this one.
                 if self.owners.get(&(r, inv)).is_some_and(|(_, sent)| *sent == number) {
                     self.owners.remove(&(r, inv));
@@ -929,7 +938,7 @@
                 self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Broken, None));
             }
             Ev::Cancel(life, inv, number, r) => {
-                self.judge.see(self.now, Seen::Withdrawn { inv, runner: r });
+                self.judge.observe(self.now, Observation::Withdrawn { inv, runner: r });
                 let (to, from) = self.ends(life.d, r);
                 self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Withdrawn, None));
             }
@@ -954,14 +963,14 @@
         let load = runner.report(self.now);
         self.send(from, to, Ev::Free(life, r));
         match taken {
-            Taken::Yes => {
+            OfferResult::Accepted => {
                 self.owners.insert((r, inv), (life, number));
             }
-            Taken::Full => {
+            OfferResult::Full => {
                 self.tally.traffic.turned_away += 1;
                 self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Overloaded, Some(load)));
             }
-            Taken::Failed => {
+            OfferResult::Failed => {
                 self.send(from, to, Ev::Heard(life, inv, number, ForwardResult::Errored, Some(load)));
             }
         }
@@ -989,9 +998,9 @@
         }
     }
 
-    fn news(&mut self, r: u32, told: &mut Vec<(u64, News)>) {
+    fn news(&mut self, r: u32, told: &mut Vec<(u64, JobEvent)>) {
         for (inv, news) in told.drain(..) {
-            if news == News::Started {
+            if news == JobEvent::Started {
                 self.ran(r, inv);
                 continue;
             }
@@ -999,13 +1008,13 @@
             let (to, from) = self.ends(life.d, r);
             let load = Some(self.world.runners[r as usize].report(self.now));
             let ending = match news {
-                News::Progress(_) => {
+                JobEvent::Progress(_) => {
                     self.send(from, to, Ev::Progress(life, inv, number));
                     continue;
                 }
-                News::Done => ForwardResult::Succeeded,
-                News::Returned => ForwardResult::Overloaded,
-                News::Started | News::Failed => ForwardResult::Errored,
+                JobEvent::Done => ForwardResult::Succeeded,
+                JobEvent::Returned => ForwardResult::Overloaded,
+                JobEvent::Started | JobEvent::Failed => ForwardResult::Errored,
             };
             self.owners.remove(&(r, inv));
             self.send(from, to, Ev::Heard(life, inv, number, ending, load));
@@ -1014,7 +1023,7 @@
 
     /// A job begins; whether its effect is new in its group is for the judge to hear.
     fn ran(&mut self, r: u32, inv: u64) {
-        use crate::scenario::{Effect, Group};
+        use crate::scenario::{DeduplicationScope, Effect};
         let ask = inv >> TRY_BITS;
         let Some(asked) = self.asks.get(&ask) else { return };
         let op = &self.scenario.operation[asked.ask.operation];
@@ -1023,9 +1032,9 @@
             Effect::Idempotent | Effect::NonIdempotent => true,
             Effect::Deduplicated => {
                 let group = match op.group {
-                    Group::All => -1,
-                    Group::Zone => runner.zone as i64,
-                    Group::Cell => runner.cell,
+                    DeduplicationScope::All => -1,
+                    DeduplicationScope::Zone => runner.zone as i64,
+                    DeduplicationScope::Cell => runner.cell,
                 };
                 let now = self.now;
                 let known = self.marks.get(&(ask, group)).copied();
@@ -1038,7 +1047,7 @@
             }
         };
         if new {
-            self.judge.see(self.now, Seen::Ran { inv, runner: r });
+            self.judge.observe(self.now, Observation::Ran { inv, runner: r });
         }
     }
 
@@ -1048,12 +1057,12 @@
         let change = self.world.schedule[nth].1.clone();
         match change {
             Change::Kill(d) => self.kill(d),
-            Change::Begin(d) => {
+            Change::StartDispatcher(d) => {
                 self.begin(d);
                 let life = self.life(d);
                 self.push(self.now + HEARS_WITHIN, Ev::Front(life, true));
             }
-            Change::Still(d, still) => self.still(d, still),
+            Change::Suspend(d, still) => self.still(d, still),
             Change::Term(d) => self.push(self.now + TERM_NOTICED, Ev::Front(self.life(d), false)),
             _ => {}
         }
@@ -1061,7 +1070,7 @@
         for (r, inv) in &follows.lost {
             let Some((life, number)) = self.owners.remove(&(*r as u32, *inv)) else { continue };
             // Where the machine itself is gone, nobody is left to tell.
-            if self.world.runners[*r].life == Life::Down {
+            if self.world.runners[*r].state == ProcessState::Down {
                 self.push(self.now + AGENT, Ev::Heard(life, *inv, number, ForwardResult::Broken, None));
             }
         }
@@ -1113,7 +1122,7 @@
         for ev in dispatcher.still.take().unwrap_or_default() {
             if let Ev::Reach(inv, _) = ev {
                 let delay = self.client_delay();
-                self.push(self.now + delay, Ev::Back(inv, load::Seen::Nothing));
+                self.push(self.now + delay, Ev::Back(inv, load::AttemptResult::Nothing));
             }
         }
         let dispatcher = &mut self.dispatchers[d as usize];
@@ -1126,9 +1135,9 @@
         }
         dispatcher.probes.clear();
         for inv in owed {
-            self.judge.see(self.now, Seen::Lost { inv });
+            self.judge.observe(self.now, Observation::Lost { inv });
             let delay = self.client_delay();
-            self.push(self.now + delay, Ev::Back(inv, load::Seen::Nothing));
+            self.push(self.now + delay, Ev::Back(inv, load::AttemptResult::Nothing));
         }
         let notice = self.scenario.clients.front_notice.0;
         let life = self.life(d);
@@ -1141,7 +1150,7 @@
         if !dispatcher.alive || dispatcher.still.is_some() == still {
             return;
         }
-        self.judge.see(self.now, Seen::Still { dispatcher: d, still });
+        self.judge.observe(self.now, Observation::Still { dispatcher: d, still });
         if still {
             dispatcher.still = Some(Vec::new());
         } else {
@@ -1164,9 +1173,9 @@
         let (now, killed_at) = (self.now, self.dispatchers.get(nth).and_then(|old| old.killed_at));
         let settings = &self.settings[nth];
         let peers = settings.slow_start_is_shared;
-        let seed = chance(self.seed, 1 << 41 | u64::from(d) << 8 | starts).random();
+        let seed = seeded_generator(self.seed, 1 << 41 | u64::from(d) << 8 | starts).random();
         let dispatcher = Dispatcher {
-            decide: decider(self.policy, self.settings[nth].clone(), seed),
+            decide: new_decider(self.policy, self.settings[nth].clone(), seed),
             alive: true,
             epoch,
             starts,
@@ -1177,11 +1186,11 @@
             subscribed: false,
             still: None,
             start: self.scenario.store.is_some().then(|| {
-                let drawn = chance(self.seed, 1 << 42 | u64::from(d) << 8 | starts);
+                let drawn = seeded_generator(self.seed, 1 << 42 | u64::from(d) << 8 | starts);
                 Start::new(settings, peers, self.world.runners.len(), drawn, now)
             }),
             talk: peers.then(|| {
-                let drawn = chance(self.seed, 1 << 43 | u64::from(d) << 8 | starts);
+                let drawn = seeded_generator(self.seed, 1 << 43 | u64::from(d) << 8 | starts);
                 let rests_until = killed_at.map_or(now, |at| at + settings.overload_window);
                 Talk::new((d, self.scenario.dispatchers), starts + 1, settings, drawn, rests_until, now)
             }),
@@ -1192,19 +1201,19 @@
         } else {
             self.dispatchers.push(dispatcher);
         }
-        self.judge.see(self.now, Seen::Began { dispatcher: d });
+        self.judge.observe(self.now, Observation::Began { dispatcher: d });
         if peers {
             let life = self.life(d);
             self.push(now, Ev::Round(life));
         }
-        let listed = (0..self.states.len()).filter(|r| self.states[*r] == State::Up);
-        let entries = listed.map(|r| self.entry(r as u32, State::Up)).collect();
+        let listed = (0..self.states.len()).filter(|r| self.states[*r] == ListingState::Up);
+        let entries = listed.map(|r| self.entry(r as u32, ListingState::Up)).collect();
         self.tell(d, Event::Roster(Roster { listing: Listing::Remembered, entries }));
     }
 
     // Discovery.
 
-    fn entry(&self, r: u32, state: State) -> RosterEntry {
+    fn entry(&self, r: u32, state: ListingState) -> RosterEntry {
         let runner = &self.world.runners[r as usize];
         RosterEntry {
             runner: self.ids[r as usize].clone(),
@@ -1213,23 +1222,23 @@
             machine_type: Id::from(self.scenario.pool[runner.kind].kind.as_str()),
             zone: Id::from(self.scenario.zones.names[runner.zone].as_str()),
             readiness: match state {
-                State::Up => Readiness::Up,
-                State::Draining => Readiness::Draining,
-                State::Gone => Readiness::Removed,
+                ListingState::Up => Readiness::Up,
+                ListingState::Draining => Readiness::Draining,
+                ListingState::Gone => Readiness::Removed,
             },
-            launched: runner.launched.filter(|_| state == State::Up),
+            launched: runner.launched.filter(|_| state == ListingState::Up),
         }
     }
 
-    fn list(&mut self, r: u32, state: State) {
+    fn list(&mut self, r: u32, state: ListingState) {
         let runner = &self.world.runners[r as usize];
         // What has been overtaken by a new start is passed over.
-        if state != State::Up && runner.life == Life::Up && !runner.draining {
+        if state != ListingState::Up && runner.state == ProcessState::Up && !runner.draining {
             return;
         }
         self.states[r as usize] = state;
-        let (wanted, launched) = (state == State::Up, runner.launched);
-        self.judge.see(self.now, Seen::Listed { runner: r, wanted, launched });
+        let (wanted, launched) = (state == ListingState::Up, runner.launched);
+        self.judge.observe(self.now, Observation::Listed { runner: r, wanted, launched });
         if !self.world.discovery_up {
             return;
         }
@@ -1249,7 +1258,7 @@
 
     /// A call has reached discovery, which works through calls in turn.
     fn call(&mut self, life: Incarnation) {
-        self.tally.called(self.now);
+        self.tally.record_discovery_call(self.now);
         let discovery = &self.scenario.discovery;
         let begins = self.busy_until.max(self.now);
         let zone = self.dispatchers[life.d as usize].zone;
@@ -1271,11 +1280,11 @@
         let mut entries = Vec::with_capacity(self.states.len());
         for r in 0..self.states.len() as u32 {
             let state = self.states[r as usize];
-            let wanted = state == State::Up;
+            let wanted = state == ListingState::Up;
             if !wanted || self.world.runners[r as usize].launched.is_some() {
-                self.judge.see(self.now, Seen::Told { dispatcher: life.d, runner: r, wanted });
+                self.judge.observe(self.now, Observation::Told { dispatcher: life.d, runner: r, wanted });
             }
-            if state != State::Gone {
+            if state != ListingState::Gone {
                 entries.push(self.entry(r, state));
             }
         }
@@ -1284,7 +1293,7 @@
         if let Some(start) = &mut self.dispatchers[life.d as usize].start {
             let told = states.iter().zip(runners).enumerate();
             start.list(
-                told.map(|(r, (state, runner))| (r as u32, *state == State::Up, runner.launched)),
+                told.map(|(r, (state, runner))| (r as u32, *state == ListingState::Up, runner.launched)),
                 true,
                 now,
             );
@@ -1303,7 +1312,7 @@
             self.sampled.1[jobs] += 1;
         }
         if self.now < self.scenario.length.0 {
-            self.push(self.now + self.options.sample, Ev::Sample);
+            self.push(self.now + self.options.sample_interval, Ev::Sample);
         }
     }
 
@@ -1317,18 +1326,18 @@
             tails.push(above as f64 / seen);
         }
         tails.reverse();
-        let runners = runners(self.scenario, &self.world, &self.tally.forwards);
+        let runners = runner_outcomes(self.scenario, &self.world, &self.tally.forwards);
         let program = match self.policy {
             Policy::Topazsail => "topazsail (module, in process)".to_owned(),
             other => format!("baseline {other:?}"),
         };
-        let about = About {
+        let about = RunDetails {
             clock: "virtual".to_owned(),
             program,
             seed: self.seed,
             runners,
             faults: std::mem::take(&mut self.world.bands),
-            cold: (self.judge.cold_sent, self.judge.cold_most),
+            cold: (self.judge.cold_work, self.judge.max_cold_share),
             cold_calls: self.judge.cold_calls,
             verdict: self.judge.verdict,
             void: Vec::new(),
@@ -1339,19 +1348,19 @@
             outcome: self.tally.outcome(self.scenario, about),
             tails,
             decisions: self.decisions,
-            spent: self.spent,
+            decision_time: self.decision_time,
         }
     }
 }
 
 /// What each runner did, for the report.
-pub fn runners(scenario: &Scenario, world: &World, forwards: &[u64]) -> Vec<OfRunner> {
-    let of = |(r, runner): (usize, &crate::runner::Runner)| OfRunner {
+pub fn runner_outcomes(scenario: &Scenario, world: &World, forwards: &[u64]) -> Vec<RunnerOutcome> {
+    let of = |(r, runner): (usize, &crate::runner::Runner)| RunnerOutcome {
         name: format!("r{r}"),
         zone: scenario.zones.names[runner.zone].clone(),
         kind: scenario.pool[runner.kind].kind.clone(),
         forwards: forwards[r],
-        used: round(runner.worked / (scenario.length.0 as f64 * f64::from(runner.slots) * runner.speed)),
+        used: round(runner.work_done / (scenario.length.0 as f64 * f64::from(runner.slots) * runner.speed)),
     };
     world.runners.iter().enumerate().map(of).collect()
 }
@@ -1360,7 +1369,7 @@
     u64::from_str_radix(inv, 16).unwrap_or(u64::MAX)
 }
 
-fn report(load: Option<Load>) -> Vec<f64> {
+fn report(load: Option<LoadReport>) -> Vec<f64> {
     load.map_or(Vec::new(), |load| {
         vec![f64::from(load.free), f64::from(load.waiting), f64::from(load.in_flight)]
     })
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -11,11 +11,11 @@
 use rand_pcg::Pcg32;
 use topazsail::Micros;
 
-use crate::disks::{Found, Wrong};
-use crate::load::chance;
-use crate::runner::{Ail, Job, Life, News, Runner};
-use crate::scenario::{Bad, Fault, Kind, Scenario};
-use crate::tally::Band;
+use crate::disks::{DiskFault, DiskState};
+use crate::load::seeded_generator;
+use crate::runner::{Impairment, Job, JobEvent, ProcessState, Runner};
+use crate::scenario::{Fault, FaultKind, LinkFaultKind, Scenario};
+use crate::tally::FaultBand;
 
 /// Runners of a zone that share what they remember.
 const CELL: usize = 4;
@@ -30,12 +30,12 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    Stop(usize, Life),
+    Stop(usize, ProcessState),
     Start(usize),
     Freeze(usize, bool),
-    Slow(usize, Option<Strike>),
-    Errors(usize, Option<Strike>),
-    Loses(usize, Option<Strike>),
+    Slow(usize, Option<FaultParameters>),
+    Errors(usize, Option<FaultParameters>),
+    Loses(usize, Option<FaultParameters>),
     Drain(usize),
     /// The process has ended after a drain, as was planned.
     Retire(usize),
@@ -49,16 +49,16 @@
     Discovery(bool),
     Term(u32),
     Kill(u32),
-    Begin(u32),
+    StartDispatcher(u32),
     /// A dispatcher's process stands still, or goes on.
-    Still(u32, bool),
+    Suspend(u32, bool),
     /// A dispatcher's disk has something wrong with it, or no more; a sync takes so long where it is slow.
-    Wrong(u32, Wrong, Micros, bool),
+    DiskFault(u32, DiskFault, Micros, bool),
     /// A copy of a dispatcher's disk is laid by.
-    Save(u32),
+    SaveDisk(u32),
     /// In which state a dispatcher that is about to begin finds its disk, whether its machine has begun anew, and
     /// whether all others find theirs so as well.
-    Find(u32, Found, bool, bool),
+    PrepareDisk(u32, DiskState, bool, bool),
     /// A fault of the links between dispatchers begins, or is over.
     Link(usize, bool),
     Reload,
@@ -66,20 +66,20 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Strike {
+pub struct FaultParameters {
     pub operation: Option<usize>,
     pub size: f64,
 }
 
-impl Strike {
-    fn ail(self) -> Ail {
-        Ail { operation: self.operation, size: self.size }
+impl FaultParameters {
+    fn impairment(self) -> Impairment {
+        Impairment { operation: self.operation, size: self.size }
     }
 }
 
 /// What discovery lists of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ListingState {
     Up,
     Draining,
     Gone,
@@ -87,9 +87,9 @@
 
 /// What follows from a change, for the clock to carry out.
 #[derive(Debug, Default)]
-pub struct Follows {
+pub struct ChangeEffects {
     /// News of jobs at a runner.
-    pub news: Vec<(usize, Job, News)>,
+    pub news: Vec<(usize, Job, JobEvent)>,
     /// Jobs that a process took with it.
     pub lost: Vec<(usize, Job)>,
     /// Runners whose connections are reset.
@@ -97,14 +97,14 @@
     /// Runners that read again what came while they stood still.
     pub thawed: Vec<usize>,
     /// Discovery learns of a state after so long.
-    pub listed: Vec<(usize, State, Micros)>,
+    pub listed: Vec<(usize, ListingState, Micros)>,
     /// Links that are up again.
     pub healed: bool,
 }
 
 /// A fault of the links of some dispatchers to all others.
 struct LinkFault {
-    bad: Bad,
+    bad: LinkFaultKind,
     size: f64,
     struck: Vec<bool>,
     on: bool,
@@ -121,7 +121,7 @@
     pub discovery_up: bool,
     links: Vec<LinkFault>,
     pub schedule: Vec<(Micros, Change)>,
-    pub bands: Vec<Band>,
+    pub bands: Vec<FaultBand>,
     notice: Micros,
     silent_notice: Micros,
 }
@@ -129,7 +129,7 @@
 impl World {
     pub fn new(scenario: &Scenario, seed: u64) -> World {
         let zones = scenario.zones.names.len();
-        let mut drawn = chance(seed, 2);
+        let mut drawn = seeded_generator(seed, 2);
         let mut runners = Vec::new();
         for (kind, pool) in scenario.pool.iter().enumerate() {
             let spread = LogNormal::from_mean_cv(1.0, pool.speed_spread.max(1e-9)).ok();
@@ -142,16 +142,16 @@
                     kind,
                     (zone, cell),
                     &scenario.limits,
-                    chance(seed, 1 << 40 | nth as u64),
+                    seeded_generator(seed, 1 << 40 | nth as u64),
                 );
                 runner.speed *= spread.map_or(1.0, |spread| spread.sample(&mut drawn));
-                runner.tells_progress(scenario.reports.progress.0);
+                runner.set_progress_interval(scenario.reports.progress.0);
                 runners.push(runner);
             }
         }
         let delay = scenario.reports.delay.0;
         if delay > 0 {
-            runners.iter_mut().for_each(|runner| runner.reports_late(0, delay));
+            runners.iter_mut().for_each(|runner| runner.set_report_delay(0, delay));
         }
         let mut world = World {
             zones,
@@ -164,7 +164,7 @@
             notice: scenario.discovery.notice.0,
             silent_notice: scenario.discovery.silent_notice.0,
         };
-        let mut struck = chance(seed, 3);
+        let mut struck = seeded_generator(seed, 3);
         for fault in &scenario.fault {
             world.plan(scenario, fault, &mut struck);
         }
@@ -179,11 +179,11 @@
         self.schedule.retain(|(_, change)| {
             let (key, down) = match *change {
                 Change::Kill(d) => ((0, d), true),
-                Change::Begin(d) => ((0, d), false),
+                Change::StartDispatcher(d) => ((0, d), false),
                 Change::Stop(r, _) | Change::Retire(r) => ((1, r as u32), true),
                 Change::Start(r) => ((1, r as u32), false),
                 Change::Discovery(up) => ((2, 0), !up),
-                Change::Still(d, still) => ((3, d), still),
+                Change::Suspend(d, still) => ((3, d), still),
                 _ => return true,
             };
             let depth = depth.entry(key).or_default();
@@ -207,15 +207,15 @@
         let (at, back) = (fault.at.0, fault.at.0 + fault.lasts.0);
         for (nth, d) in struck.into_iter().enumerate() {
             self.schedule.push((at, Change::Kill(d)));
-            if fault.disk == Found::Old {
-                self.schedule.push((at - (fault.size * 1000.0) as Micros, Change::Save(d)));
+            if fault.disk == DiskState::Old {
+                self.schedule.push((at - (fault.size * 1000.0) as Micros, Change::SaveDisk(d)));
             }
             if nth >= away {
                 let after = drawn.random_range(0..=fault.spread.0);
-                let power = fault.kind == Kind::PowerLoss;
-                let find = Change::Find(d, fault.disk, power, all);
+                let power = fault.kind == FaultKind::PowerLoss;
+                let find = Change::PrepareDisk(d, fault.disk, power, all);
                 self.schedule.push((back + after, find));
-                self.schedule.push((back + after, Change::Begin(d)));
+                self.schedule.push((back + after, Change::StartDispatcher(d)));
             }
         }
         back + fault.spread.0
@@ -236,7 +236,7 @@
     }
 
     /// After how long each copy of a datagram from one dispatcher to another arrives: none where it is lost.
-    pub fn carry(
+    pub fn datagram_delays(
         &self,
         scenario: &Scenario,
         (from, to): (u32, u32),
@@ -252,20 +252,20 @@
         for fault in self.links.iter().filter(|fault| fault.on) {
             let (ours, either) =
                 (fault.struck[from as usize], fault.struck[from as usize] || fault.struck[to as usize]);
-            if !either || fault.bad == Bad::OneWay && !ours {
+            if !either || fault.bad == LinkFaultKind::OneWay && !ours {
                 continue;
             }
             let span = (fault.size * 1000.0) as Micros;
             let hit = fault.size > 0.0 && drawn.random::<f64>() < fault.size;
             match fault.bad {
-                Bad::Cut | Bad::OneWay => return Vec::new(),
-                Bad::Flap if (now / span.max(1)) % 2 == 0 => return Vec::new(),
-                Bad::Flap => {}
-                Bad::Loss if hit => return Vec::new(),
-                Bad::Repeat if hit => after.push(after[0] + drawn.random_range(0..LATER)),
-                Bad::Reorder if hit => after[0] += drawn.random_range(0..LATER),
-                Bad::Loss | Bad::Repeat | Bad::Reorder => {}
-                Bad::Delay => after.iter_mut().for_each(|after| *after += span),
+                LinkFaultKind::Cut | LinkFaultKind::OneWay => return Vec::new(),
+                LinkFaultKind::Flap if (now / span.max(1)) % 2 == 0 => return Vec::new(),
+                LinkFaultKind::Flap => {}
+                LinkFaultKind::Loss if hit => return Vec::new(),
+                LinkFaultKind::Repeat if hit => after.push(after[0] + drawn.random_range(0..LATER)),
+                LinkFaultKind::Reorder if hit => after[0] += drawn.random_range(0..LATER),
+                LinkFaultKind::Loss | LinkFaultKind::Repeat | LinkFaultKind::Reorder => {}
+                LinkFaultKind::Delay => after.iter_mut().for_each(|after| *after += span),
             }
         }
         after
@@ -290,28 +290,28 @@
         all.shuffle(struck);
         let most = ((all.len() as f64 * fault.part).round() as usize).clamp(1, all.len().max(1));
         let part = &all[..most.min(all.len())];
-        let strike = Strike { operation, size: fault.size };
+        let strike = FaultParameters { operation, size: fault.size };
         let mut to = until;
         let plan = &mut self.schedule;
-        let mut both = |r: usize, change: fn(usize, Option<Strike>) -> Change| {
+        let mut both = |r: usize, change: fn(usize, Option<FaultParameters>) -> Change| {
             plan.push((at, change(r, Some(strike))));
             plan.push((until, change(r, None)));
         };
         match fault.kind {
-            Kind::Slow => part.iter().for_each(|r| both(*r, Change::Slow)),
-            Kind::FastErrors => part.iter().for_each(|r| both(*r, Change::Errors)),
-            Kind::Loses => part.iter().for_each(|r| both(*r, Change::Loses)),
-            Kind::Crash => {
+            FaultKind::Slow => part.iter().for_each(|r| both(*r, Change::Slow)),
+            FaultKind::FastErrors => part.iter().for_each(|r| both(*r, Change::Errors)),
+            FaultKind::Loses => part.iter().for_each(|r| both(*r, Change::Loses)),
+            FaultKind::Crash => {
                 for &r in part {
-                    plan.extend([(at, Change::Stop(r, Life::Down)), (until, Change::Start(r))]);
+                    plan.extend([(at, Change::Stop(r, ProcessState::Down)), (until, Change::Start(r))]);
                 }
             }
-            Kind::Hang => {
+            FaultKind::Hang => {
                 for &r in part {
                     plan.extend([(at, Change::Freeze(r, true)), (until, Change::Freeze(r, false))]);
                 }
             }
-            Kind::Pauses => {
+            FaultKind::Pauses => {
                 use rand::RngExt;
                 for &r in part {
                     let mut next = at + struck.random_range(0..PAUSES_APART);
@@ -325,25 +325,25 @@
                     }
                 }
             }
-            Kind::LateReports => {
+            FaultKind::LateReports => {
                 let usual = scenario.reports.delay.0;
                 let late = usual + (fault.size * 1000.0) as Micros;
                 plan.extend([(at, Change::ReportDelay(late)), (until, Change::ReportDelay(usual))]);
             }
-            Kind::ZoneCut | Kind::ZoneMute => {
-                let (zone, both) = (zone.unwrap_or(0), fault.kind == Kind::ZoneCut);
+            FaultKind::ZoneCut | FaultKind::ZoneMute => {
+                let (zone, both) = (zone.unwrap_or(0), fault.kind == FaultKind::ZoneCut);
                 let change = |cut| Change::Cut { zone, both, cut };
                 plan.extend([(at, change(true)), (until, change(false))]);
             }
-            Kind::ZoneLoss => {
+            FaultKind::ZoneLoss => {
                 for &r in &all {
-                    plan.extend([(at, Change::Stop(r, Life::Silent)), (until, Change::Start(r))]);
+                    plan.extend([(at, Change::Stop(r, ProcessState::Silent)), (until, Change::Start(r))]);
                 }
             }
-            Kind::DiscoveryDown => {
+            FaultKind::DiscoveryDown => {
                 plan.extend([(at, Change::Discovery(false)), (until, Change::Discovery(true))]);
             }
-            Kind::Deploy => {
+            FaultKind::Deploy => {
                 let gap = fault.lasts.0 / part.len().max(1) as Micros;
                 for (nth, &r) in part.iter().enumerate() {
                     let at = at + gap * nth as Micros;
@@ -353,25 +353,25 @@
                 }
                 to = until + DRAIN + DOWN;
             }
-            Kind::RollTerm | Kind::RollKill => {
+            FaultKind::RollTerm | FaultKind::RollKill => {
                 let gap = fault.lasts.0 / Micros::from(scenario.dispatchers);
                 for d in 0..scenario.dispatchers {
                     let at = at + gap * Micros::from(d);
-                    if fault.kind == Kind::RollKill {
-                        plan.extend([(at, Change::Kill(d)), (at + ROLLED, Change::Begin(d))]);
+                    if fault.kind == FaultKind::RollKill {
+                        plan.extend([(at, Change::Kill(d)), (at + ROLLED, Change::StartDispatcher(d))]);
                     } else {
                         plan.push((at, Change::Term(d)));
                         plan.push((at + TERM_TO_KILL, Change::Kill(d)));
-                        plan.push((at + TERM_TO_KILL + ROLLED, Change::Begin(d)));
+                        plan.push((at + TERM_TO_KILL + ROLLED, Change::StartDispatcher(d)));
                     }
                 }
                 to = until + ROLLED;
             }
-            Kind::Kill | Kind::Freeze | Kind::Disk | Kind::Link => {
+            FaultKind::Kill | FaultKind::Freeze | FaultKind::Disk | FaultKind::Link => {
                 let mut all = self.dispatchers(scenario, zone);
                 all.shuffle(struck);
                 all.truncate(((all.len() as f64 * fault.part).round() as usize).max(1));
-                if fault.kind == Kind::Kill {
+                if fault.kind == FaultKind::Kill {
                     to = self.plan_kills(all, fault, scenario.dispatchers, struck);
                 } else if let Some(bad) = fault.link {
                     let mut struck = vec![false; scenario.dispatchers as usize];
@@ -382,32 +382,32 @@
                     self.schedule.extend(changes);
                 } else if let Some(wrong) = fault.wrong {
                     let slow = (fault.size * 1000.0) as Micros;
-                    let change = |on| all.iter().map(move |d| Change::Wrong(*d, wrong, slow, on));
+                    let change = |on| all.iter().map(move |d| Change::DiskFault(*d, wrong, slow, on));
                     self.schedule.extend(change(true).map(|change| (at, change)));
                     self.schedule.extend(change(false).map(|change| (until, change)));
                 } else {
-                    let still = |still| all.iter().map(move |d| Change::Still(*d, still));
+                    let still = |still| all.iter().map(move |d| Change::Suspend(*d, still));
                     self.schedule.extend(still(true).map(|change| (at, change)));
                     self.schedule.extend(still(false).map(|change| (until, change)));
                 }
             }
-            Kind::PowerLoss => {
+            FaultKind::PowerLoss => {
                 for &r in &all {
-                    plan.extend([(at, Change::Stop(r, Life::Down)), (until, Change::Start(r))]);
+                    plan.extend([(at, Change::Stop(r, ProcessState::Down)), (until, Change::Start(r))]);
                 }
                 if zone.is_none_or(|zone| zone == 0) {
                     plan.extend([(at, Change::Discovery(false)), (until, Change::Discovery(true))]);
                 }
                 to = self.plan_kills(self.dispatchers(scenario, zone), fault, scenario.dispatchers, struck);
             }
-            Kind::Reload => plan.push((at, Change::Reload)),
-            Kind::BadClients => {
+            FaultKind::Reload => plan.push((at, Change::Reload)),
+            FaultKind::BadClients => {
                 plan.extend([(at, Change::BadClients(fault.size)), (until, Change::BadClients(0.0))]);
             }
         }
         let what = serde_json::to_value(fault.kind).ok().and_then(|kind| kind.as_str().map(str::to_owned));
         let what = [what, fault.operation.clone(), fault.zone.clone()].into_iter().flatten();
-        self.bands.push(Band {
+        self.bands.push(FaultBand {
             what: what.collect::<Vec<_>>().join(" "),
             from: at as f64 / 1e6,
             to: to.max(at) as f64 / 1e6,
@@ -415,25 +415,25 @@
     }
 
     /// Carries out what concerns runners, links and discovery; the rest is the clock's.
-    pub fn apply(&mut self, now: Micros, change: &Change) -> Follows {
-        let mut follows = Follows::default();
+    pub fn apply(&mut self, now: Micros, change: &Change) -> ChangeEffects {
+        let mut follows = ChangeEffects::default();
         let mut news = Vec::new();
         let mut of = None;
         match *change {
             Change::Stop(r, life) => {
                 let lost = self.runners[r].stop(now, life);
                 follows.lost.extend(lost.into_iter().map(|job| (r, job)));
-                if life == Life::Down {
+                if life == ProcessState::Down {
                     follows.reset.push(r);
                 }
-                let notice = if life == Life::Down { self.notice } else { self.silent_notice };
-                follows.listed.push((r, State::Gone, notice));
+                let notice = if life == ProcessState::Down { self.notice } else { self.silent_notice };
+                follows.listed.push((r, ListingState::Gone, notice));
             }
             Change::Start(r) => {
                 // A machine that was silent is back: what was open to it ends now.
                 follows.reset.push(r);
                 self.runners[r].start(now);
-                follows.listed.push((r, State::Up, self.notice));
+                follows.listed.push((r, ListingState::Up, self.notice));
             }
             Change::Freeze(r, frozen) => {
                 self.runners[r].change(now, |runner| runner.frozen = frozen);
@@ -442,23 +442,23 @@
                 }
             }
             Change::Slow(r, strike) => {
-                self.runners[r].change(now, |runner| runner.slow = strike.map(Strike::ail));
+                self.runners[r].change(now, |runner| runner.slow = strike.map(FaultParameters::impairment));
             }
-            Change::Errors(r, strike) => self.runners[r].errors = strike.map(Strike::ail),
-            Change::Loses(r, strike) => self.runners[r].loses = strike.map(Strike::ail),
+            Change::Errors(r, strike) => self.runners[r].errors = strike.map(FaultParameters::impairment),
+            Change::Loses(r, strike) => self.runners[r].loses = strike.map(FaultParameters::impairment),
             Change::Drain(r) => {
                 self.runners[r].drain(now, &mut news);
                 of = Some(r);
-                follows.listed.push((r, State::Draining, self.notice / 10));
+                follows.listed.push((r, ListingState::Draining, self.notice / 10));
             }
             Change::Retire(r) => {
-                let lost = self.runners[r].stop(now, Life::Down);
+                let lost = self.runners[r].stop(now, ProcessState::Down);
                 follows.lost.extend(lost.into_iter().map(|job| (r, job)));
                 follows.reset.push(r);
-                follows.listed.push((r, State::Gone, self.notice / 10));
+                follows.listed.push((r, ListingState::Gone, self.notice / 10));
             }
             Change::ReportDelay(delay) => {
-                self.runners.iter_mut().for_each(|runner| runner.reports_late(now, delay));
+                self.runners.iter_mut().for_each(|runner| runner.set_report_delay(now, delay));
             }
             Change::Cut { zone, both, cut } => {
                 self.cut[zone] = (cut, cut && both);
@@ -468,11 +468,11 @@
             Change::Link(nth, on) => self.links[nth].on = on,
             Change::Term(_)
             | Change::Kill(_)
-            | Change::Begin(_)
-            | Change::Still(..)
-            | Change::Wrong(..)
-            | Change::Save(_)
-            | Change::Find(..)
+            | Change::StartDispatcher(_)
+            | Change::Suspend(..)
+            | Change::DiskFault(..)
+            | Change::SaveDisk(_)
+            | Change::PrepareDisk(..)
             | Change::Reload
             | Change::BadClients(_) => {}
         }
@@ -487,7 +487,7 @@
         &self,
         scenario: &Scenario,
         r: usize,
-        state: State,
+        state: ListingState,
         unix: Micros,
         address: &str,
     ) -> serde_json::Value {
@@ -495,7 +495,7 @@
         serde_json::json!({
             "instanceId": format!("r{r}"), "hostPort": address, "zone": scenario.zones.names[runner.zone],
             "machineType": scenario.pool[runner.kind].kind, "cell": runner.cell, "weight": 1.0,
-            "lifecycle": match state { State::Up => "up", State::Draining => "draining", State::Gone => "removed" },
+            "lifecycle": match state { ListingState::Up => "up", ListingState::Draining => "draining", ListingState::Gone => "removed" },
             "startedAtMs": runner.launched.map_or(0, |at| (unix + at) / 1000),
         })
     }
--- a/lab/tests/ramp.rs
+++ b/lab/tests/ramp.rs
@@ -3,16 +3,16 @@
 use std::path::Path;
 
 use topazsail_lab::policy::Policy;
-use topazsail_lab::ramp::{Against, against};
+use topazsail_lab::ramp::{RampComparison, compare_with_ramp};
 use topazsail_lab::scenario::Scenario;
 use topazsail_lab::virtual_clock::{Options, play};
 
-fn played(name: &str, seed: u64) -> Against {
+fn played(name: &str, seed: u64) -> RampComparison {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("scenarios/{name}.toml"));
     let scenario = Scenario::load(&path).unwrap();
     let outcome = play(&scenario, Policy::Topazsail, seed, Options::default()).unwrap().outcome;
     assert!(outcome.broken.is_empty(), "{name} {seed}: {:?}", outcome.broken);
-    against(&outcome.windows).unwrap()
+    compare_with_ramp(&outcome.windows).unwrap()
 }
 
 #[test]
@@ -20,8 +20,8 @@
     let (mut kept, mut without, mut ramp) = (0.0, 0.0, 0.0);
     for seed in 1..7 {
         let found = played("power-loss-kept", seed);
-        (kept, ramp) = (kept + found.had, ramp + found.ramp);
-        without += played("power-loss", seed).had;
+        (kept, ramp) = (kept + found.achieved, ramp + found.ramp);
+        without += played("power-loss", seed).achieved;
     }
     assert!(kept >= 0.95 * ramp, "{kept} of {ramp}");
     assert!(kept > without + 0.05 * ramp, "{kept} against {without}");
--- a/lab/tests/theory.rs
+++ b/lab/tests/theory.rs
@@ -1,9 +1,9 @@
 //! The model where theory knows the answer, and the same bytes from the same seed.
 
 use rand_distr::{Distribution, Exp};
-use topazsail_lab::load::chance;
+use topazsail_lab::load::seeded_generator;
 use topazsail_lab::policy::Policy;
-use topazsail_lab::runner::{News, Runner};
+use topazsail_lab::runner::{JobEvent, Runner};
 use topazsail_lab::scenario::Scenario;
 use topazsail_lab::virtual_clock::{Options, play};
 
@@ -33,8 +33,8 @@
     let service = 10_000.0;
     for (slots, load) in [(1, 0.7), (3, 0.5), (3, 0.7), (3, 0.9), (8, 0.85)] {
         let scenario = Scenario::parse("t", &text(slots)).unwrap();
-        let mut runner = Runner::new(&scenario.pool[0], 0, (0, 0), &scenario.limits, chance(1, 1));
-        let mut drawn = chance(u64::from(slots), 9);
+        let mut runner = Runner::new(&scenario.pool[0], 0, (0, 0), &scenario.limits, seeded_generator(1, 1));
+        let mut drawn = seeded_generator(u64::from(slots), 9);
         let (gap, work) =
             (Exp::new(load * f64::from(slots) / service).unwrap(), Exp::new(1.0 / service).unwrap());
         let (mut at, mut news, mut offered) = (0.0, Vec::new(), std::collections::VecDeque::new());
@@ -43,9 +43,9 @@
             at += gap.sample(&mut drawn);
             let now = at as i64;
             let mut hear =
-                |now: i64, news: &mut Vec<(u64, News)>, offered: &mut std::collections::VecDeque<f64>| {
+                |now: i64, news: &mut Vec<(u64, JobEvent)>, offered: &mut std::collections::VecDeque<f64>| {
                     for (_, said) in news.drain(..) {
-                        if said == News::Started {
+                        if said == JobEvent::Started {
                             // In order: the queue is first come, first served.
                             waited += now as f64 - offered.pop_front().unwrap();
                             started += 1;
@@ -80,7 +80,13 @@
     );
     let scenario = Scenario::parse("t", &text).unwrap();
     for d in 1..=3 {
-        let run = play(&scenario, Policy::LeastTrue(d), 2, Options { sample: 100_000, time: false }).unwrap();
+        let run = play(
+            &scenario,
+            Policy::LeastTrue(d),
+            2,
+            Options { sample_interval: 100_000, measure_time: false },
+        )
+        .unwrap();
         // By chance the work of a run lies a little beside the load asked for, and a tail like load^40 takes
         // that many times as much of it: theory is asked about the load that there was.
         let there_was = run.tails[1];
