--- a/lab/src/disks.rs
+++ b/lab/src/disks.rs
@@ -120,11 +120,11 @@
     /// What the next life finds.
     pub fn prepare(
         &self,
-        found: DiskState,
+        state: DiskState,
         other: Option<&DispatcherDirectory>,
-        drawn: &mut Pcg32,
+        rng: &mut Pcg32,
     ) -> io::Result<()> {
-        match found {
+        match state {
             DiskState::Kept => Ok(()),
             DiskState::Empty => self.replace(&[]),
             DiskState::Old => self.replace(&self.saved),
@@ -135,8 +135,8 @@
                 let mut files = self.files()?;
                 let logs = files.iter_mut().rev().find(|(name, bytes)| is_log(name) && !bytes.is_empty());
                 if let Some((_, bytes)) = logs {
-                    let at = drawn.random_range(0..bytes.len());
-                    bytes[at] ^= 1 << drawn.random_range(0..8);
+                    let at = rng.random_range(0..bytes.len());
+                    bytes[at] ^= 1 << rng.random_range(0..8);
                 }
                 self.replace(&files)
             }
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -108,7 +108,7 @@
     let one = |seed: &u64| -> Result<(Outcome, Outcome), String> {
         Ok((ours.play(scenario, *seed, &|_| ())?, against.play(scenario, *seed, &|_| ())?))
     };
-    let in_memory = |who: &SystemUnderTest| matches!(who, SystemUnderTest::Policy(_));
+    let in_memory = |system: &SystemUnderTest| matches!(system, SystemUnderTest::Policy(_));
     let played: Vec<(Outcome, Outcome)> = if in_memory(ours) && in_memory(against) {
         seeds.par_iter().map(one).collect::<Result<_, _>>()?
     } else {
@@ -199,7 +199,7 @@
 
 pub fn sweep(
     steps: Vec<(String, Scenario)>,
-    who: &SystemUnderTest,
+    system: &SystemUnderTest,
     seeds: u32,
     progress: &(dyn Fn(f64) + Sync),
 ) -> Result<Vec<Step>, String> {
@@ -207,12 +207,12 @@
     let mut done = Vec::new();
     for (nth, (value, scenario)) in steps.into_iter().enumerate() {
         let seeds = (0..u64::from(seeds)).map(|nth| scenario.seed + nth);
-        let outcomes: Result<Vec<Outcome>, String> = match who {
+        let outcomes: Result<Vec<Outcome>, String> = match system {
             SystemUnderTest::Policy(_) => {
                 let seeds: Vec<u64> = seeds.collect();
-                seeds.par_iter().map(|seed| who.play(&scenario, *seed, &|_| ())).collect()
+                seeds.par_iter().map(|seed| system.play(&scenario, *seed, &|_| ())).collect()
             }
-            SystemUnderTest::Program(_) => seeds.map(|seed| who.play(&scenario, seed, &|_| ())).collect(),
+            SystemUnderTest::Program(_) => seeds.map(|seed| system.play(&scenario, seed, &|_| ())).collect(),
         };
         done.push(Step { value, outcomes: outcomes? });
         progress((nth + 1) as f64 / all as f64);
--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -177,7 +177,7 @@
 pub struct JudgeParameters {
     pub operations: Vec<Operation>,
     /// Zone and cell of each runner.
-    pub places: Vec<(usize, i64)>,
+    pub locations: Vec<(usize, i64)>,
     pub drain_grace: Micros,
     pub ask_within: Micros,
     pub overload_factor: f64,
@@ -193,13 +193,13 @@
 impl JudgeParameters {
     pub fn of(
         scenario: &Scenario,
-        places: Vec<(usize, i64)>,
+        locations: Vec<(usize, i64)>,
         slack: Micros,
         answer_slack: Micros,
     ) -> JudgeParameters {
         JudgeParameters {
             operations: scenario.operation.clone(),
-            places,
+            locations,
             drain_grace: scenario.limits.drain_grace.0,
             ask_within: scenario.limits.ask_within.0,
             overload_factor: scenario.limits.overload_factor,
@@ -211,24 +211,24 @@
     }
 }
 
-struct Sent {
+struct SentForward {
     runner: u32,
     at: Micros,
     back: Option<ForwardEnd>,
     withdrawn: bool,
 }
 
-impl Sent {
-    fn out(&self) -> bool {
+impl SentForward {
+    fn is_in_flight(&self) -> bool {
         self.back.is_none() && !self.withdrawn
     }
 
-    fn never_ran(&self) -> bool {
+    fn has_never_run(&self) -> bool {
         self.back == Some(ForwardEnd::NeverRan)
     }
 }
 
-struct Case {
+struct InvocationRecord {
     dispatcher: u32,
     operation: usize,
     expires_at: Micros,
@@ -237,58 +237,59 @@
     excused: bool,
     /// When the client closed its connection.
     left_at: Option<Micros>,
-    sent: Vec<Sent>,
+    sent: Vec<SentForward>,
     ran: u32,
     work: f64,
     history: Vec<(Micros, Observation)>,
 }
 
-impl Case {
+impl InvocationRecord {
     /// Whether nothing of it was to come any more at that moment.
-    fn over(&self, then: Micros) -> bool {
-        let answered = self.answered.is_some_and(|(at, _)| at < then) && !self.sent.iter().any(Sent::out);
+    fn is_finished(&self, then: Micros) -> bool {
+        let answered = self.answered.is_some_and(|(at, _)| at < then)
+            && !self.sent.iter().any(SentForward::is_in_flight);
         answered || self.expires_at < then
     }
 }
 
 #[derive(Default)]
-struct Cold {
-    spent: VecDeque<(Micros, f64, bool)>,
+struct ColdRunner {
+    sends: VecDeque<(Micros, f64, bool)>,
     broken: bool,
 }
 
 /// Violations kept in full; beyond these they are only counted.
-const KEPT: usize = 20;
+const MAX_DETAILED_VIOLATIONS: usize = 20;
 /// How long an invocation is kept when nothing of it is to come any more, for what may come all the same.
-const KEPT_FOR: Micros = 5_000_000;
+const RETENTION: Micros = 5_000_000;
 /// What a process may take to come round after it stood still.
-const GOES_ON: Micros = 100_000;
+const RESUME_GRACE: Micros = 100_000;
 /// How much a cold budget may be overdrawn by chance: a job's length is not known when it is sent. By number what chance
 /// explains is stated: 2 x root of N and 2 beyond N calls of mean work.
-const BY_CHANCE: f64 = 1.15;
+const COLD_WORK_TOLERANCE: f64 = 1.15;
 
 /// From a client's close on nothing may begin for it after this, by the terms.
-const LEFT_MOST: Micros = 100_000;
+const CLIENT_LEFT_GRACE: Micros = 100_000;
 /// What a runner may be told beyond the time that its client has left, by the terms.
-const TOLD_SLACK: Micros = 150_000;
+const REPORTED_TIME_SLACK: Micros = 150_000;
 
 pub struct Judge {
-    terms: JudgeParameters,
-    cases: HashMap<InvocationId, Case>,
+    parameters: JudgeParameters,
+    invocations: HashMap<InvocationId, InvocationRecord>,
     /// In the order in which they were taken, to be let go of.
     order: VecDeque<(Micros, InvocationId)>,
     /// What each dispatcher has been told of each runner: since when it is not wanted, or none.
-    told: HashMap<(u32, u32), (Option<Micros>, bool)>,
+    notified: HashMap<(u32, u32), (Option<Micros>, bool)>,
     listed: BTreeMap<u32, (Micros, bool, Option<Micros>)>,
-    cold: BTreeMap<u32, Cold>,
+    cold: BTreeMap<u32, ColdRunner>,
     /// Dispatchers that stand still, and since when.
-    still: BTreeMap<u32, Micros>,
+    suspended: BTreeMap<u32, Micros>,
     /// Runners out by hand, by dispatcher, and since when.
-    hands: BTreeMap<(u32, u32), Micros>,
+    overrides: BTreeMap<(u32, u32), Micros>,
     /// By dispatcher, the highest boot number of earlier lives, and this life's.
     boots: BTreeMap<u32, (u64, Option<u64>)>,
     /// When each dispatcher's present life first forwarded anything.
-    first: BTreeMap<u32, Micros>,
+    first_forwards: BTreeMap<u32, Micros>,
     pub verdict: Verdict,
     /// How late the eyes of the lab are now: what they see may have been there for so long. Nobody else is to blame
     /// for that.
@@ -330,18 +331,18 @@
 }
 
 impl Judge {
-    pub fn new(terms: JudgeParameters) -> Judge {
+    pub fn new(parameters: JudgeParameters) -> Judge {
         Judge {
-            terms,
-            cases: HashMap::new(),
+            parameters,
+            invocations: HashMap::new(),
             order: VecDeque::new(),
-            told: HashMap::new(),
+            notified: HashMap::new(),
             listed: BTreeMap::new(),
             cold: BTreeMap::new(),
-            still: BTreeMap::new(),
-            hands: BTreeMap::new(),
+            suspended: BTreeMap::new(),
+            overrides: BTreeMap::new(),
             boots: BTreeMap::new(),
-            first: BTreeMap::new(),
+            first_forwards: BTreeMap::new(),
             verdict: Verdict::default(),
             observation_delay: 0,
             cold_work: 0.0,
@@ -350,17 +351,18 @@
         }
     }
 
-    fn violate(&mut self, at: Micros, rule: Rule, inv: InvocationId, what: String) {
+    fn record_violation(&mut self, at: Micros, rule: Rule, inv: InvocationId, what: String) {
         *self.verdict.violations.entry(rule).or_default() += 1;
-        if self.verdict.kept.len() < KEPT {
-            let lines = self.cases.get(&inv).map(|case| case.history.as_slice()).unwrap_or_default();
+        if self.verdict.kept.len() < MAX_DETAILED_VIOLATIONS {
+            let lines =
+                self.invocations.get(&inv).map(|record| record.history.as_slice()).unwrap_or_default();
             let history = lines.iter().map(|(at, seen)| format!("{at} {seen:?}")).collect();
             self.verdict.kept.push(Violation { rule, at, inv, what, history });
         }
     }
 
-    fn own_fault(&mut self, at: Micros, what: String) {
-        if self.verdict.own_faults.len() < KEPT {
+    fn record_lab_fault(&mut self, at: Micros, what: String) {
+        if self.verdict.own_faults.len() < MAX_DETAILED_VIOLATIONS {
             self.verdict.own_faults.push(format!("{at}: {what}"));
         }
     }
@@ -381,121 +383,128 @@
             | Observation::Ran { inv, .. } => Some(*inv),
             _ => None,
         };
-        if let Some(case) = inv.and_then(|inv| self.cases.get_mut(&inv)) {
-            case.history.push((at, seen.clone()));
+        if let Some(record) = inv.and_then(|inv| self.invocations.get_mut(&inv)) {
+            record.history.push((at, seen.clone()));
         }
         match seen {
             Observation::Taken { inv, dispatcher, operation, expires_at } => {
-                self.take(at, inv, (dispatcher, operation), expires_at, seen);
+                self.record_taken(at, inv, (dispatcher, operation), expires_at, seen);
             }
-            Observation::Answered { inv, how } => self.answered(at, inv, how),
+            Observation::Answered { inv, how } => self.record_answer(at, inv, how),
             Observation::Forged { inv } => {
-                self.violate(at, Rule::OneAnswer, inv, "succeeded with what no runner made for it".into());
+                self.record_violation(
+                    at,
+                    Rule::OneAnswer,
+                    inv,
+                    "succeeded with what no runner made for it".into(),
+                );
             }
             Observation::Left { inv } => {
-                if let Some(case) = self.cases.get_mut(&inv) {
-                    case.excused = true;
-                    case.left_at.get_or_insert(at);
+                if let Some(record) = self.invocations.get_mut(&inv) {
+                    record.excused = true;
+                    record.left_at.get_or_insert(at);
                 }
             }
             // What was forwarded had been read.
             Observation::Crossed { inv } => {
-                if let Some(case) = self.cases.get_mut(&inv).filter(|case| case.sent.is_empty()) {
-                    case.excused = true;
-                    case.left_at.get_or_insert(at);
+                if let Some(record) = self.invocations.get_mut(&inv).filter(|record| record.sent.is_empty()) {
+                    record.excused = true;
+                    record.left_at.get_or_insert(at);
                 }
             }
             Observation::Lost { inv } => {
-                if let Some(case) = self.cases.get_mut(&inv).filter(|case| case.answered.is_none()) {
-                    self.verdict.lost_by_kill += u64::from(!case.excused);
-                    case.excused = true;
+                if let Some(record) =
+                    self.invocations.get_mut(&inv).filter(|record| record.answered.is_none())
+                {
+                    self.verdict.lost_by_kill += u64::from(!record.excused);
+                    record.excused = true;
                 }
             }
             Observation::Forwarded { inv, dispatcher, runner, work, cold } => {
-                self.forwarded(at, inv, (dispatcher, runner), work, cold);
+                self.record_forward(at, inv, (dispatcher, runner), work, cold);
             }
-            Observation::TimeTold { inv, told } => self.time_told(at, inv, told),
-            Observation::Ended { inv, runner, how } => self.came_back(at, inv, runner, Some(how)),
-            Observation::Withdrawn { inv, runner } => self.came_back(at, inv, runner, None),
-            Observation::Ran { inv, runner } => self.ran(at, inv, runner),
+            Observation::TimeTold { inv, told } => self.check_reported_time(at, inv, told),
+            Observation::Ended { inv, runner, how } => self.record_forward_end(at, inv, runner, Some(how)),
+            Observation::Withdrawn { inv, runner } => self.record_forward_end(at, inv, runner, None),
+            Observation::Ran { inv, runner } => self.record_start(at, inv, runner),
             Observation::Listed { runner, wanted, launched } => {
                 self.listed.insert(runner, (at, wanted, launched));
                 if wanted && launched.is_some() {
-                    self.cold.insert(runner, Cold::default());
+                    self.cold.insert(runner, ColdRunner::default());
                 }
             }
             Observation::Told { dispatcher, runner, wanted } => {
-                let told = self.told.entry((dispatcher, runner)).or_insert((None, true));
+                let told = self.notified.entry((dispatcher, runner)).or_insert((None, true));
                 // Told once more of the same does not lengthen the grace.
                 let since = if wanted { None } else { Some(told.0.unwrap_or(at)) };
                 *told = (since, wanted);
             }
             Observation::Began { dispatcher } => {
-                self.told.retain(|(d, _), _| *d != dispatcher);
-                self.still.remove(&dispatcher);
-                self.first.remove(&dispatcher);
+                self.notified.retain(|(d, _), _| *d != dispatcher);
+                self.suspended.remove(&dispatcher);
+                self.first_forwards.remove(&dispatcher);
                 let (before, now) = self.boots.entry(dispatcher).or_default();
                 *before = (*before).max(now.take().unwrap_or(0));
             }
             Observation::Hand { dispatcher, runner, out: Some(true) } => {
-                self.hands.entry((dispatcher, runner)).or_insert(at);
+                self.overrides.entry((dispatcher, runner)).or_insert(at);
             }
-            Observation::Hand { dispatcher, runner, .. } => _ = self.hands.remove(&(dispatcher, runner)),
-            Observation::Boot { dispatcher, boot } => self.booted(at, dispatcher, boot),
+            Observation::Hand { dispatcher, runner, .. } => _ = self.overrides.remove(&(dispatcher, runner)),
+            Observation::Boot { dispatcher, boot } => self.record_boot(at, dispatcher, boot),
             Observation::Unlisted { dispatcher, asked } => {
-                if self.first.get(&dispatcher).is_some_and(|first| *first < asked) {
+                if self.first_forwards.get(&dispatcher).is_some_and(|first| *first < asked) {
                     let what = format!("d{dispatcher} had forwarded before it had a list");
-                    self.violate(at, Rule::NotBeforeListed, 0, what);
+                    self.record_violation(at, Rule::NotBeforeListed, 0, what);
                 }
             }
             Observation::Forgets { dispatcher } => {
-                self.hands.retain(|(d, _), _| *d != dispatcher);
+                self.overrides.retain(|(d, _), _| *d != dispatcher);
                 self.boots.remove(&dispatcher);
             }
             Observation::Still { dispatcher, still: true } => {
-                self.still.entry(dispatcher).or_insert(at);
+                self.suspended.entry(dispatcher).or_insert(at);
             }
-            Observation::Still { dispatcher, still: false } => self.goes_on(at, dispatcher),
+            Observation::Still { dispatcher, still: false } => self.record_resume(at, dispatcher),
         }
     }
 
     /// How much work an invocation is, from whoever brought it.
     pub fn note_work(&mut self, inv: InvocationId, work: f64) {
-        if let Some(case) = self.cases.get_mut(&inv) {
-            case.work = work;
+        if let Some(record) = self.invocations.get_mut(&inv) {
+            record.work = work;
         }
     }
 
     pub fn work(&self, inv: InvocationId) -> f64 {
-        self.cases.get(&inv).map_or(0.0, |case| case.work)
+        self.invocations.get(&inv).map_or(0.0, |record| record.work)
     }
 
     pub fn operation(&self, inv: InvocationId) -> Option<usize> {
-        self.cases.get(&inv).map(|case| case.operation)
+        self.invocations.get(&inv).map(|record| record.operation)
     }
 
     /// Who could not act is not to blame for having been late, and knows what was written to it meanwhile only from
     /// now on. All else holds for it as for anybody: what it does next it does on what it can know now.
-    fn goes_on(&mut self, at: Micros, dispatcher: u32) {
-        let Some(since) = self.still.remove(&dispatcher) else { return };
-        for case in self.cases.values_mut().filter(|case| case.dispatcher == dispatcher) {
-            case.excused |= case.answered.is_none() && case.expires_at < at + GOES_ON;
+    fn record_resume(&mut self, at: Micros, dispatcher: u32) {
+        let Some(since) = self.suspended.remove(&dispatcher) else { return };
+        for record in self.invocations.values_mut().filter(|record| record.dispatcher == dispatcher) {
+            record.excused |= record.answered.is_none() && record.expires_at < at + RESUME_GRACE;
         }
-        for ((_, _), (told, _)) in self.told.iter_mut().filter(|((d, _), _)| *d == dispatcher) {
+        for ((_, _), (told, _)) in self.notified.iter_mut().filter(|((d, _), _)| *d == dispatcher) {
             *told = told.map(|told| if told >= since { at } else { told });
         }
     }
 
-    fn booted(&mut self, at: Micros, dispatcher: u32, boot: u64) {
+    fn record_boot(&mut self, at: Micros, dispatcher: u32, boot: u64) {
         let (before, now) = self.boots.entry(dispatcher).or_default();
         let (before, known) = (*before, now.replace(boot));
         if boot <= before || known.is_some_and(|known| known > boot) {
             let what = format!("d{dispatcher} has the boot number {boot}, after {}", known.unwrap_or(before));
-            self.violate(at, Rule::BootRises, 0, what);
+            self.record_violation(at, Rule::BootRises, 0, what);
         }
     }
 
-    fn take(
+    fn record_taken(
         &mut self,
         at: Micros,
         inv: InvocationId,
@@ -504,7 +513,7 @@
         seen: Observation,
     ) {
         self.verdict.taken += 1;
-        let case = Case {
+        let record = InvocationRecord {
             dispatcher,
             operation,
             expires_at,
@@ -516,13 +525,13 @@
             work: 0.0,
             history: vec![(at, seen)],
         };
-        if self.cases.insert(inv, case).is_some() {
-            self.own_fault(at, format!("invocation {inv:x} was taken twice"));
+        if self.invocations.insert(inv, record).is_some() {
+            self.record_lab_fault(at, format!("invocation {inv:x} was taken twice"));
         }
         self.order.push_back((at, inv));
         while let Some((taken, oldest)) = self.order.front().copied()
-            && taken < at - KEPT_FOR
-            && self.cases.get(&oldest).is_none_or(|case| case.over(at - KEPT_FOR))
+            && taken < at - RETENTION
+            && self.invocations.get(&oldest).is_none_or(|record| record.is_finished(at - RETENTION))
         {
             self.order.pop_front();
             self.close(at, oldest);
@@ -531,55 +540,55 @@
 
     /// Lets go of an invocation, and looks whether it was answered at all.
     fn close(&mut self, at: Micros, inv: InvocationId) {
-        let Some(case) = self.cases.get(&inv) else { return };
-        if case.answered.is_none() && !case.excused {
-            self.violate(at, Rule::OneAnswer, inv, "never answered".into());
+        let Some(record) = self.invocations.get(&inv) else { return };
+        if record.answered.is_none() && !record.excused {
+            self.record_violation(at, Rule::OneAnswer, inv, "never answered".into());
         }
-        self.cases.remove(&inv);
+        self.invocations.remove(&inv);
     }
 
-    fn answered(&mut self, at: Micros, inv: InvocationId, how: FinalStatus) {
-        let slack = self.terms.answer_slack + self.observation_delay;
-        let Some(case) = self.cases.get_mut(&inv) else {
-            return self.own_fault(at, format!("an answer to {inv:x}, which nobody took"));
+    fn record_answer(&mut self, at: Micros, inv: InvocationId, how: FinalStatus) {
+        let slack = self.parameters.answer_slack + self.observation_delay;
+        let Some(record) = self.invocations.get_mut(&inv) else {
+            return self.record_lab_fault(at, format!("an answer to {inv:x}, which nobody took"));
         };
-        let (before, late) = (case.answered, at > case.expires_at + slack);
-        let op = &self.terms.operations[case.operation];
+        let (before, late) = (record.answered, at > record.expires_at + slack);
+        let op = &self.parameters.operations[record.operation];
         let repeatable = match op.effect {
             Effect::Idempotent => true,
             Effect::Deduplicated => op.group == DeduplicationScope::All,
             Effect::NonIdempotent => false,
         };
-        let harmless = repeatable || case.sent.iter().all(Sent::never_ran);
-        case.answered = Some((at, how));
-        let excused = case.excused;
+        let harmless = repeatable || record.sent.iter().all(SentForward::has_never_run);
+        record.answered = Some((at, how));
+        let excused = record.excused;
         match how {
             FinalStatus::Succeeded => self.verdict.succeeded += 1,
             FinalStatus::Throttled => self.verdict.throttled += 1,
             FinalStatus::Errored => self.verdict.errored += 1,
         }
         if let Some((first, _)) = before {
-            self.violate(at, Rule::OneAnswer, inv, format!("answered twice, first at {first}"));
+            self.record_violation(at, Rule::OneAnswer, inv, format!("answered twice, first at {first}"));
         }
         if late && !excused {
-            self.violate(at, Rule::OneAnswer, inv, "answered after the client timeout".into());
+            self.record_violation(at, Rule::OneAnswer, inv, "answered after the client timeout".into());
         }
         if how == FinalStatus::Throttled && !harmless {
-            self.violate(at, Rule::NoEffectTwice, inv, "throttled, though it may have run".into());
+            self.record_violation(at, Rule::NoEffectTwice, inv, "throttled, though it may have run".into());
         }
     }
 
     /// What a runner is told of the time left, against what the client still waits.
-    fn time_told(&mut self, at: Micros, inv: InvocationId, told: Micros) {
-        let Some(case) = self.cases.get(&inv) else { return };
-        let left = case.expires_at - at;
-        if told > left + TOLD_SLACK + self.observation_delay {
+    fn check_reported_time(&mut self, at: Micros, inv: InvocationId, told: Micros) {
+        let Some(record) = self.invocations.get(&inv) else { return };
+        let left = record.expires_at - at;
+        if told > left + REPORTED_TIME_SLACK + self.observation_delay {
             let what = format!("its runner was told {told} us with {left} us left");
-            self.violate(at, Rule::DeadlineTold, inv, what);
+            self.record_violation(at, Rule::DeadlineTold, inv, what);
         }
     }
 
-    fn forwarded(
+    fn record_forward(
         &mut self,
         at: Micros,
         inv: InvocationId,
@@ -588,110 +597,116 @@
         cold: Option<f64>,
     ) {
         self.verdict.forwards += 1;
-        let slack = self.terms.slack + self.observation_delay;
-        let Some(case) = self.cases.get_mut(&inv) else {
-            return self.own_fault(at, format!("a forward of {inv:x}, which nobody took"));
+        let slack = self.parameters.slack + self.observation_delay;
+        let Some(record) = self.invocations.get_mut(&inv) else {
+            return self.record_lab_fault(at, format!("a forward of {inv:x}, which nobody took"));
         };
-        let mut wrong: Vec<(Rule, String)> = Vec::new();
-        if let Some((answered, _)) = case.answered.filter(|(answered, _)| at > answered + slack) {
-            wrong.push((Rule::OneAnswer, format!("forwarded after its answer at {answered}")));
+        let mut breaches: Vec<(Rule, String)> = Vec::new();
+        if let Some((answered, _)) = record.answered.filter(|(answered, _)| at > answered + slack) {
+            breaches.push((Rule::OneAnswer, format!("forwarded after its answer at {answered}")));
         }
-        if let Some(left) = case.left_at.filter(|left| at > left + LEFT_MOST + self.observation_delay) {
-            wrong.push((Rule::OneAnswer, format!("forwarded {} us after its client had left", at - left)));
+        if let Some(left) =
+            record.left_at.filter(|left| at > left + CLIENT_LEFT_GRACE + self.observation_delay)
+        {
+            breaches.push((Rule::OneAnswer, format!("forwarded {} us after its client had left", at - left)));
         }
-        if case.sent.iter().any(Sent::out) {
-            wrong.push((Rule::NoEffectTwice, "two forwards out at once".into()));
+        if record.sent.iter().any(SentForward::is_in_flight) {
+            breaches.push((Rule::NoEffectTwice, "two forwards out at once".into()));
         }
-        let op = &self.terms.operations[case.operation];
-        let place = |runner: u32| self.terms.places.get(runner as usize).copied().unwrap_or((usize::MAX, -1));
-        let first = case.sent.iter().find(|sent| !sent.never_ran());
+        let op = &self.parameters.operations[record.operation];
+        let location =
+            |runner: u32| self.parameters.locations.get(runner as usize).copied().unwrap_or((usize::MAX, -1));
+        let first = record.sent.iter().find(|sent| !sent.has_never_run());
         match (op.effect, first) {
             (_, None) | (Effect::Idempotent, _) => {}
             (Effect::NonIdempotent, Some(first)) => {
                 let what = format!("forwarded again, though it may have run at r{}", first.runner);
-                wrong.push((Rule::NoEffectTwice, what));
+                breaches.push((Rule::NoEffectTwice, what));
             }
             (Effect::Deduplicated, Some(first)) => {
-                let (there, here) = (place(first.runner), place(runner));
-                let inside = match op.group {
+                let (there, here) = (location(first.runner), location(runner));
+                let is_in_scope = match op.group {
                     DeduplicationScope::All => true,
                     DeduplicationScope::Zone => there.0 == here.0,
                     DeduplicationScope::Cell => there.1 == here.1,
                 };
-                if !inside {
+                if !is_in_scope {
                     let what = format!("forwarded again outside the group of r{}", first.runner);
-                    wrong.push((Rule::NoEffectTwice, what));
+                    breaches.push((Rule::NoEffectTwice, what));
                 }
                 if at > first.at + op.memory_span.0 + slack {
                     let what = format!("forwarded again, {} us after the first", at - first.at);
-                    wrong.push((Rule::NoEffectTwice, what));
+                    breaches.push((Rule::NoEffectTwice, what));
                 }
             }
         }
-        case.sent.push(Sent { runner, at, back: None, withdrawn: false });
+        record.sent.push(SentForward { runner, at, back: None, withdrawn: false });
 
         // Told, or treated as told: a change counts for everybody after a while.
-        let told = self.told.get(&(dispatcher, runner)).copied();
+        let told = self.notified.get(&(dispatcher, runner)).copied();
         let listed = self.listed.get(&runner).copied();
-        let treated = listed.filter(|(_, wanted, _)| !wanted).map(|(at, ..)| at + self.terms.ask_within);
-        let since = [told.and_then(|(since, _)| since), treated].into_iter().flatten().min();
-        let knows = since.filter(|since| at > since + self.terms.drain_grace + slack);
+        let deadline =
+            listed.filter(|(_, wanted, _)| !wanted).map(|(at, ..)| at + self.parameters.ask_within);
+        let since = [told.and_then(|(since, _)| since), deadline].into_iter().flatten().min();
+        let knows = since.filter(|since| at > since + self.parameters.drain_grace + slack);
         if let Some(since) = knows {
             let what = format!("forwarded to r{runner} {} us after it was told to leave it", at - since);
-            wrong.push((Rule::NothingToDraining, what));
+            breaches.push((Rule::NothingToDraining, what));
         }
-        self.first.entry(dispatcher).or_insert(at);
-        let out = self.hands.get(&(dispatcher, runner)).copied();
+        self.first_forwards.entry(dispatcher).or_insert(at);
+        let out = self.overrides.get(&(dispatcher, runner)).copied();
         if let Some(since) = out.filter(|since| at > since + slack) {
             let what = format!("d{dispatcher} forwarded to r{runner}, out by hand for {} us", at - since);
-            wrong.push((Rule::HandHolds, what));
+            breaches.push((Rule::HandHolds, what));
         }
         if let Some(capacity) = cold {
-            let told_of_start = told.is_some_and(|(_, wanted)| wanted);
+            let knows_start = told.is_some_and(|(_, wanted)| wanted);
             let cold = self.cold.entry(runner).or_default();
-            let span = self.terms.tip_after;
-            while cold.spent.front().is_some_and(|(sent, ..)| *sent <= at - span) {
-                cold.spent.pop_front();
+            let span = self.parameters.tip_after;
+            while cold.sends.front().is_some_and(|(sent, ..)| *sent <= at - span) {
+                cold.sends.pop_front();
             }
-            cold.spent.push_back((at, work, told_of_start));
-            let all: f64 = cold.spent.iter().map(|(_, work, _)| work).sum();
-            let knowing: f64 = cold.spent.iter().filter(|(.., told)| *told).map(|(_, work, _)| work).sum();
-            let budget = self.terms.overload_factor * capacity * span as f64;
+            cold.sends.push_back((at, work, knows_start));
+            let all: f64 = cold.sends.iter().map(|(_, work, _)| work).sum();
+            let knowing_work: f64 =
+                cold.sends.iter().filter(|(.., told)| *told).map(|(_, work, _)| work).sum();
+            let budget = self.parameters.overload_factor * capacity * span as f64;
             self.cold_work += work;
             self.max_cold_share = self.max_cold_share.max(all / budget);
-            let allowed = budget / self.terms.mean_work;
-            let (calls, by_chance) = (cold.spent.len() as f64, allowed + 2.0 * allowed.sqrt() + 2.0);
+            let allowed = budget / self.parameters.mean_work;
+            let (calls, random_limit) = (cold.sends.len() as f64, allowed + 2.0 * allowed.sqrt() + 2.0);
             let counted = &mut self.cold_calls;
             counted.spans += 1;
-            counted.over += u64::from(calls > by_chance);
-            counted.most = counted.most.max(calls / by_chance);
-            let blamed = knowing * 3.0 >= all * 2.0;
-            if calls > by_chance && blamed && !cold.broken {
+            counted.over += u64::from(calls > random_limit);
+            counted.most = counted.most.max(calls / random_limit);
+            let is_at_fault = knowing_work * 3.0 >= all * 2.0;
+            if calls > random_limit && is_at_fault && !cold.broken {
                 cold.broken = true;
                 let what =
                     format!("r{runner} was sent {calls} calls in a span in which it bears {allowed:.1}");
-                wrong.push((Rule::ColdBudget, what));
+                breaches.push((Rule::ColdBudget, what));
             }
-            let budget = budget * BY_CHANCE;
-            if all > budget && blamed && cold.spent.len() > 3 && !cold.broken {
+            let budget = budget * COLD_WORK_TOLERANCE;
+            if all > budget && is_at_fault && cold.sends.len() > 3 && !cold.broken {
                 cold.broken = true;
                 let what = format!("r{runner} was sent {all:.0} us of work in a span worth {budget:.0}");
-                wrong.push((Rule::ColdBudget, what));
+                breaches.push((Rule::ColdBudget, what));
             }
         }
-        for (rule, what) in wrong {
-            self.violate(at, rule, inv, what);
+        for (rule, what) in breaches {
+            self.record_violation(at, rule, inv, what);
         }
     }
 
-    fn came_back(&mut self, at: Micros, inv: InvocationId, runner: u32, how: Option<ForwardEnd>) {
-        let Some(case) = self.cases.get_mut(&inv) else { return };
-        let Some(sent) = case.sent.iter_mut().rev().find(|sent| sent.runner == runner) else {
+    fn record_forward_end(&mut self, at: Micros, inv: InvocationId, runner: u32, how: Option<ForwardEnd>) {
+        let Some(record) = self.invocations.get_mut(&inv) else { return };
+        let Some(sent) = record.sent.iter_mut().rev().find(|sent| sent.runner == runner) else {
             // Whoever likes may give up what was never there.
             if how.is_none() {
                 return;
             }
-            return self.own_fault(at, format!("an ending of {inv:x} at r{runner}, which was never sent it"));
+            return self
+                .record_lab_fault(at, format!("an ending of {inv:x} at r{runner}, which was never sent it"));
         };
         match how {
             None => sent.withdrawn = true,
@@ -700,17 +715,22 @@
         }
     }
 
-    fn ran(&mut self, at: Micros, inv: InvocationId, runner: u32) {
-        let Some(case) = self.cases.get_mut(&inv) else { return };
-        case.ran += 1;
-        if case.ran > 1 && self.terms.operations[case.operation].effect != Effect::Idempotent {
-            self.violate(at, Rule::NoEffectTwice, inv, format!("its effect came twice, now at r{runner}"));
+    fn record_start(&mut self, at: Micros, inv: InvocationId, runner: u32) {
+        let Some(record) = self.invocations.get_mut(&inv) else { return };
+        record.ran += 1;
+        if record.ran > 1 && self.parameters.operations[record.operation].effect != Effect::Idempotent {
+            self.record_violation(
+                at,
+                Rule::NoEffectTwice,
+                inv,
+                format!("its effect came twice, now at r{runner}"),
+            );
         }
     }
 
     /// The run is over: whatever is still owed now was never answered.
     pub fn finish(&mut self, at: Micros) {
-        let mut open: Vec<InvocationId> = self.cases.keys().copied().collect();
+        let mut open: Vec<InvocationId> = self.invocations.keys().copied().collect();
         open.sort_unstable();
         for inv in open {
             self.close(at, inv);
--- a/lab/src/judge/tests.rs
+++ b/lab/src/judge/tests.rs
@@ -2,11 +2,11 @@
 
 /// Each rule broken in the smallest way, and the same without the breach: the judge must tell them apart.
 fn verdict(text: &str, seen: &[(Micros, Observation)]) -> Verdict {
-    verdict_behind(0, text, seen)
+    verdict_with_delay(0, text, seen)
 }
 
 /// The same by a lab that is so late.
-fn verdict_behind(behind: Micros, text: &str, seen: &[(Micros, Observation)]) -> Verdict {
+fn verdict_with_delay(delay: Micros, text: &str, seen: &[(Micros, Observation)]) -> Verdict {
     let base = r#"
             name = "t"
             length = "10s"
@@ -27,7 +27,7 @@
     let scenario = Scenario::parse("t", &format!("{base}{text}")).unwrap();
     let places = vec![(0, 0), (1, 1), (0, 0), (1, 1)];
     let mut judge = Judge::new(JudgeParameters::of(&scenario, places, 0, 0));
-    judge.observation_delay = behind;
+    judge.observation_delay = delay;
     judge.observe(0, Observation::Taken { inv: 1, dispatcher: 0, operation: 0, expires_at: 5_000_000 });
     for (at, seen) in seen {
         judge.observe(*at, seen.clone());
@@ -73,10 +73,10 @@
 }
 
 #[test]
-fn what_the_lab_saw_late_is_nobody_elses_fault() {
-    let clean = |behind| {
+fn late_observations_are_not_held_against_a_dispatcher() {
+    let clean = |delay| {
         let late = answered(5_100_000, FinalStatus::Errored);
-        verdict_behind(behind, "", &[late]).is_clean()
+        verdict_with_delay(delay, "", &[late]).is_clean()
     };
     assert!(clean(100_000) && !clean(99_999));
 }
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn who_stood_still_is_excused_for_that_and_for_nothing_else() {
+fn a_suspended_dispatcher_is_excused_for_that_time_only() {
     let still = |at, still| (at, Observation::Still { dispatcher: 0, still });
     let told = (1_500_000, Observation::Told { dispatcher: 0, runner: 0, wanted: false });
     let late = answered(6_000_000, FinalStatus::Errored);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_an_operator_was_told_holds_over_a_restart() {
+fn a_confirmed_override_holds_over_a_restart() {
     let hand = |at, out| (at, Observation::Hand { dispatcher: 0, runner: 0, out });
     let began = (200, Observation::Began { dispatcher: 0 });
     let end = answered(900, FinalStatus::Errored);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn boot_numbers_rise_and_nothing_is_forwarded_without_a_list() {
+fn boot_numbers_rise_and_nothing_is_forwarded_without_a_roster() {
     let boot = |boot| (10, Observation::Boot { dispatcher: 0, boot });
     let began = (20, Observation::Began { dispatcher: 0 });
     let end = answered(900, FinalStatus::Errored);
@@ -170,7 +170,7 @@
 
 /// 3 x 0.2 x 2 s is twelve calls of the mean 100 ms: 20 are put down to chance, 21 are not, however short they are.
 #[test]
-fn cold_runners_are_sent_no_more_calls_than_chance_explains() {
+fn cold_runners_are_sent_no_more_calls_than_the_random_limit() {
     let sent = |count: i64, told: bool| {
         let mut seen = vec![(5, Observation::Listed { runner: 0, wanted: true, launched: Some(5) })];
         seen.extend(told.then_some((6, Observation::Told { dispatcher: 0, runner: 0, wanted: true })));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_runner_is_told_no_later_deadline_than_the_clients() {
+fn a_runner_gets_no_later_deadline_than_the_clients() {
     let told = |at, told| {
         let told = (at, Observation::TimeTold { inv: 1, told });
         verdict(
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_ends_excuses_only_what_had_not_been_read() {
+fn a_keep_alive_connection_that_ends_excuses_only_unread_invocations() {
     let crossed = (30, Observation::Crossed { inv: 1 });
     assert!(verdict("", std::slice::from_ref(&crossed)).is_clean());
     let read = [sent(10, 0), ended(20, 0, ForwardEnd::Succeeded), crossed.clone()];
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -36,13 +36,13 @@
     clients: Clients,
     zones: usize,
     /// Mean gap in microseconds at the highest rate.
-    gap: f64,
+    mean_gap: f64,
     peak: f64,
     at: f64,
-    ends: Micros,
-    chance: Pcg32,
+    end: Micros,
+    rng: Pcg32,
     /// The present stretch of bursts: until when, and whether high.
-    stretch: (f64, bool),
+    burst_phase: (f64, bool),
 }
 
 impl ArrivalGenerator {
@@ -68,16 +68,16 @@
         ArrivalGenerator {
             works: operations.iter().map(lognormal).collect(),
             keys: operations.iter().map(zipf).collect(),
-            gap: scenario.mean_work() / (capacity * clients.load * peak).max(1e-12),
+            mean_gap: scenario.mean_work() / (capacity * clients.load * peak).max(1e-12),
             peak,
             operations,
             shares,
             zones: scenario.zones.names.len(),
             clients,
             at: 0.0,
-            ends: scenario.length.0,
-            chance: seeded_generator(seed, 1),
-            stretch: (0.0, false),
+            end: scenario.length.0,
+            rng: seeded_generator(seed, 1),
+            burst_phase: (0.0, false),
         }
     }
 
@@ -88,11 +88,11 @@
             Arrivals::Poisson => 1.0,
             Arrivals::Daily => 1.0 + swing * (std::f64::consts::TAU * at / period).sin(),
             Arrivals::Bursts => {
-                while at >= self.stretch.0 {
-                    let draw: f64 = Exp1.sample(&mut self.chance);
-                    self.stretch = (self.stretch.0 + draw * period / 2.0, !self.stretch.1);
+                while at >= self.burst_phase.0 {
+                    let draw: f64 = Exp1.sample(&mut self.rng);
+                    self.burst_phase = (self.burst_phase.0 + draw * period / 2.0, !self.burst_phase.1);
                 }
-                if self.stretch.1 { 1.0 + swing } else { 1.0 - swing }
+                if self.burst_phase.1 { 1.0 + swing } else { 1.0 - swing }
             }
         }
     }
@@ -103,31 +103,31 @@
 
     fn next(&mut self) -> Option<ClientRequest> {
         loop {
-            let draw: f64 = Exp1.sample(&mut self.chance);
-            self.at += draw * self.gap;
-            if self.at >= self.ends as f64 {
+            let draw: f64 = Exp1.sample(&mut self.rng);
+            self.at += draw * self.mean_gap;
+            if self.at >= self.end as f64 {
                 return None;
             }
             // Thinning: arrivals at the highest rate, each kept by the share that the moment has of it.
             let level = self.level(self.at) / self.peak;
-            if self.chance.random::<f64>() < level {
+            if self.rng.random::<f64>() < level {
                 break;
             }
         }
-        let drawn: f64 = self.chance.random();
+        let drawn: f64 = self.rng.random();
         let operation = self.shares.iter().position(|sum| drawn < *sum).unwrap_or(self.shares.len() - 1);
         let op = &self.operations[operation];
         let mean = op.work.0 as f64;
         let work = match (op.shape, &self.works[operation]) {
-            (Shape::Lognormal, Some(drawn)) => drawn.sample(&mut self.chance),
+            (Shape::Lognormal, Some(drawn)) => drawn.sample(&mut self.rng),
             (Shape::Exponential, _) => {
-                let draw: f64 = Exp1.sample(&mut self.chance);
+                let draw: f64 = Exp1.sample(&mut self.rng);
                 draw * mean
             }
             _ => mean,
         };
-        let key = self.keys[operation].as_ref().map(|zipf| zipf.sample(&mut self.chance) as u32);
-        let zone = self.chance.random_range(0..self.zones);
+        let key = self.keys[operation].as_ref().map(|zipf| zipf.sample(&mut self.rng) as u32);
+        let zone = self.rng.random_range(0..self.zones);
         Some(ClientRequest { at: self.at as Micros, operation, work: work.max(1.0), key, zone })
     }
 }
@@ -149,27 +149,29 @@
     scenario: &Scenario,
     seed: u64,
     ask: (u64, &ClientRequest),
-    tries: u32,
+    attempts: u32,
     seen: AttemptResult,
     now: Micros,
 ) -> Option<Micros> {
     let (number, ask) = ask;
     let (clients, op) = (&scenario.clients, &scenario.operation[ask.operation]);
-    let inside = op.effect == Effect::Deduplicated
+    let is_within_window = op.effect == Effect::Deduplicated
         && op.group == DeduplicationScope::All
         && now < ask.at + op.memory_span.0.saturating_sub(100_000);
-    let harmless = match seen {
+    let repeat_is_harmless = match seen {
         AttemptResult::Succeeded => false,
         AttemptResult::Throttled(_) | AttemptResult::Untaken => true,
-        AttemptResult::Errored | AttemptResult::Nothing => op.effect == Effect::Idempotent || inside,
+        AttemptResult::Errored | AttemptResult::Nothing => {
+            op.effect == Effect::Idempotent || is_within_window
+        }
     };
-    if !harmless || tries > clients.retries {
+    if !repeat_is_harmless || attempts > clients.retries {
         return None;
     }
-    let mut chance = seeded_generator(seed, (number << 8) | 0x80 | u64::from(tries));
-    let wait = (clients.retry_wait.0 << (tries - 1).min(10)) as f64 * chance.random_range(0.5..1.5);
+    let mut rng = seeded_generator(seed, (number << 8) | 0x80 | u64::from(attempts));
+    let wait = (clients.retry_wait.0 << (attempts - 1).min(10)) as f64 * rng.random_range(0.5..1.5);
     let wait = match seen {
-        AttemptResult::Throttled(Some(advice)) if chance.random::<f64>() < clients.honour => advice as f64,
+        AttemptResult::Throttled(Some(advice)) if rng.random::<f64>() < clients.honour => advice as f64,
         _ => wait,
     };
     let at = now + wait as Micros;
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -72,17 +72,17 @@
         _ => Box::new(Baseline {
             policy,
             settings,
-            chance: seeded_generator(seed, 4),
+            rng: seeded_generator(seed, 4),
             listed: Vec::new(),
             reported: HashMap::new(),
-            turn: 0,
-            invs: HashMap::new(),
+            next_turn: 0,
+            invocations: HashMap::new(),
             subscribed: false,
         }),
     }
 }
 
-struct Held {
+struct OpenInvocation {
     operation: usize,
     forwards: u32,
     may_have_run: bool,
@@ -91,11 +91,11 @@
 struct Baseline {
     policy: Policy,
     settings: Settings,
-    chance: Pcg32,
+    rng: Pcg32,
     listed: Vec<(u32, Id)>,
     reported: HashMap<u32, f64>,
-    turn: usize,
-    invs: HashMap<Id, Held>,
+    next_turn: usize,
+    invocations: HashMap<Id, OpenInvocation>,
     subscribed: bool,
 }
 
@@ -113,24 +113,24 @@
         let count =
             |(r, _): &(u32, Id)| truth[*r as usize].jobs() as f64 / f64::from(truth[*r as usize].slots);
         let nth = match self.policy {
-            Policy::Topazsail | Policy::Random => self.chance.random_range(0..all),
+            Policy::Topazsail | Policy::Random => self.rng.random_range(0..all),
             Policy::RoundRobin => {
-                self.turn += 1;
-                self.turn % all
+                self.next_turn += 1;
+                self.next_turn % all
             }
             Policy::LeastOfAll => {
                 // Ties by chance, or the first of the list would have them all.
-                let first = self.chance.random_range(0..all);
+                let first = self.rng.random_range(0..all);
                 let order = (0..all).map(|step| (first + step) % all);
                 order.min_by(|a, b| count(&self.listed[*a]).total_cmp(&count(&self.listed[*b])))?
             }
             Policy::LeastReported(draws) => {
-                let drawn: Vec<usize> = (0..draws).map(|_| self.chance.random_range(0..all)).collect();
-                let told = |nth: &usize| self.reported.get(&self.listed[*nth].0).copied().unwrap_or(0.0);
-                drawn.into_iter().min_by(|a, b| told(a).total_cmp(&told(b)))?
+                let drawn: Vec<usize> = (0..draws).map(|_| self.rng.random_range(0..all)).collect();
+                let reported = |nth: &usize| self.reported.get(&self.listed[*nth].0).copied().unwrap_or(0.0);
+                drawn.into_iter().min_by(|a, b| reported(a).total_cmp(&reported(b)))?
             }
             Policy::LeastTrue(draws) => {
-                let drawn: Vec<usize> = (0..draws).map(|_| self.chance.random_range(0..all)).collect();
+                let drawn: Vec<usize> = (0..draws).map(|_| self.rng.random_range(0..all)).collect();
                 drawn
                     .into_iter()
                     .min_by(|a, b| count(&self.listed[*a]).total_cmp(&count(&self.listed[*b])))?
@@ -140,22 +140,22 @@
     }
 
     fn forward(&mut self, inv: Id, truth: &[Runner]) -> Vec<Action> {
-        let tgt = self.choose(truth);
-        let Some(held) = self.invs.get_mut(&inv) else { return Vec::new() };
-        match tgt {
-            Some(tgt) if held.forwards < self.settings.max_forwards => {
-                held.forwards += 1;
-                vec![Action::Forward { invocation: inv, runner: tgt, latest: None }]
+        let runner = self.choose(truth);
+        let Some(open) = self.invocations.get_mut(&inv) else { return Vec::new() };
+        match runner {
+            Some(runner) if open.forwards < self.settings.max_forwards => {
+                open.forwards += 1;
+                vec![Action::Forward { invocation: inv, runner: runner, latest: None }]
             }
-            _ => self.give_up(inv),
+            _ => self.answer_failure(inv),
         }
     }
 
-    fn give_up(&mut self, inv: Id) -> Vec<Action> {
-        let Some(held) = self.invs.remove(&inv) else { return Vec::new() };
-        let effect = self.settings.operations[held.operation].effect;
+    fn answer_failure(&mut self, inv: Id) -> Vec<Action> {
+        let Some(open) = self.invocations.remove(&inv) else { return Vec::new() };
+        let effect = self.settings.operations[open.operation].effect;
         let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated(DeduplicationScope::All));
-        match harmless || !held.may_have_run {
+        match harmless || !open.may_have_run {
             true => vec![Action::Throttle {
                 invocation: inv,
                 retry_after: self.settings.max_retry_after.map(|most| most / 4),
@@ -169,8 +169,8 @@
     fn decide(&mut self, _: Micros, happened: Event, truth: &[Runner]) -> Vec<Action> {
         match happened {
             Event::Arrival(arrival) => {
-                let held = Held { operation: arrival.operation, forwards: 0, may_have_run: false };
-                self.invs.insert(arrival.invocation.clone(), held);
+                let open = OpenInvocation { operation: arrival.operation, forwards: 0, may_have_run: false };
+                self.invocations.insert(arrival.invocation.clone(), open);
                 self.forward(arrival.invocation, truth)
             }
             Event::Outcome(outcome) => {
@@ -178,44 +178,44 @@
                     self.reported.insert(runner_number(&outcome.runner), *in_flight);
                 }
                 if outcome.answered {
-                    self.invs.remove(&outcome.invocation);
+                    self.invocations.remove(&outcome.invocation);
                     return Vec::new();
                 }
                 let never = matches!(
                     outcome.result,
                     ForwardResult::Overloaded | ForwardResult::Unreachable | ForwardResult::Void
                 );
-                let Some(held) = self.invs.get_mut(&outcome.invocation) else { return Vec::new() };
-                held.may_have_run |= !never;
-                let effect = self.settings.operations[held.operation].effect;
+                let Some(open) = self.invocations.get_mut(&outcome.invocation) else { return Vec::new() };
+                open.may_have_run |= !never;
+                let effect = self.settings.operations[open.operation].effect;
                 // Groups and spans are left alone: what may have run goes again only where any runner will do.
-                let again = !held.may_have_run || effect == Effect::Idempotent;
+                let again = !open.may_have_run || effect == Effect::Idempotent;
                 if again && outcome.result != ForwardResult::TimedOut {
                     self.forward(outcome.invocation, truth)
                 } else {
-                    self.give_up(outcome.invocation)
+                    self.answer_failure(outcome.invocation)
                 }
             }
             Event::ClientLeft { invocation: inv } => {
-                self.invs.remove(&inv);
+                self.invocations.remove(&inv);
                 Vec::new()
             }
             Event::Roster(roster) => {
-                let whole = roster.listing == Listing::All || roster.listing == Listing::Remembered;
-                if whole {
+                let is_whole = roster.listing == Listing::All || roster.listing == Listing::Remembered;
+                if is_whole {
                     self.listed.clear();
                 }
                 for entry in roster.entries {
                     let r = runner_number(&entry.runner);
-                    if !whole {
+                    if !is_whole {
                         self.listed.retain(|(known, _)| *known != r);
                     }
                     if entry.readiness == Readiness::Up {
                         self.listed.push((r, entry.runner));
                     }
                 }
-                let ask = !std::mem::replace(&mut self.subscribed, roster.listing != Listing::Refused);
-                if ask { vec![Action::Subscribe] } else { Vec::new() }
+                let subscribe = !std::mem::replace(&mut self.subscribed, roster.listing != Listing::Refused);
+                if subscribe { vec![Action::Subscribe] } else { Vec::new() }
             }
             _ => Vec::new(),
         }
--- a/lab/src/ramp.rs
+++ b/lab/src/ramp.rs
@@ -20,7 +20,7 @@
 pub fn ramp(scenario: &Scenario, seed: u64) -> (Vec<(f64, f64)>, f64) {
     let mut world = World::new(scenario, seed);
     let seconds = ((scenario.length.0 + SECOND - 1) / SECOND) as usize;
-    let mut room = vec![0.0; seconds];
+    let mut capacities = vec![0.0; seconds];
     let mut budget = 0.0;
     let schedule = std::mem::take(&mut world.schedule);
     let mut schedule = schedule.into_iter().peekable();
@@ -28,36 +28,40 @@
         while let Some((_, change)) = schedule.next_if(|(due, _)| *due <= at) {
             world.apply(at, &change);
         }
-        let able = world.runners.iter().filter(|r| r.state == ProcessState::Up && !r.frozen && !r.draining);
-        let cold = able.clone().filter(|runner| runner.warmth(at) < 1.0);
+        let working =
+            world.runners.iter().filter(|r| r.state == ProcessState::Up && !r.frozen && !r.draining);
+        let cold = working.clone().filter(|runner| runner.warmth(at) < 1.0);
         budget += cold.map(|runner| runner.capacity(at)).sum::<f64>() * STEP as f64;
-        let capacity: f64 = able.map(|runner| runner.capacity(at)).sum();
-        room[(at / SECOND) as usize] += capacity * STEP as f64;
+        let capacity: f64 = working.map(|runner| runner.capacity(at)).sum();
+        capacities[(at / SECOND) as usize] += capacity * STEP as f64;
     }
     let mut asked: Vec<Vec<(f64, f64)>> = vec![Vec::new(); seconds];
     for ask in ArrivalGenerator::new(scenario, world.capacity(), seed) {
         let value = scenario.operation[ask.operation].billed_value;
         asked[((ask.at / SECOND) as usize).min(seconds - 1)].push((value, ask.work));
     }
-    let even = |asked: &[(f64, f64)], room: f64| {
+    let even = |asked: &[(f64, f64)], capacity: f64| {
         let work: f64 = asked.iter().map(|(_, work)| work).sum();
-        if work > room { round(room / work) } else { 1.0 }
+        if work > capacity { round(capacity / work) } else { 1.0 }
     };
-    let by_second = asked.into_iter().zip(room).map(|(asked, room)| (even(&asked, room), best(asked, room)));
+    let by_second = asked
+        .into_iter()
+        .zip(capacities)
+        .map(|(asked, capacity)| (even(&asked, capacity), best(asked, capacity)));
     (by_second.collect(), budget * scenario.limits.overload_factor)
 }
 
 /// The share of the value that fits, by value for work.
-fn best(mut asked: Vec<(f64, f64)>, mut room: f64) -> f64 {
+fn best(mut asked: Vec<(f64, f64)>, mut capacity: f64) -> f64 {
     let all: f64 = asked.iter().map(|(value, _)| value).sum();
     asked.sort_by(|a, b| (b.0 / b.1).total_cmp(&(a.0 / a.1)));
-    let mut got = 0.0;
+    let mut achieved = 0.0;
     for (value, work) in asked {
-        let fits = (room / work).clamp(0.0, 1.0);
-        got += value * fits;
-        room -= work * fits;
+        let fits = (capacity / work).clamp(0.0, 1.0);
+        achieved += value * fits;
+        capacity -= work * fits;
     }
-    if all > 0.0 { round(got / all) } else { 1.0 }
+    if all > 0.0 { round(achieved / all) } else { 1.0 }
 }
 
 /// Seconds over which runners are short: from the first in which the ramp falls below what it is worth measuring,
@@ -74,27 +78,27 @@
     pub caught_up: Option<f64>,
 }
 
-const WHOLE: f64 = 0.995;
+const FULL_RAMP: f64 = 0.995;
 const CAUGHT_UP: f64 = 0.95;
 
 /// The longest stretch after an outage in which warmth binds; none where it never does. Seconds without power are
 /// no part of it.
 pub fn compare_with_ramp(windows: &[Window]) -> Option<RampComparison> {
-    let short = |window: &&Window| window.ramp > 0.0 && window.ramp < WHOLE;
+    let short = |window: &&Window| window.ramp > 0.0 && window.ramp < FULL_RAMP;
     let first = windows.iter().position(|window| short(&window))?;
     let last = windows.iter().rposition(|window| short(&window))?;
-    let stretch: Vec<&Window> = windows[first..=last].iter().filter(|window| window.ramp > 0.0).collect();
-    let behind = stretch.iter().rposition(|window| window.goodput < CAUGHT_UP * window.ramp);
+    let seconds: Vec<&Window> = windows[first..=last].iter().filter(|window| window.ramp > 0.0).collect();
+    let behind = seconds.iter().rposition(|window| window.goodput < CAUGHT_UP * window.ramp);
     let caught_up = match behind {
         None => Some(0.0),
-        Some(nth) => stretch.get(nth + 1).map(|window| round(window.at - windows[first].at)),
+        Some(nth) => seconds.get(nth + 1).map(|window| round(window.at - windows[first].at)),
     };
     Some(RampComparison {
         from: windows[first].at,
         until: windows[last].at + 1.0,
-        achieved: round(stretch.iter().map(|window| window.goodput).sum()),
-        ramp: round(stretch.iter().map(|window| window.ramp).sum()),
-        best: round(stretch.iter().map(|window| window.best).sum()),
+        achieved: round(seconds.iter().map(|window| window.goodput).sum()),
+        ramp: round(seconds.iter().map(|window| window.ramp).sum()),
+        best: round(seconds.iter().map(|window| window.best).sum()),
         caught_up,
     })
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -44,14 +44,14 @@
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(fault)?;
+        area.fill(&WHITE).map_err(plot_error)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(56)
             .build_cartesian_2d(x, 0.0..top)
-            .map_err(fault)?;
+            .map_err(plot_error)?;
         let name = |x: &f64| match names {
             Some(names) => names.get(*x as usize).map_or(String::new(), |(name, _)| name.clone()),
             None => format!("{x}"),
@@ -61,14 +61,14 @@
         if let Some(names) = names {
             mesh.disable_x_mesh().x_labels(names.len().min(24));
         }
-        mesh.draw().map_err(fault)?;
+        mesh.draw().map_err(plot_error)?;
         draw(&mut chart)?;
-        area.present().map_err(fault)?;
+        area.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
 
-fn fault(error: impl std::fmt::Display) -> String {
+fn plot_error(error: impl std::fmt::Display) -> String {
     format!("plot: {error}")
 }
 
@@ -87,18 +87,22 @@
         let band = |band: &FaultBand| {
             Rectangle::new([(band.from, 0.0), (band.to.max(band.from + 0.05), top)], shade.filled())
         };
-        chart.draw_series(bands.iter().map(band)).map_err(fault)?;
+        chart.draw_series(bands.iter().map(band)).map_err(plot_error)?;
         for (nth, (name, points)) in lines.iter().enumerate() {
             let colour = PALETTE[nth % PALETTE.len()];
             chart
                 .draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))
-                .map_err(fault)?
+                .map_err(plot_error)?
                 .label(name.clone())
                 .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour.stroke_width(2)));
         }
         if lines.len() > 1 {
             let mut labels = chart.configure_series_labels();
-            labels.background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.3)).draw().map_err(fault)?;
+            labels
+                .background_style(WHITE.mix(0.8))
+                .border_style(BLACK.mix(0.3))
+                .draw()
+                .map_err(plot_error)?;
         }
         Ok(())
     })
@@ -111,7 +115,7 @@
             let x = nth as f64;
             Rectangle::new([(x + 0.1, 0.0), (x + 0.9, *value)], PALETTE[0].mix(0.7).filled())
         });
-        chart.draw_series(boxes).map_err(fault).map(|_| ())
+        chart.draw_series(boxes).map_err(plot_error).map(|_| ())
     })
 }
 
@@ -227,8 +231,8 @@
 }
 
 /// The page of a comparison.
-pub fn comparison_page(found: &Comparison) -> Result<String, String> {
-    let rows: Vec<Vec<String>> = found
+pub fn comparison_page(comparison: &Comparison) -> Result<String, String> {
+    let rows: Vec<Vec<String>> = comparison
         .pairs
         .iter()
         .map(|pair| {
@@ -242,21 +246,21 @@
             ]
         })
         .collect();
-    let body = format!("<pre>{}</pre>", escaped(&comparison_text(found)))
+    let body = format!("<pre>{}</pre>", escaped(&comparison_text(comparison)))
         + &table(&["seed", "goodput, ours", "other", "p99 ms, ours", "other", "rules broken"], &rows);
-    Ok(page(&format!("{}: {} against {}", found.scenario, found.ours, found.against), &body))
+    Ok(page(&format!("{}: {} against {}", comparison.scenario, comparison.ours, comparison.against), &body))
 }
 
-pub fn comparison_text(found: &Comparison) -> String {
+pub fn comparison_text(comparison: &Comparison) -> String {
     let mut text = format!(
         "{}: {} against {}, {} pairs, {} void\n",
-        found.scenario,
-        found.ours,
-        found.against,
-        found.pairs.len(),
-        found.void
+        comparison.scenario,
+        comparison.ours,
+        comparison.against,
+        comparison.pairs.len(),
+        comparison.void
     );
-    for (name, difference) in [("goodput", found.goodput), ("p99 ms", found.p99)] {
+    for (name, difference) in [("goodput", comparison.goodput), ("p99 ms", comparison.p99)] {
         text += &match difference {
             Some(d) => format!(
                 "  {name}: {:+.4} ± {:.4} (95%){}\n",
@@ -334,16 +338,16 @@
         outcome.traffic.probes,
         outcome.traffic.connections,
     );
-    if let Some(found) = ramp::compare_with_ramp(&outcome.windows) {
+    if let Some(comparison) = ramp::compare_with_ramp(&outcome.windows) {
         text += &format!(
             "  cold from {} s to {} s: {:.2} of the ramp's {:.2} ({:.3}; {:.2} by value), at 0.95 of it {}\n",
-            found.from,
-            found.until,
-            found.achieved,
-            found.ramp,
-            found.achieved / found.ramp,
-            found.best,
-            found.caught_up.map_or_else(|| "never".to_owned(), |after| format!("after {after} s")),
+            comparison.from,
+            comparison.until,
+            comparison.achieved,
+            comparison.ramp,
+            comparison.achieved / comparison.ramp,
+            comparison.best,
+            comparison.caught_up.map_or_else(|| "never".to_owned(), |after| format!("after {after} s")),
         );
     }
     if let Some(cold) = &outcome.cold {
@@ -390,13 +394,13 @@
 
 /// Writes a file whole or not at all.
 pub fn write(path: &Path, text: &str) -> Result<(), String> {
-    let fault = |error: std::io::Error| format!("{}: {error}", path.display());
+    let io_error = |error: std::io::Error| format!("{}: {error}", path.display());
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    fs::create_dir_all(folder).map_err(fault)?;
-    let mut file = tempfile::NamedTempFile::new_in(folder).map_err(fault)?;
-    std::io::Write::write_all(&mut file, text.as_bytes()).map_err(fault)?;
-    file.as_file().sync_all().map_err(fault)?;
-    file.persist(path).map_err(|error| fault(error.error))?;
+    fs::create_dir_all(folder).map_err(io_error)?;
+    let mut file = tempfile::NamedTempFile::new_in(folder).map_err(io_error)?;
+    std::io::Write::write_all(&mut file, text.as_bytes()).map_err(io_error)?;
+    file.as_file().sync_all().map_err(io_error)?;
+    file.persist(path).map_err(|error| io_error(error.error))?;
     Ok(())
 }
 
--- a/lab/src/runner.rs
+++ b/lab/src/runner.rs
@@ -66,7 +66,7 @@
 }
 
 impl Impairment {
-    fn strikes(&self, operation: usize) -> bool {
+    fn affects(&self, operation: usize) -> bool {
         self.operation.is_none_or(|only| only == operation)
     }
 }
@@ -79,7 +79,7 @@
     pub cell: i64,
     pub kind: usize,
     pub slots: u32,
-    places: u32,
+    queue_limit: u32,
     pub speed: f64,
     handshake: Micros,
     pub max_connections: u32,
@@ -95,7 +95,7 @@
     pub slow: Option<Impairment>,
     pub errors: Option<Impairment>,
     pub loses: Option<Impairment>,
-    progress: Micros,
+    progress_interval: Micros,
     /// How far the service clock has come, in work of one slot at speed 1, and when that was.
     service: f64,
     at: Micros,
@@ -103,22 +103,22 @@
     running: BTreeMap<(u64, Job), Running>,
     ends: BTreeMap<Job, u64>,
     waiting: VecDeque<(Job, usize, f64)>,
-    notes: BTreeMap<(Micros, Job), ()>,
-    chance: Pcg32,
+    progress_due: BTreeMap<(Micros, Job), ()>,
+    rng: Pcg32,
     report_delay: Micros,
-    past: VecDeque<(Micros, LoadReport)>,
+    past_loads: VecDeque<(Micros, LoadReport)>,
     /// Work done, for the report of a run.
     pub work_done: f64,
 }
 
 impl Runner {
-    pub fn new(pool: &Pool, kind: usize, place: (usize, i64), limits: &Limits, chance: Pcg32) -> Runner {
+    pub fn new(pool: &Pool, kind: usize, place: (usize, i64), limits: &Limits, rng: Pcg32) -> Runner {
         Runner {
             zone: place.0,
             cell: place.1,
             kind,
             slots: pool.slots,
-            places: pool.queue,
+            queue_limit: pool.queue,
             speed: pool.speed,
             handshake: pool.handshake.0,
             max_connections: pool.connections,
@@ -132,29 +132,29 @@
             slow: None,
             errors: None,
             loses: None,
-            progress: 0,
+            progress_interval: 0,
             service: 0.0,
             at: 0,
             running: BTreeMap::new(),
             ends: BTreeMap::new(),
             waiting: VecDeque::new(),
-            notes: BTreeMap::new(),
-            chance,
+            progress_due: BTreeMap::new(),
+            rng,
             report_delay: 0,
-            past: VecDeque::new(),
+            past_loads: VecDeque::new(),
             work_done: 0.0,
         }
     }
 
     /// Notes of progress at this gap; none for 0.
     pub fn set_progress_interval(&mut self, gap: Micros) {
-        self.progress = gap;
+        self.progress_interval = gap;
     }
 
     pub fn set_report_delay(&mut self, now: Micros, delay: Micros) {
         self.report_delay = delay;
-        self.past.clear();
-        self.remember(now);
+        self.past_loads.clear();
+        self.record_load(now);
     }
 
     /// The share of its full capacity that it has.
@@ -175,7 +175,7 @@
     }
 
     fn rate(&self, now: Micros) -> f64 {
-        let slow = self.slow.filter(|ail| ail.operation.is_none()).map_or(1.0, |ail| ail.size);
+        let slow = self.slow.filter(|fault| fault.operation.is_none()).map_or(1.0, |fault| fault.size);
         if self.frozen || self.state != ProcessState::Up { 0.0 } else { self.speed * self.warmth(now) / slow }
     }
 
@@ -214,13 +214,13 @@
             let rate = self.rate(self.at).max(1e-9);
             self.at + (((end - self.service) / rate).ceil() as Micros).max(0)
         });
-        let note = self.notes.keys().next().map(|(at, _)| (*at).max(self.at));
+        let report = self.progress_due.keys().next().map(|(at, _)| (*at).max(self.at));
         let step = self.next_step().filter(|_| !self.running.is_empty());
-        [end, note, step].into_iter().flatten().min()
+        [end, report, step].into_iter().flatten().min()
     }
 
     /// Ends, starts and notes up to `now`.
-    pub fn wake(&mut self, now: Micros, news: &mut Vec<(Job, JobEvent)>) {
+    pub fn wake(&mut self, now: Micros, events: &mut Vec<(Job, JobEvent)>) {
         self.advance(now);
         if self.frozen || self.state != ProcessState::Up {
             return;
@@ -234,36 +234,36 @@
             self.running.pop_first();
             self.ends.remove(&job);
             ended = true;
-            news.push((job, JobEvent::Done));
+            events.push((job, JobEvent::Done));
         }
         if ended {
-            self.fill(now, news);
+            self.fill(now, events);
         }
-        while let Some((&(at, job), ())) = self.notes.first_key_value()
+        while let Some((&(at, job), ())) = self.progress_due.first_key_value()
             && at <= now
         {
-            self.notes.pop_first();
+            self.progress_due.pop_first();
             let Some(end) = self.ends.get(&job) else { continue };
             if let Some(running) = self.running.get(&(*end, job)) {
                 let left = (f64::from_bits(*end) - self.service).max(0.0);
-                news.push((job, JobEvent::Progress((1.0 - left / running.work.max(1.0)).clamp(0.0, 1.0))));
-                self.notes.insert((now + self.progress, job), ());
+                events.push((job, JobEvent::Progress((1.0 - left / running.work.max(1.0)).clamp(0.0, 1.0))));
+                self.progress_due.insert((now + self.progress_interval, job), ());
             }
         }
-        self.remember(now);
+        self.record_load(now);
     }
 
     /// Starts what waits while slots are free.
-    fn fill(&mut self, now: Micros, news: &mut Vec<(Job, JobEvent)>) {
+    fn fill(&mut self, now: Micros, events: &mut Vec<(Job, JobEvent)>) {
         while self.running.len() < self.slots as usize {
             let Some((job, _, work)) = self.waiting.pop_front() else { break };
             let end = (self.service + work).to_bits();
             self.running.insert((end, job), Running { began: now, work });
             self.ends.insert(job, end);
-            if self.progress > 0 {
-                self.notes.insert((now + self.progress, job), ());
+            if self.progress_interval > 0 {
+                self.progress_due.insert((now + self.progress_interval, job), ());
             }
-            news.push((job, JobEvent::Started));
+            events.push((job, JobEvent::Started));
         }
     }
 
@@ -274,7 +274,7 @@
         job: Job,
         operation: usize,
         work: f64,
-        news: &mut Vec<(Job, JobEvent)>,
+        events: &mut Vec<(Job, JobEvent)>,
     ) -> OfferResult {
         self.advance(now);
         if self.draining {
@@ -283,41 +283,42 @@
         if self.holds(job) {
             return OfferResult::Failed;
         }
-        if let Some(ail) = self.errors.filter(|ail| ail.strikes(operation))
-            && self.chance.random_bool(ail.size)
+        if let Some(fault) = self.errors.filter(|fault| fault.affects(operation))
+            && self.rng.random_bool(fault.size)
         {
             return OfferResult::Failed;
         }
-        if let Some(ail) = self.loses.filter(|ail| ail.strikes(operation))
-            && self.chance.random_bool(ail.size)
+        if let Some(fault) = self.loses.filter(|fault| fault.affects(operation))
+            && self.rng.random_bool(fault.size)
         {
             return OfferResult::Accepted;
         }
-        if self.running.len() >= self.slots as usize && self.waiting.len() >= self.places as usize {
+        if self.running.len() >= self.slots as usize && self.waiting.len() >= self.queue_limit as usize {
             return OfferResult::Full;
         }
-        let only = self.slow.filter(|ail| ail.operation == Some(operation)).map_or(1.0, |ail| ail.size);
+        let only =
+            self.slow.filter(|fault| fault.operation == Some(operation)).map_or(1.0, |fault| fault.size);
         self.waiting.push_back((job, operation, work.max(1.0) * only));
-        self.fill(now, news);
-        self.remember(now);
+        self.fill(now, events);
+        self.record_load(now);
         OfferResult::Accepted
     }
 
     pub fn holds(&self, job: Job) -> bool {
-        self.ends.contains_key(&job) || self.waiting.iter().any(|(waits, ..)| *waits == job)
+        self.ends.contains_key(&job) || self.waiting.iter().any(|(queued, ..)| *queued == job)
     }
 
     /// Gives a job up, wherever it is. Whether it was known.
-    pub fn cancel(&mut self, now: Micros, job: Job, news: &mut Vec<(Job, JobEvent)>) -> bool {
+    pub fn cancel(&mut self, now: Micros, job: Job, events: &mut Vec<(Job, JobEvent)>) -> bool {
         self.advance(now);
         let before = self.waiting.len();
-        self.waiting.retain(|(waits, ..)| *waits != job);
+        self.waiting.retain(|(queued, ..)| *queued != job);
         let known = match self.ends.remove(&job) {
             Some(end) => self.running.remove(&(end, job)).is_some(),
             None => self.waiting.len() < before,
         };
-        self.fill(now, news);
-        self.remember(now);
+        self.fill(now, events);
+        self.record_load(now);
         known
     }
 
@@ -343,15 +344,15 @@
     pub fn change(&mut self, now: Micros, change: impl FnOnce(&mut Runner)) {
         self.advance(now);
         change(self);
-        self.remember(now);
+        self.record_load(now);
     }
 
     /// Drains: what has not started is handed back, nothing new is taken.
-    pub fn drain(&mut self, now: Micros, news: &mut Vec<(Job, JobEvent)>) {
+    pub fn drain(&mut self, now: Micros, events: &mut Vec<(Job, JobEvent)>) {
         self.advance(now);
         self.draining = true;
-        news.extend(self.waiting.drain(..).map(|(job, ..)| (job, JobEvent::Returned)));
-        self.remember(now);
+        events.extend(self.waiting.drain(..).map(|(job, ..)| (job, JobEvent::Returned)));
+        self.record_load(now);
     }
 
     /// The process ends; the jobs that it held are gone.
@@ -364,7 +365,7 @@
         self.running.clear();
         self.ends.clear();
         self.waiting.clear();
-        self.notes.clear();
+        self.progress_due.clear();
         self.connections = 0;
         jobs
     }
@@ -375,7 +376,7 @@
         self.state = ProcessState::Up;
         (self.frozen, self.draining) = (false, false);
         self.launched = Some(now);
-        self.remember(now);
+        self.record_load(now);
     }
 
     pub fn load(&self) -> LoadReport {
@@ -393,29 +394,29 @@
         self.running.len() + self.waiting.len()
     }
 
-    fn remember(&mut self, now: Micros) {
+    fn record_load(&mut self, now: Micros) {
         if self.report_delay == 0 {
             return;
         }
         let load = self.load();
-        self.past.push_back((now, load));
-        while self.past.len() > 1 && self.past[1].0 <= now - self.report_delay {
-            self.past.pop_front();
+        self.past_loads.push_back((now, load));
+        while self.past_loads.len() > 1 && self.past_loads[1].0 <= now - self.report_delay {
+            self.past_loads.pop_front();
         }
     }
 
     /// The load report that it hands out.
     pub fn report(&self, now: Micros) -> LoadReport {
-        let told = self.past.iter().rev().find(|(at, _)| *at <= now - self.report_delay);
+        let reported = self.past_loads.iter().rev().find(|(at, _)| *at <= now - self.report_delay);
         if self.report_delay == 0 {
             self.load()
         } else {
-            told.or(self.past.front()).map_or(self.load(), |t| t.1)
+            reported.or(self.past_loads.front()).map_or(self.load(), |t| t.1)
         }
     }
 
     /// A number from this runner's own generator, for whoever plays it.
     pub fn draw(&mut self) -> u32 {
-        self.chance.next_u32()
+        self.rng.next_u32()
     }
 }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -18,7 +18,7 @@
 pub struct Span(pub Micros);
 
 /// About a day: no run and nothing in one takes longer.
-const SPAN_MOST: Micros = 86_400_000_000;
+const MAX_SPAN: Micros = 86_400_000_000;
 
 impl Serialize for Span {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
@@ -29,8 +29,8 @@
 
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
-        struct Spans;
-        impl Visitor<'_> for Spans {
+        struct SpanVisitor;
+        impl Visitor<'_> for SpanVisitor {
             type Value = Span;
 
             fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
@@ -41,12 +41,12 @@
                 let span = humantime::parse_duration(text)
                     .map_err(|error| E::custom(format!("bad span '{text}': {error}")))?;
                 match Micros::try_from(span.as_micros()) {
-                    Ok(span) if span <= SPAN_MOST => Ok(Span(span)),
+                    Ok(span) if span <= MAX_SPAN => Ok(Span(span)),
                     _ => Err(E::custom(format!("the span '{text}' is longer than a day"))),
                 }
             }
         }
-        from.deserialize_str(Spans)
+        from.deserialize_str(SpanVisitor)
     }
 }
 
@@ -184,7 +184,7 @@
 }
 
 impl Overlay {
-    fn on(self, base: Scenario) -> Scenario {
+    fn apply_to(self, base: Scenario) -> Scenario {
         Scenario {
             name: self.name,
             about: self.about.unwrap_or_default(),
@@ -588,18 +588,18 @@
     lines.map(|(at, _)| at + 1).nth(nth).unwrap_or(1)
 }
 
-fn stands_on_another(text: &str) -> bool {
+fn has_base(text: &str) -> bool {
     text.parse::<toml::Table>().is_ok_and(|table| table.contains_key("base"))
 }
 
-fn typed<T: serde::de::DeserializeOwned>(name: &str, text: &str) -> Result<T, String> {
+fn parse_toml<T: serde::de::DeserializeOwned>(name: &str, text: &str) -> Result<T, String> {
     toml::from_str(text).map_err(|error| {
         let line = line_of(text, error.span().map_or(0, |span| span.start));
-        let said = error.message().lines().next().unwrap_or("not a scenario").to_owned();
+        let message = error.message().lines().next().unwrap_or("not a scenario").to_owned();
         // The field is named too where the message alone does not.
         let field = text.lines().nth(line - 1).and_then(|line| line.split_once('='));
-        let field = field.map(|(field, _)| field.trim()).filter(|field| !said.contains(field));
-        format!("{name}:{line}: {}{said}", field.map_or(String::new(), |field| format!("{field}: ")))
+        let field = field.map(|(field, _)| field.trim()).filter(|field| !message.contains(field));
+        format!("{name}:{line}: {}{message}", field.map_or(String::new(), |field| format!("{field}: ")))
     })
 }
 
@@ -614,26 +614,27 @@
     pub fn load(path: &Path) -> Result<Scenario, String> {
         let name = path.display().to_string();
         let text = fs::read_to_string(path).map_err(|error| format!("{name}: {error}"))?;
-        if !stands_on_another(&text) {
+        if !has_base(&text) {
             return Scenario::parse(&name, &text);
         }
-        let overlay: Overlay = typed(&name, &text)?;
+        let overlay: Overlay = parse_toml(&name, &text)?;
         let base = path.with_file_name(&overlay.base);
-        let below = base.display().to_string();
-        let under = fs::read_to_string(&base).map_err(|error| format!("{name}: base {below}: {error}"))?;
-        if stands_on_another(&under) {
-            return Err(format!("{name}: base {below} stands on another one itself"));
+        let base_name = base.display().to_string();
+        let base_text =
+            fs::read_to_string(&base).map_err(|error| format!("{name}: base {base_name}: {error}"))?;
+        if has_base(&base_text) {
+            return Err(format!("{name}: base {base_name} stands on another one itself"));
         }
-        let scenario = overlay.on(Scenario::parse(&below, &under)?);
-        scenario.checked(&name, &text)
+        let scenario = overlay.apply_to(Scenario::parse(&base_name, &base_text)?);
+        scenario.validated(&name, &text)
     }
 
     /// A scenario that stands on no other; `name` is for messages.
     pub fn parse(name: &str, text: &str) -> Result<Scenario, String> {
-        typed::<Scenario>(name, text)?.checked(name, text)
+        parse_toml::<Scenario>(name, text)?.validated(name, text)
     }
 
-    fn checked(self, name: &str, text: &str) -> Result<Scenario, String> {
+    fn validated(self, name: &str, text: &str) -> Result<Scenario, String> {
         self.check().map_err(|(table, nth, fault)| {
             let line = if table.is_empty() { 1 } else { table_line(text, table, nth) };
             format!("{name}:{line}: {fault}")
@@ -643,58 +644,59 @@
 
     /// What no single field shows.
     fn check(&self) -> Result<(), (&'static str, usize, String)> {
-        let whole = |fault: &str| Err(("", 0, fault.to_owned()));
+        let file_error = |fault: &str| Err(("", 0, fault.to_owned()));
         if self.length.0 < 1_000_000 {
-            return whole("length is under 1s");
+            return file_error("length is under 1s");
         }
         if self.zones.names.is_empty() || self.zones.names.len() > 64 {
-            return whole("zones.names must name 1 to 64 zones");
+            return file_error("zones.names must name 1 to 64 zones");
         }
         if self.pool.is_empty() || self.operation.is_empty() {
-            return whole("at least one [[pool]] and one [[operation]] are needed");
+            return file_error("at least one [[pool]] and one [[operation]] are needed");
         }
         let runners: u64 = self.pool.iter().map(|pool| u64::from(pool.count)).sum();
         if runners > 100_000 {
-            return whole("pools hold more than 100000 runners");
+            return file_error("pools hold more than 100000 runners");
         }
         for (nth, op) in self.operation.iter().enumerate() {
-            let wrong = |fault: String| Err(("operation", nth, format!("operation {}: {fault}", op.name)));
+            let table_error =
+                |fault: String| Err(("operation", nth, format!("operation {}: {fault}", op.name)));
             if op.name.is_empty() || !op.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') {
-                return wrong("name must hold letters, digits and '-'".to_owned());
+                return table_error("name must hold letters, digits and '-'".to_owned());
             }
             if op.work.0 < 1 || op.latency_objective.0 < 1 {
-                return wrong("work and latency-objective must be above 0s".to_owned());
+                return table_error("work and latency-objective must be above 0s".to_owned());
             }
             if op.client_timeout < op.latency_objective {
-                return wrong("client-timeout lies under latency-objective".to_owned());
+                return table_error("client-timeout lies under latency-objective".to_owned());
             }
             if op.effect == Effect::Deduplicated && op.memory_span.0 < 1 {
-                return wrong("deduplicated without memory-span".to_owned());
+                return table_error("deduplicated without memory-span".to_owned());
             }
             if let Some(kind) = op.kind.as_ref().filter(|kind| !self.pool.iter().any(|p| p.kind == **kind)) {
-                return wrong(format!("no pool has the kind '{kind}'"));
+                return table_error(format!("no pool has the kind '{kind}'"));
             }
         }
         for (nth, fault) in self.fault.iter().enumerate() {
-            let wrong = |text: String| Err(("fault", nth, format!("fault {:?}: {text}", fault.kind)));
+            let table_error = |text: String| Err(("fault", nth, format!("fault {:?}: {text}", fault.kind)));
             if let Some(zone) = fault.zone.as_ref().filter(|zone| !self.zones.names.contains(zone)) {
-                return wrong(format!("there is no zone '{zone}'"));
+                return table_error(format!("there is no zone '{zone}'"));
             }
             if matches!(fault.kind, FaultKind::ZoneCut | FaultKind::ZoneMute | FaultKind::ZoneLoss)
                 && fault.zone.is_none()
             {
-                return wrong("zone is missing".to_owned());
+                return table_error("zone is missing".to_owned());
             }
             if let Some(name) = fault.operation.as_ref()
                 && !self.operation.iter().any(|op| op.name == *name)
             {
-                return wrong(format!("there is no operation '{name}'"));
+                return table_error(format!("there is no operation '{name}'"));
             }
-            let lasting = !matches!(fault.kind, FaultKind::Reload);
-            if lasting && fault.lasts.0 < 1 {
-                return wrong("lasts is missing".to_owned());
+            let needs_duration = !matches!(fault.kind, FaultKind::Reload);
+            if needs_duration && fault.lasts.0 < 1 {
+                return table_error("lasts is missing".to_owned());
             }
-            let sized = matches!(
+            let needs_size = matches!(
                 fault.kind,
                 FaultKind::Pauses
                     | FaultKind::Slow
@@ -703,44 +705,44 @@
                     | FaultKind::LateReports
                     | FaultKind::BadClients
             );
-            if sized && fault.size <= 0.0 {
-                return wrong("size is missing".to_owned());
+            if needs_size && fault.size <= 0.0 {
+                return table_error("size is missing".to_owned());
             }
             if matches!(fault.kind, FaultKind::FastErrors | FaultKind::Loses) && fault.size > 1.0 {
-                return wrong("size is a share, 1 at most".to_owned());
+                return table_error("size is a share, 1 at most".to_owned());
             }
             let kills = matches!(fault.kind, FaultKind::Kill | FaultKind::PowerLoss);
             if !kills && (fault.spread.0 > 0 || fault.away > 0.0) {
-                return wrong("spread and away are for what kills dispatchers".to_owned());
+                return table_error("spread and away are for what kills dispatchers".to_owned());
             }
             if !kills && fault.disk != DiskState::Kept {
-                return wrong("disk is for what kills dispatchers".to_owned());
+                return table_error("disk is for what kills dispatchers".to_owned());
             }
             if (fault.kind == FaultKind::Disk || fault.disk != DiskState::Kept) && self.store.is_none() {
-                return wrong("there is no [store]".to_owned());
+                return table_error("there is no [store]".to_owned());
             }
             if (fault.kind == FaultKind::Disk) != fault.wrong.is_some() {
-                return wrong("wrong is for the kind disk, and missing there".to_owned());
+                return table_error("wrong is for the kind disk, and missing there".to_owned());
             }
             if (fault.kind == FaultKind::Link) != fault.link.is_some() {
-                return wrong("link is for the kind link, and missing there".to_owned());
+                return table_error("link is for the kind link, and missing there".to_owned());
             }
             if fault.kind == FaultKind::Link && !self.store.as_ref().is_some_and(|store| store.peers) {
-                return wrong("there are no peers in [store]".to_owned());
+                return table_error("there are no peers in [store]".to_owned());
             }
             let share = matches!(
                 fault.link,
                 Some(LinkFaultKind::Loss | LinkFaultKind::Repeat | LinkFaultKind::Reorder)
             );
-            let sized = share || matches!(fault.link, Some(LinkFaultKind::Delay | LinkFaultKind::Flap));
-            if sized && (fault.size <= 0.0 || share && fault.size > 1.0) {
-                return wrong("size is missing, or no share".to_owned());
+            let needs_size = share || matches!(fault.link, Some(LinkFaultKind::Delay | LinkFaultKind::Flap));
+            if needs_size && (fault.size <= 0.0 || share && fault.size > 1.0) {
+                return table_error("size is missing, or no share".to_owned());
             }
             if (fault.disk == DiskState::Old || fault.wrong == Some(DiskFault::Slow)) && fault.size <= 0.0 {
-                return wrong("size is missing".to_owned());
+                return table_error("size is missing".to_owned());
             }
             if fault.at.0 > self.length.0 {
-                return wrong("at lies after the end".to_owned());
+                return table_error("at lies after the end".to_owned());
             }
         }
         Ok(())
@@ -753,7 +755,7 @@
 
     /// The file that a dispatcher of this scenario is started with: the platform's form, in both clocks.
     /// Addresses are those of the stand-ins; in virtual time they are never used.
-    pub fn configuration(&self, told: &DispatcherParameters) -> String {
+    pub fn configuration(&self, parameters: &DispatcherParameters) -> String {
         let us = |span: Span| span.0;
         let operations: Vec<_> = self
             .operation
@@ -784,7 +786,7 @@
         let limits = &self.limits;
         let priced = |priced: bool| if priced { 0.05 } else { 0.0 };
         let settings = serde_json::json!({
-            "balancers": self.dispatchers, "selfIndex": told.number, "myZone": told.zone,
+            "balancers": self.dispatchers, "selfIndex": parameters.number, "myZone": parameters.zone,
             "registryMode": "subscribe", "kinds": kinds, "localities": self.zones.names,
             "operations": operations, "weights": "off", "tick": 5000,
             "familyInfo": {
@@ -807,22 +809,23 @@
                 "connection": priced(limits.connection_priced),
             },
         });
-        let whole = serde_json::json!({
-            "name": format!("d{}", told.number), "listen": told.listen, "discovery": told.discovery,
-            "seed": format!("{:x}", told.seed), "limits": {"memory_mb": 192, "sockets": 1024},
-            "known": told.known, "settings": settings,
+        let configuration = serde_json::json!({
+            "name": format!("d{}", parameters.number), "listen": parameters.listen, "discovery": parameters.discovery,
+            "seed": format!("{:x}", parameters.seed), "limits": {"memory_mb": 192, "sockets": 1024},
+            "known": parameters.known, "settings": settings,
         });
-        let mut whole = whole;
-        if let (Some(store), Some(kept)) = (&self.store, &told.store) {
-            whole["admin_addr"] = kept.admin.as_str().into();
-            whole["store"] = serde_json::json!({"folder": kept.folder, "require": store.require});
-            if let Some((listen, members)) = &kept.peers {
+        let mut configuration = configuration;
+        if let (Some(store), Some(dispatcher_store)) = (&self.store, &parameters.store) {
+            configuration["admin_addr"] = dispatcher_store.admin.as_str().into();
+            configuration["store"] =
+                serde_json::json!({"folder": dispatcher_store.folder, "require": store.require});
+            if let Some((listen, members)) = &dispatcher_store.peers {
                 let member = |(name, at): &(String, String)| serde_json::json!({"name": name, "address": at});
                 let members: Vec<_> = members.iter().map(member).collect();
-                whole["peers"] = serde_json::json!({"listen": listen, "members": members});
+                configuration["peers"] = serde_json::json!({"listen": listen, "members": members});
             }
         }
-        whole.to_string()
+        configuration.to_string()
     }
 }
 
--- a/lab/src/start.rs
+++ b/lab/src/start.rs
@@ -14,52 +14,58 @@
 use topazsail_store::LoadSummary;
 
 /// Advice to those who come before there is service, or for whom there is no room: spread over this.
-const SPREAD: Micros = 1_000_000;
+const RETRY_SPREAD: Micros = 1_000_000;
 
-pub struct Start {
+pub struct Startup {
     recovery: Recovery,
     limits: AdmissionLimits,
     /// Listed runners and when each started, as this dispatcher has been told.
     listed: BTreeMap<u32, Option<Micros>>,
     /// Runners that the remembered list had.
-    began_with: usize,
-    cold_from: f64,
-    warm_within: Micros,
-    come_back_most: Option<Micros>,
-    drawn: Pcg32,
+    remembered_count: usize,
+    cold_capacity_share: f64,
+    warm_up_span: Micros,
+    max_retry_after: Option<Micros>,
+    rng: Pcg32,
 }
 
-impl Start {
-    pub fn new(settings: &Settings, peers: bool, began_with: usize, drawn: Pcg32, now: Micros) -> Start {
-        let worth = |op: &topazsail::Operation| OperationValue {
+impl Startup {
+    pub fn new(
+        settings: &Settings,
+        peers: bool,
+        remembered_count: usize,
+        rng: Pcg32,
+        now: Micros,
+    ) -> Startup {
+        let operation_value = |op: &topazsail::Operation| OperationValue {
             value: op.billed_value,
             latency_objective: op.latency_objective,
         };
         let mut recovery = Recovery::new(peers, now);
         recovery.handle(now, Event::Opened { found: &LoadSummary::default(), boot: Some(1) });
-        Start {
+        Startup {
             recovery,
-            limits: AdmissionLimits::new(settings.operations.iter().map(worth), now),
+            limits: AdmissionLimits::new(settings.operations.iter().map(operation_value), now),
             listed: BTreeMap::new(),
-            began_with,
-            cold_from: settings.cold_capacity_share,
-            warm_within: settings.warm_up_span,
-            come_back_most: settings.max_retry_after,
-            drawn,
+            remembered_count,
+            cold_capacity_share: settings.cold_capacity_share,
+            warm_up_span: settings.warm_up_span,
+            max_retry_after: settings.max_retry_after,
+            rng,
         }
     }
 
     /// Discovery has told a whole list, or one change.
-    pub fn list(
+    pub fn update_roster(
         &mut self,
-        told: impl Iterator<Item = (u32, bool, Option<Micros>)>,
-        whole: bool,
+        runners: impl Iterator<Item = (u32, bool, Option<Micros>)>,
+        is_whole: bool,
         now: Micros,
     ) {
-        if whole {
+        if is_whole {
             self.listed.clear();
         }
-        for (runner, wanted, launched) in told {
+        for (runner, wanted, launched) in runners {
             if wanted {
                 self.listed.insert(runner, launched)
             } else {
@@ -70,56 +76,56 @@
     }
 
     /// Of so many others so many have answered.
-    pub fn agree(&mut self, (all, agree): (usize, usize), now: Micros) {
+    pub fn peers_agreed(&mut self, (all, agree): (usize, usize), now: Micros) {
         self.recovery.handle(now, Event::Agree { all, agree });
     }
 
-    pub fn asks(&self) -> bool {
+    pub fn is_waiting_for_peers(&self) -> bool {
         self.recovery.stage() < Stage::Asked
     }
 
     /// Listed runners that are cold.
-    pub fn cold(&self, now: Micros) -> Vec<u32> {
-        let cold = |launched: &Option<Micros>| launched.is_some_and(|at| now < at + self.warm_within);
+    pub fn cold_runners(&self, now: Micros) -> Vec<u32> {
+        let cold = |launched: &Option<Micros>| launched.is_some_and(|at| now < at + self.warm_up_span);
         self.listed.iter().filter(|(_, launched)| cold(launched)).map(|(r, _)| *r).collect()
     }
 
-    pub fn refused(&mut self, now: Micros) {
+    pub fn discovery_refused(&mut self, now: Micros) {
         self.recovery.handle(now, Event::Refused);
     }
 
     fn warmth(&self, now: Micros) -> f64 {
-        let span = (self.cold_from, self.warm_within);
+        let span = (self.cold_capacity_share, self.warm_up_span);
         let warm: f64 = self.listed.values().map(|launched| limits::warmth(*launched, span, now)).sum();
-        warm / self.listed.len().max(self.began_with).max(1) as f64
+        warm / self.listed.len().max(self.remembered_count).max(1) as f64
     }
 
     /// Whether one that comes now is taken; else when its client is told to come back.
-    pub fn takes(&mut self, operation: usize, now: Micros) -> Result<(), Option<Micros>> {
+    pub fn admit(&mut self, operation: usize, now: Micros) -> Result<(), Option<Micros>> {
         if self.recovery.stage() == Stage::Serving {
             return Ok(());
         }
         self.recovery.tick(now);
-        let (drawn, spread): (f64, Micros) = (self.drawn.random(), self.drawn.random_range(0..SPREAD));
-        let come_back = self.come_back_most.map(|most| (self.recovery.left(now) + spread).min(most));
+        let (drawn, spread): (f64, Micros) = (self.rng.random(), self.rng.random_range(0..RETRY_SPREAD));
+        let retry_after = self.max_retry_after.map(|most| (self.recovery.left(now) + spread).min(most));
         if !self.recovery.may_forward() {
-            return Err(come_back);
+            return Err(retry_after);
         }
         self.recovery.handle(now, Event::Warmth(self.warmth(now)));
         let limited = self.recovery.stage() == Stage::Limited;
-        if limited && !self.limits.takes(operation, drawn, now) { Err(come_back) } else { Ok(()) }
+        if limited && !self.limits.takes(operation, drawn, now) { Err(retry_after) } else { Ok(()) }
     }
 
     /// Something that was taken found no room.
-    pub fn short(&mut self, now: Micros) {
+    pub fn note_throttled(&mut self, now: Micros) {
         if self.recovery.stage() == Stage::Limited {
             self.limits.short(self.warmth(now), now);
         }
     }
 
-    pub fn succeeded(&mut self, operation: usize, took: Micros) {
+    pub fn succeeded(&mut self, operation: usize, duration: Micros) {
         if self.recovery.stage() == Stage::Limited {
-            self.limits.succeeded(operation, took);
+            self.limits.succeeded(operation, duration);
         }
     }
 }
--- a/lab/src/talk.rs
+++ b/lab/src/talk.rs
@@ -10,10 +10,10 @@
 use topazsail::{Micros, Settings};
 use topazsail_peers::{Action, Member, PeerEvent, Peers};
 
-pub struct Talk {
+pub struct PeerMessages {
     pub core: Peers,
     /// What its last life sent to cold runners may count until then.
-    rests_until: Micros,
+    paused_until: Micros,
 }
 
 /// A datagram, and the dispatcher that it is for.
@@ -35,25 +35,25 @@
     }
 }
 
-impl Talk {
+impl PeerMessages {
     pub fn new(
         (d, all): (u32, u32),
         boot: u64,
         settings: &Settings,
-        mut drawn: Pcg32,
-        rests_until: Micros,
+        mut rng: Pcg32,
+        paused_until: Micros,
         now: Micros,
-    ) -> Talk {
+    ) -> PeerMessages {
         let others = (0..all).filter(|other| *other != d);
         let members = others.map(|d| Member { name: name(d), address: address(d) }).collect();
-        let (nonce, seed) = (drawn.random(), drawn.random());
+        let (nonce, seed) = (rng.random(), rng.random());
         let mut core = Peers::new(&name(d), members, (boot, nonce), seed, now);
         core.settings(settings.dispatchers as usize, settings.overload_window);
-        Talk { core, rests_until }
+        PeerMessages { core, paused_until }
     }
 
     /// What is to be sent, and to whom.
-    fn act(&mut self, actions: Vec<Action>) -> Vec<Datagram> {
+    fn collect_datagrams(&mut self, actions: Vec<Action>) -> Vec<Datagram> {
         let mut sent = Vec::new();
         for action in actions {
             match action {
@@ -67,20 +67,24 @@
 
     pub fn round(&mut self, now: Micros) -> Vec<Datagram> {
         let actions = self.core.tick(now);
-        self.act(actions)
+        self.collect_datagrams(actions)
     }
 
-    pub fn heard(&mut self, from: u32, bytes: &[u8], now: Micros) -> Vec<Datagram> {
+    pub fn receive(&mut self, from: u32, bytes: &[u8], now: Micros) -> Vec<Datagram> {
         let actions = self.core.heard(now, address(from), bytes);
-        self.act(actions)
+        self.collect_datagrams(actions)
     }
 
     /// What is this dispatcher's own of cold runners' budgets.
-    pub fn portions(&mut self, cold: Vec<topazsail::Id>, now: Micros) -> Vec<topazsail::SlowStartShare> {
-        let portions = self.core.portions(cold.iter().map(|id| &**id), now);
-        if now < self.rests_until {
+    pub fn slow_start_shares(
+        &mut self,
+        cold: Vec<topazsail::Id>,
+        now: Micros,
+    ) -> Vec<topazsail::SlowStartShare> {
+        let shares = self.core.portions(cold.iter().map(|id| &**id), now);
+        if now < self.paused_until {
             return Vec::new();
         }
-        cold.into_iter().zip(portions).map(|(id, p)| (id, p.share, p.until)).collect()
+        cold.into_iter().zip(shares).map(|(id, p)| (id, p.share, p.until)).collect()
     }
 }
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -34,7 +34,7 @@
 }
 
 impl Counts {
-    fn note(&mut self, end: RequestResult, in_time: bool) {
+    fn add(&mut self, end: RequestResult, in_time: bool) {
         self.asked += 1;
         match end {
             RequestResult::Succeeded if in_time => self.in_time += 1,
@@ -185,17 +185,17 @@
 
 const WINDOW: Micros = 1_000_000;
 
-struct Stretch {
+struct WindowTally {
     counts: Counts,
-    asked: f64,
-    got: f64,
+    asked_value: f64,
+    achieved_value: f64,
     latency: Histogram<u64>,
 }
 
 pub struct Tally {
     operations: Vec<(Counts, f64, f64, Histogram<u64>)>,
     all: Histogram<u64>,
-    stretches: Vec<Stretch>,
+    windows: Vec<WindowTally>,
     objectives: Vec<(Micros, Micros, f64, f64)>,
     pub traffic: Traffic,
     pub forwards: Vec<u64>,
@@ -213,12 +213,17 @@
 impl Tally {
     pub fn new(scenario: &Scenario) -> Tally {
         let ops = &scenario.operation;
-        let stretches = (scenario.length.0 + WINDOW - 1) / WINDOW;
-        let stretch = || Stretch { counts: Counts::default(), asked: 0.0, got: 0.0, latency: histogram() };
+        let windows = (scenario.length.0 + WINDOW - 1) / WINDOW;
+        let window = || WindowTally {
+            counts: Counts::default(),
+            asked_value: 0.0,
+            achieved_value: 0.0,
+            latency: histogram(),
+        };
         Tally {
             operations: ops.iter().map(|_| (Counts::default(), 0.0, 0.0, histogram())).collect(),
             all: histogram(),
-            stretches: (0..stretches).map(|_| stretch()).collect(),
+            windows: (0..windows).map(|_| window()).collect(),
             objectives: ops
                 .iter()
                 .map(|op| (op.latency_objective.0, op.client_timeout.0, op.billed_value, op.late_share))
@@ -230,30 +235,30 @@
     }
 
     /// An ask has ended, so long after it was due.
-    pub fn record_end(&mut self, ask: &ClientRequest, end: RequestResult, after: Micros) {
-        let (objective, timeout, value, late) = self.objectives[ask.operation];
+    pub fn record_end(&mut self, request: &ClientRequest, end: RequestResult, after: Micros) {
+        let (objective, timeout, value, late) = self.objectives[request.operation];
         let in_time = after <= objective;
-        let got = match end {
+        let achieved = match end {
             RequestResult::Succeeded if in_time => value,
             RequestResult::Succeeded if after <= timeout => value * late,
             _ => 0.0,
         };
         let hundredths = (after.max(0) / 10) as u64;
-        let of = &mut self.operations[ask.operation];
-        of.0.note(end, in_time);
+        let of = &mut self.operations[request.operation];
+        of.0.add(end, in_time);
         of.1 += value;
-        of.2 += got;
+        of.2 += achieved;
         if end == RequestResult::Succeeded {
             let _ = of.3.record(hundredths);
             let _ = self.all.record(hundredths);
         }
-        let nth = ((ask.at / WINDOW) as usize).min(self.stretches.len() - 1);
-        let stretch = &mut self.stretches[nth];
-        stretch.counts.note(end, in_time);
-        stretch.asked += value;
-        stretch.got += got;
+        let nth = ((request.at / WINDOW) as usize).min(self.windows.len() - 1);
+        let window = &mut self.windows[nth];
+        window.counts.add(end, in_time);
+        window.asked_value += value;
+        window.achieved_value += achieved;
         if end == RequestResult::Succeeded {
-            let _ = stretch.latency.record(hundredths);
+            let _ = window.latency.record(hundredths);
         }
     }
 
@@ -267,11 +272,13 @@
         self.traffic.calls_most = self.traffic.calls_most.max(self.calls.len() as u64);
     }
 
-    pub fn outcome(self, scenario: &Scenario, about: RunDetails) -> Outcome {
-        let ratio = |got: f64, asked: f64| if asked > 0.0 { round(got / asked) } else { 1.0 };
-        let (mut counts, mut asked, mut got) = (Counts::default(), 0.0, 0.0);
+    pub fn outcome(self, scenario: &Scenario, details: RunDetails) -> Outcome {
+        let ratio = |achieved: f64, asked: f64| if asked > 0.0 { round(achieved / asked) } else { 1.0 };
+        let (mut counts, mut asked, mut achieved) = (Counts::default(), 0.0, 0.0);
         let mut operations = Vec::new();
-        for ((of, value, had, histogram), op) in self.operations.iter().zip(&scenario.operation) {
+        for ((of, value, operation_achieved, histogram), op) in
+            self.operations.iter().zip(&scenario.operation)
+        {
             counts.asked += of.asked;
             counts.in_time += of.in_time;
             counts.late += of.late;
@@ -279,55 +286,55 @@
             counts.errored += of.errored;
             counts.nothing += of.nothing;
             asked += value;
-            got += had;
+            achieved += operation_achieved;
             operations.push(OperationOutcome {
                 name: op.name.clone(),
                 counts: of.clone(),
-                goodput: ratio(*had, *value),
+                goodput: ratio(*operation_achieved, *value),
                 latency: Latency::of(histogram),
             });
         }
-        let (ramp, budget) = ramp(scenario, about.seed);
-        let window = |(nth, stretch): (usize, Stretch)| {
-            let latency = Latency::of(&stretch.latency);
+        let (ramp, budget) = ramp(scenario, details.seed);
+        let window = |(nth, window): (usize, WindowTally)| {
+            let latency = Latency::of(&window.latency);
             Window {
                 at: (nth as Micros * WINDOW) as f64 / 1e6,
-                goodput: ratio(stretch.got, stretch.asked),
-                counts: stretch.counts,
+                goodput: ratio(window.achieved_value, window.asked_value),
+                counts: window.counts,
                 p50: latency.p50,
                 p99: latency.p99,
                 ramp: ramp[nth].0,
                 best: ramp[nth].1,
             }
         };
-        let verdict = &about.verdict;
+        let verdict = &details.verdict;
         Outcome {
             scenario: scenario.name.clone(),
-            clock: about.clock,
-            program: about.program,
-            seed: about.seed,
+            clock: details.clock,
+            program: details.program,
+            seed: details.seed,
             seconds: scenario.length.0 as f64 / 1e6,
             dispatchers: scenario.dispatchers,
-            goodput: ratio(got, asked),
+            goodput: ratio(achieved, asked),
             counts,
             latency: Latency::of(&self.all),
             operations,
             traffic: self.traffic,
-            windows: self.stretches.into_iter().enumerate().map(window).collect(),
-            runners: about.runners,
+            windows: self.windows.into_iter().enumerate().map(window).collect(),
+            runners: details.runners,
             cold: (budget > 0.0).then(|| ColdUsage {
-                used: round(about.cold.0 / budget),
-                most: round(about.cold.1),
-                spans: about.cold_calls.spans,
-                over: about.cold_calls.over,
-                most_by_chance: round(about.cold_calls.most),
+                used: round(details.cold.0 / budget),
+                most: round(details.cold.1),
+                spans: details.cold_calls.spans,
+                over: details.cold_calls.over,
+                most_by_chance: round(details.cold_calls.most),
             }),
-            faults: about.faults,
+            faults: details.faults,
             broken: verdict.violations.iter().map(|(rule, count)| (rule.to_string(), *count)).collect(),
             verdict: serde_json::to_value(verdict).unwrap_or_default(),
-            void: about.void.into_iter().chain(verdict.own_faults.clone()).collect(),
-            processes: about.processes,
-            notes: about.notes,
+            void: details.void.into_iter().chain(verdict.own_faults.clone()).collect(),
+            processes: details.processes,
+            notes: details.notes,
         }
     }
 }
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -18,15 +18,15 @@
 use crate::tally::FaultBand;
 
 /// Runners of a zone that share what they remember.
-const CELL: usize = 4;
+const CELL_SIZE: usize = 4;
 /// From the order to drain until the process ends, and from there until the new one is up.
-const DRAIN: Micros = 2_000_000;
-const DOWN: Micros = 1_000_000;
+const DRAIN_DURATION: Micros = 2_000_000;
+const RESTART_DURATION: Micros = 1_000_000;
 /// A dispatcher that is rolled is away for so long.
-const ROLLED: Micros = 1_000_000;
+const ROLL_DOWNTIME: Micros = 1_000_000;
 /// After SIGTERM comes SIGKILL, at the earliest that the platform allows.
 pub const TERM_TO_KILL: Micros = 3_700_000;
-const PAUSES_APART: Micros = 1_000_000;
+const MEAN_PAUSE_INTERVAL: Micros = 1_000_000;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
@@ -106,12 +106,12 @@
 struct LinkFault {
     bad: LinkFaultKind,
     size: f64,
-    struck: Vec<bool>,
+    affected: Vec<bool>,
     on: bool,
 }
 
 /// What is overtaken or comes twice comes later by up to this.
-const LATER: Micros = 100_000;
+const MAX_REORDER_DELAY: Micros = 100_000;
 
 pub struct World {
     pub runners: Vec<Runner>,
@@ -129,14 +129,14 @@
 impl World {
     pub fn new(scenario: &Scenario, seed: u64) -> World {
         let zones = scenario.zones.names.len();
-        let mut drawn = seeded_generator(seed, 2);
+        let mut rng = seeded_generator(seed, 2);
         let mut runners = Vec::new();
         for (kind, pool) in scenario.pool.iter().enumerate() {
             let spread = LogNormal::from_mean_cv(1.0, pool.speed_spread.max(1e-9)).ok();
             for _ in 0..pool.count {
                 let nth = runners.len();
                 let (zone, within) = (nth % zones, nth / zones);
-                let cell = (zone * 100_000 + within / CELL) as i64;
+                let cell = (zone * 100_000 + within / CELL_SIZE) as i64;
                 let mut runner = Runner::new(
                     pool,
                     kind,
@@ -144,7 +144,7 @@
                     &scenario.limits,
                     seeded_generator(seed, 1 << 40 | nth as u64),
                 );
-                runner.speed *= spread.map_or(1.0, |spread| spread.sample(&mut drawn));
+                runner.speed *= spread.map_or(1.0, |spread| spread.sample(&mut rng));
                 runner.set_progress_interval(scenario.reports.progress.0);
                 runners.push(runner);
             }
@@ -164,17 +164,17 @@
             notice: scenario.discovery.notice.0,
             silent_notice: scenario.discovery.silent_notice.0,
         };
-        let mut struck = seeded_generator(seed, 3);
+        let mut fault_rng = seeded_generator(seed, 3);
         for fault in &scenario.fault {
-            world.plan(scenario, fault, &mut struck);
+            world.plan(scenario, fault, &mut fault_rng);
         }
         world.schedule.sort_by_key(|(at, _)| *at);
-        world.overlap();
+        world.merge_overlapping_outages();
         world
     }
 
     /// Where outages of one thing overlap it goes with the first and is back after the last.
-    fn overlap(&mut self) {
+    fn merge_overlapping_outages(&mut self) {
         let mut depth: BTreeMap<(u8, u32), u32> = BTreeMap::new();
         self.schedule.retain(|(_, change)| {
             let (key, down) = match *change {
@@ -199,19 +199,19 @@
         all.filter(|d| zone.is_none_or(|zone| *d as usize % self.zones == zone)).collect()
     }
 
-    fn plan_kills(&mut self, mut struck: Vec<u32>, fault: &Fault, all: u32, drawn: &mut Pcg32) -> Micros {
+    fn plan_kills(&mut self, mut dispatchers: Vec<u32>, fault: &Fault, all: u32, rng: &mut Pcg32) -> Micros {
         use rand::RngExt;
-        let all = struck.len() == all as usize;
-        struck.shuffle(drawn);
-        let away = (struck.len() as f64 * fault.away).round() as usize;
+        let all = dispatchers.len() == all as usize;
+        dispatchers.shuffle(rng);
+        let away = (dispatchers.len() as f64 * fault.away).round() as usize;
         let (at, back) = (fault.at.0, fault.at.0 + fault.lasts.0);
-        for (nth, d) in struck.into_iter().enumerate() {
+        for (nth, d) in dispatchers.into_iter().enumerate() {
             self.schedule.push((at, Change::Kill(d)));
             if fault.disk == DiskState::Old {
                 self.schedule.push((at - (fault.size * 1000.0) as Micros, Change::SaveDisk(d)));
             }
             if nth >= away {
-                let after = drawn.random_range(0..=fault.spread.0);
+                let after = rng.random_range(0..=fault.spread.0);
                 let power = fault.kind == FaultKind::PowerLoss;
                 let find = Change::PrepareDisk(d, fault.disk, power, all);
                 self.schedule.push((back + after, find));
@@ -241,29 +241,29 @@
         scenario: &Scenario,
         (from, to): (u32, u32),
         now: Micros,
-        drawn: &mut Pcg32,
+        rng: &mut Pcg32,
     ) -> Vec<Micros> {
         use rand::RngExt;
         let (near, far) = (from as usize % self.zones, to as usize % self.zones);
         if !self.linked(near, far) {
             return Vec::new();
         }
-        let mut after = vec![World::delay(scenario, near, far, drawn.random())];
+        let mut after = vec![World::delay(scenario, near, far, rng.random())];
         for fault in self.links.iter().filter(|fault| fault.on) {
-            let (ours, either) =
-                (fault.struck[from as usize], fault.struck[from as usize] || fault.struck[to as usize]);
-            if !either || fault.bad == LinkFaultKind::OneWay && !ours {
+            let (sender, either) =
+                (fault.affected[from as usize], fault.affected[from as usize] || fault.affected[to as usize]);
+            if !either || fault.bad == LinkFaultKind::OneWay && !sender {
                 continue;
             }
             let span = (fault.size * 1000.0) as Micros;
-            let hit = fault.size > 0.0 && drawn.random::<f64>() < fault.size;
+            let hit = fault.size > 0.0 && rng.random::<f64>() < fault.size;
             match fault.bad {
                 LinkFaultKind::Cut | LinkFaultKind::OneWay => return Vec::new(),
                 LinkFaultKind::Flap if (now / span.max(1)) % 2 == 0 => return Vec::new(),
                 LinkFaultKind::Flap => {}
                 LinkFaultKind::Loss if hit => return Vec::new(),
-                LinkFaultKind::Repeat if hit => after.push(after[0] + drawn.random_range(0..LATER)),
-                LinkFaultKind::Reorder if hit => after[0] += drawn.random_range(0..LATER),
+                LinkFaultKind::Repeat if hit => after.push(after[0] + rng.random_range(0..MAX_REORDER_DELAY)),
+                LinkFaultKind::Reorder if hit => after[0] += rng.random_range(0..MAX_REORDER_DELAY),
                 LinkFaultKind::Loss | LinkFaultKind::Repeat | LinkFaultKind::Reorder => {}
                 LinkFaultKind::Delay => after.iter_mut().for_each(|after| *after += span),
             }
@@ -272,13 +272,13 @@
     }
 
     /// A link's delay, one way, with `drawn` from 0 to 1 for jitter.
-    pub fn delay(scenario: &Scenario, from: usize, to: usize, drawn: f64) -> Micros {
+    pub fn delay(scenario: &Scenario, from: usize, to: usize, jitter_draw: f64) -> Micros {
         let zones = &scenario.zones;
         let base = if from == to { zones.within.0 } else { zones.between.0 } as f64;
-        (base * (1.0 + zones.jitter * drawn)) as Micros
+        (base * (1.0 + zones.jitter * jitter_draw)) as Micros
     }
 
-    fn plan(&mut self, scenario: &Scenario, fault: &Fault, struck: &mut Pcg32) {
+    fn plan(&mut self, scenario: &Scenario, fault: &Fault, rng: &mut Pcg32) {
         let (at, until) = (fault.at.0, fault.at.0 + fault.lasts.0);
         let zone = fault.zone.as_ref().and_then(|zone| scenario.zones.names.iter().position(|z| z == zone));
         let operation = fault
@@ -287,14 +287,14 @@
             .and_then(|name| scenario.operation.iter().position(|op| op.name == *name));
         let mut all: Vec<usize> = (0..self.runners.len()).collect();
         all.retain(|r| zone.is_none_or(|zone| self.runners[*r].zone == zone));
-        all.shuffle(struck);
+        all.shuffle(rng);
         let most = ((all.len() as f64 * fault.part).round() as usize).clamp(1, all.len().max(1));
         let part = &all[..most.min(all.len())];
-        let strike = FaultParameters { operation, size: fault.size };
+        let parameters = FaultParameters { operation, size: fault.size };
         let mut to = until;
         let plan = &mut self.schedule;
         let mut both = |r: usize, change: fn(usize, Option<FaultParameters>) -> Change| {
-            plan.push((at, change(r, Some(strike))));
+            plan.push((at, change(r, Some(parameters))));
             plan.push((until, change(r, None)));
         };
         match fault.kind {
@@ -314,14 +314,15 @@
             FaultKind::Pauses => {
                 use rand::RngExt;
                 for &r in part {
-                    let mut next = at + struck.random_range(0..PAUSES_APART);
+                    let mut next = at + rng.random_range(0..MEAN_PAUSE_INTERVAL);
                     let pause = (fault.size * 1000.0) as Micros;
                     while next < until {
                         plan.extend([
                             (next, Change::Freeze(r, true)),
                             (next + pause, Change::Freeze(r, false)),
                         ]);
-                        next += pause + struck.random_range(PAUSES_APART / 2..PAUSES_APART * 3 / 2);
+                        next +=
+                            pause + rng.random_range(MEAN_PAUSE_INTERVAL / 2..MEAN_PAUSE_INTERVAL * 3 / 2);
                     }
                 }
             }
@@ -348,36 +349,39 @@
                 for (nth, &r) in part.iter().enumerate() {
                     let at = at + gap * nth as Micros;
                     plan.push((at, Change::Drain(r)));
-                    plan.push((at + DRAIN, Change::Retire(r)));
-                    plan.push((at + DRAIN + DOWN, Change::Start(r)));
+                    plan.push((at + DRAIN_DURATION, Change::Retire(r)));
+                    plan.push((at + DRAIN_DURATION + RESTART_DURATION, Change::Start(r)));
                 }
-                to = until + DRAIN + DOWN;
+                to = until + DRAIN_DURATION + RESTART_DURATION;
             }
             FaultKind::RollTerm | FaultKind::RollKill => {
                 let gap = fault.lasts.0 / Micros::from(scenario.dispatchers);
                 for d in 0..scenario.dispatchers {
                     let at = at + gap * Micros::from(d);
                     if fault.kind == FaultKind::RollKill {
-                        plan.extend([(at, Change::Kill(d)), (at + ROLLED, Change::StartDispatcher(d))]);
+                        plan.extend([
+                            (at, Change::Kill(d)),
+                            (at + ROLL_DOWNTIME, Change::StartDispatcher(d)),
+                        ]);
                     } else {
                         plan.push((at, Change::Term(d)));
                         plan.push((at + TERM_TO_KILL, Change::Kill(d)));
-                        plan.push((at + TERM_TO_KILL + ROLLED, Change::StartDispatcher(d)));
+                        plan.push((at + TERM_TO_KILL + ROLL_DOWNTIME, Change::StartDispatcher(d)));
                     }
                 }
-                to = until + ROLLED;
+                to = until + ROLL_DOWNTIME;
             }
             FaultKind::Kill | FaultKind::Freeze | FaultKind::Disk | FaultKind::Link => {
                 let mut all = self.dispatchers(scenario, zone);
-                all.shuffle(struck);
+                all.shuffle(rng);
                 all.truncate(((all.len() as f64 * fault.part).round() as usize).max(1));
                 if fault.kind == FaultKind::Kill {
-                    to = self.plan_kills(all, fault, scenario.dispatchers, struck);
+                    to = self.plan_kills(all, fault, scenario.dispatchers, rng);
                 } else if let Some(bad) = fault.link {
-                    let mut struck = vec![false; scenario.dispatchers as usize];
-                    all.iter().for_each(|d| struck[*d as usize] = true);
+                    let mut affected = vec![false; scenario.dispatchers as usize];
+                    all.iter().for_each(|d| affected[*d as usize] = true);
                     let nth = self.links.len();
-                    self.links.push(LinkFault { bad, size: fault.size, struck, on: false });
+                    self.links.push(LinkFault { bad, size: fault.size, affected, on: false });
                     let changes = [(at, Change::Link(nth, true)), (until, Change::Link(nth, false))];
                     self.schedule.extend(changes);
                 } else if let Some(wrong) = fault.wrong {
@@ -398,7 +402,7 @@
                 if zone.is_none_or(|zone| zone == 0) {
                     plan.extend([(at, Change::Discovery(false)), (until, Change::Discovery(true))]);
                 }
-                to = self.plan_kills(self.dispatchers(scenario, zone), fault, scenario.dispatchers, struck);
+                to = self.plan_kills(self.dispatchers(scenario, zone), fault, scenario.dispatchers, rng);
             }
             FaultKind::Reload => plan.push((at, Change::Reload)),
             FaultKind::BadClients => {
@@ -416,53 +420,58 @@
 
     /// Carries out what concerns runners, links and discovery; the rest is the clock's.
     pub fn apply(&mut self, now: Micros, change: &Change) -> ChangeEffects {
-        let mut follows = ChangeEffects::default();
+        let mut effects = ChangeEffects::default();
         let mut news = Vec::new();
         let mut of = None;
         match *change {
-            Change::Stop(r, life) => {
-                let lost = self.runners[r].stop(now, life);
-                follows.lost.extend(lost.into_iter().map(|job| (r, job)));
-                if life == ProcessState::Down {
-                    follows.reset.push(r);
+            Change::Stop(r, state) => {
+                let lost = self.runners[r].stop(now, state);
+                effects.lost.extend(lost.into_iter().map(|job| (r, job)));
+                if state == ProcessState::Down {
+                    effects.reset.push(r);
                 }
-                let notice = if life == ProcessState::Down { self.notice } else { self.silent_notice };
-                follows.listed.push((r, ListingState::Gone, notice));
+                let notice = if state == ProcessState::Down { self.notice } else { self.silent_notice };
+                effects.listed.push((r, ListingState::Gone, notice));
             }
             Change::Start(r) => {
                 // A machine that was silent is back: what was open to it ends now.
-                follows.reset.push(r);
+                effects.reset.push(r);
                 self.runners[r].start(now);
-                follows.listed.push((r, ListingState::Up, self.notice));
+                effects.listed.push((r, ListingState::Up, self.notice));
             }
             Change::Freeze(r, frozen) => {
                 self.runners[r].change(now, |runner| runner.frozen = frozen);
                 if !frozen {
-                    follows.thawed.push(r);
+                    effects.thawed.push(r);
                 }
             }
-            Change::Slow(r, strike) => {
-                self.runners[r].change(now, |runner| runner.slow = strike.map(FaultParameters::impairment));
+            Change::Slow(r, parameters) => {
+                self.runners[r]
+                    .change(now, |runner| runner.slow = parameters.map(FaultParameters::impairment));
+            }
+            Change::Errors(r, parameters) => {
+                self.runners[r].errors = parameters.map(FaultParameters::impairment)
+            }
+            Change::Loses(r, parameters) => {
+                self.runners[r].loses = parameters.map(FaultParameters::impairment)
             }
-            Change::Errors(r, strike) => self.runners[r].errors = strike.map(FaultParameters::impairment),
-            Change::Loses(r, strike) => self.runners[r].loses = strike.map(FaultParameters::impairment),
             Change::Drain(r) => {
                 self.runners[r].drain(now, &mut news);
                 of = Some(r);
-                follows.listed.push((r, ListingState::Draining, self.notice / 10));
+                effects.listed.push((r, ListingState::Draining, self.notice / 10));
             }
             Change::Retire(r) => {
                 let lost = self.runners[r].stop(now, ProcessState::Down);
-                follows.lost.extend(lost.into_iter().map(|job| (r, job)));
-                follows.reset.push(r);
-                follows.listed.push((r, ListingState::Gone, self.notice / 10));
+                effects.lost.extend(lost.into_iter().map(|job| (r, job)));
+                effects.reset.push(r);
+                effects.listed.push((r, ListingState::Gone, self.notice / 10));
             }
             Change::ReportDelay(delay) => {
                 self.runners.iter_mut().for_each(|runner| runner.set_report_delay(now, delay));
             }
             Change::Cut { zone, both, cut } => {
                 self.cut[zone] = (cut, cut && both);
-                follows.healed = !cut;
+                effects.healed = !cut;
             }
             Change::Discovery(up) => self.discovery_up = up,
             Change::Link(nth, on) => self.links[nth].on = on,
@@ -477,9 +486,9 @@
             | Change::BadClients(_) => {}
         }
         if let Some(r) = of {
-            follows.news.extend(news.into_iter().map(|(job, news)| (r, job, news)));
+            effects.news.extend(news.into_iter().map(|(job, news)| (r, job, news)));
         }
-        follows
+        effects
     }
 
     /// One line of discovery's list, in the platform's form.
