--- a/lab/src/disks.rs
+++ b/lab/src/disks.rs
@@ -1,6 +1,8 @@
-//! The disks of the dispatchers under trial: what is wrong with each, and in which state a process finds its own.
+//! The disks of the dispatchers under test: the faults of each, and the state in which a process finds its
+//! own.
 //!
-//! It owns the folders' contents between two lives of a process, and the word that `lab-dispatcher` reads of them.
+//! This module owns the contents of the store directories between two process runs, and the control files
+//! that `lab-dispatcher` reads.
 
 use std::fs;
 use std::io;
@@ -11,23 +13,25 @@
 use serde::{Deserialize, Serialize};
 use topazsail::Micros;
 
-/// What is wrong with a disk now, as written for the process that uses it.
+/// The present condition of a disk, as written to the control file for the process that uses it.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct DiskCondition {
     pub seed: u64,
     pub full: bool,
     pub read_only: bool,
     pub sync_fails: bool,
-    /// It says yes to a sync and has done nothing: no disk that is sold, but a program that does not wait for it.
+    /// Syncs succeed without doing anything. No disk on sale does that, but it stands for a program that does
+    /// not wait for its syncs.
     pub lies: bool,
-    /// Each sync takes so long.
+    /// Delay of each sync, in microseconds.
     pub slow: Micros,
-    /// Which life of its machine this is, and since when it goes on, as Unix time.
+    /// Number of the machine's present boot.
     pub life: u64,
+    /// Unix time in microseconds since which the machine is up.
     pub up_since: Micros,
 }
 
-/// What is wrong, as scenarios name it.
+/// A disk fault, as scenarios name it.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiskFault {
@@ -37,7 +41,7 @@
     Slow,
 }
 
-/// In which state a process finds its disk when it is back.
+/// The state in which a process finds its disk when it restarts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiskState {
@@ -47,30 +51,32 @@
     Empty,
     /// As it was some time before.
     Old,
-    /// Another dispatcher's.
+    /// A copy of another dispatcher's disk.
     Copied,
-    /// With one byte spoilt.
+    /// With one bit of one byte changed.
     Damaged,
 }
 
-/// Where the word on a folder's disk stands.
+/// Path of the control file of a store directory.
 pub fn control_file(folder: &Path) -> PathBuf {
     folder.with_extension("disk")
 }
 
-/// Files that a store rewrites or only holds: nothing is spoilt there.
+/// Whether a file is a log. Other files are rewritten as a whole or only held, and are never damaged.
 fn is_log(name: &str) -> bool {
     name.starts_with("log-")
 }
 
-/// One dispatcher's folder.
+/// The store directory of one dispatcher.
 pub struct DispatcherDirectory {
     path: PathBuf,
+    /// The present condition, to be written with [`DispatcherDirectory::write_control_file`].
     pub condition: DiskCondition,
     saved: Vec<(String, Vec<u8>)>,
 }
 
 impl DispatcherDirectory {
+    /// Creates the directory and its control file.
     pub fn new(path: PathBuf, seed: u64) -> io::Result<DispatcherDirectory> {
         fs::create_dir(&path)?;
         let condition = DiskCondition { seed, life: 1, ..DiskCondition::default() };
@@ -79,23 +85,25 @@
         Ok(folder)
     }
 
+    /// Path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Whole or not at all, as it may be read at this very moment.
+    /// Writes the control file atomically, as the process may read it at any moment.
     pub fn write_control_file(&self) -> io::Result<()> {
         let next = self.path.with_extension("next");
         fs::write(&next, serde_json::to_vec(&self.condition)?)?;
         fs::rename(next, control_file(&self.path))
     }
 
+    /// Name and content of every file, in order of name.
     fn files(&self) -> io::Result<Vec<(String, Vec<u8>)>> {
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
             let name = entry.file_name().to_string_lossy().into_owned();
-            // A process may be removing what it needs no more.
+            // The process may be removing files that it no longer needs.
             if let Ok(bytes) = fs::read(entry.path()) {
                 files.push((name, bytes));
             }
@@ -104,12 +112,13 @@
         Ok(files)
     }
 
-    /// Takes a copy, to be found again as `old`.
+    /// Saves a copy of all files, for the state `old`.
     pub fn save(&mut self) -> io::Result<()> {
         self.saved = self.files()?;
         Ok(())
     }
 
+    /// Replaces all files.
     fn replace(&self, files: &[(String, Vec<u8>)]) -> io::Result<()> {
         for (name, _) in self.files()? {
             fs::remove_file(self.path.join(name))?;
@@ -117,7 +126,7 @@
         files.iter().try_for_each(|(name, bytes)| fs::write(self.path.join(name), bytes))
     }
 
-    /// What the next life finds.
+    /// Puts the disk into the state that the next process run finds.
     pub fn prepare(
         &self,
         state: DiskState,
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,7 +1,7 @@
-//! Experiments: one scenario many times, by seed, by value, or by who decides.
+//! Experiments: one scenario played many times, over seeds, values of a field, or policies and programs.
 //!
-//! It owns pairing and what may be said of differences. It must never compare runs of different seeds with
-//! each other, and never count a run that is void.
+//! This module pairs runs and computes what their differences show. It never compares runs of different
+//! seeds, and never counts a void run.
 
 use std::path::{Path, PathBuf};
 
@@ -15,16 +15,17 @@
 use crate::tally::{Outcome, round};
 use crate::virtual_clock::{self, Options};
 
+/// What plays a scenario: a policy or a program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SystemUnderTest {
-    /// In virtual time.
+    /// A policy, played in virtual time.
     Policy(Policy),
-    /// On sockets.
+    /// A program, played on sockets.
     Program(PathBuf),
 }
 
 impl SystemUnderTest {
-    /// A policy's name, or a program's path, which has a '/' in it.
+    /// Parses the name of a policy, or the path of a program, which contains a '/'.
     pub fn parse(text: &str) -> Result<SystemUnderTest, String> {
         if text.contains('/') {
             Ok(SystemUnderTest::Program(text.into()))
@@ -33,6 +34,7 @@
         }
     }
 
+    /// The name for reports.
     pub fn name(&self) -> String {
         match self {
             SystemUnderTest::Policy(policy) => format!("{policy:?}"),
@@ -40,6 +42,7 @@
         }
     }
 
+    /// Plays a scenario with a seed; `progress` is called with the share done.
     pub fn play(&self, scenario: &Scenario, seed: u64, progress: &dyn Fn(f64)) -> Result<Outcome, String> {
         match self {
             SystemUnderTest::Policy(policy) => {
@@ -50,7 +53,7 @@
     }
 }
 
-/// Mean of the paired differences and the half-width of its 95% interval, by Student's t.
+/// Mean of the paired differences and half-width of its 95% confidence interval, by Student's t.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Difference {
     pub mean: f64,
@@ -58,6 +61,7 @@
 }
 
 impl Difference {
+    /// The difference over all pairs; none for fewer than two.
     pub fn of(pairs: &[(f64, f64)]) -> Option<Difference> {
         let n = pairs.len() as f64;
         if n < 2.0 {
@@ -70,33 +74,39 @@
         Some(Difference { mean: round(mean), half_width: round(t * (square / n).sqrt()) })
     }
 
-    /// Whether the interval leaves out zero.
+    /// Whether the interval excludes zero.
     pub fn is_significant(&self) -> bool {
         self.mean.abs() > self.half_width
     }
 }
 
+/// A comparison of two systems over paired seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
     pub scenario: String,
     pub ours: String,
     pub against: String,
-    /// Seed, goodput of ours and of the other, p99 in ms of both, rules broken by both.
+    /// One entry per seed that was played without a void run.
     pub pairs: Vec<Pair>,
     pub goodput: Option<Difference>,
     pub p99: Option<Difference>,
+    /// Pairs left out because a run was void.
     pub void: usize,
 }
 
+/// One seed played with both systems; `ours` first.
 #[derive(Clone, Debug, Serialize)]
 pub struct Pair {
     pub seed: u64,
+    /// Goodput of both.
     pub goodput: (f64, f64),
+    /// 99th percentile of latency of both, in milliseconds.
     pub p99: (f64, f64),
+    /// Number of violations of both.
     pub broken: (u64, u64),
 }
 
-/// The same seeds with both; a pair with a void run is left out and counted.
+/// Plays the same seeds with both; a pair with a void run is left out and counted.
 pub fn compare(
     scenario: &Scenario,
     ours: &SystemUnderTest,
@@ -112,7 +122,7 @@
     let played: Vec<(Outcome, Outcome)> = if in_memory(ours) && in_memory(against) {
         seeds.par_iter().map(one).collect::<Result<_, _>>()?
     } else {
-        // Real time: one after the other, or they would take the processor from each other.
+        // Programs run in real time: one after the other, as parallel runs would compete for the processor.
         let mut played = Vec::new();
         for (nth, seed) in seeds.iter().enumerate() {
             played.push(one(seed)?);
@@ -144,22 +154,25 @@
     })
 }
 
+/// The outcomes of one value in a sweep.
 #[derive(Clone, Debug, Serialize)]
 pub struct Step {
+    /// The value of the field.
     pub value: String,
     pub outcomes: Vec<Outcome>,
 }
 
 impl Step {
+    /// The mean of a figure over all outcomes.
     pub fn mean(&self, figure: impl Fn(&Outcome) -> f64) -> f64 {
         self.outcomes.iter().map(figure).sum::<f64>() / self.outcomes.len().max(1) as f64
     }
 }
 
-/// The scenario with one field set to another value, for each value.
+/// The scenario with one field set to each of the values.
 pub fn vary(path: &Path, field: &str, values: &[String]) -> Result<Vec<(String, Scenario)>, String> {
     let name = path.display().to_string();
-    // As it stands over its base, so that a field of either can be varied.
+    // Merged with its base, so that a field of either can be varied.
     let whole = toml::to_string(&Scenario::load(path)?).map_err(|error| format!("{name}: {error}"))?;
     let table: toml::Table =
         toml::from_str(&whole).map_err(|error| format!("{name}: {}", error.message()))?;
@@ -173,7 +186,7 @@
     values.iter().map(one).collect()
 }
 
-/// Sets a dotted path, with numbers for places in lists: `clients.load`, `fault.0.size`.
+/// Sets a field by its dotted path, with numbers for places in lists: `clients.load`, `fault.0.size`.
 fn set(table: &mut toml::Table, field: &str, value: &str) -> Result<(), String> {
     let parsed = format!("v = {value}").parse::<toml::Table>().ok().and_then(|mut table| table.remove("v"));
     let value = parsed.unwrap_or_else(|| toml::Value::String(value.to_owned()));
@@ -197,6 +210,7 @@
     Ok(())
 }
 
+/// Plays each scenario with several seeds; policies run in parallel, programs one after the other.
 pub fn sweep(
     steps: Vec<(String, Scenario)>,
     system: &SystemUnderTest,
--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -1,9 +1,9 @@
-//! The judge: whether the four rules were kept, by what was seen on the wires alone.
+//! The judge: checks the deployment rules against what was observed on the wires.
 //!
-//! It owns the rules and the history of each open invocation. It shares nothing with what it judges but the
-//! ids on the wire: no type, no code, no word of the dispatcher on what it did. It does no I/O and reads no
-//! clock. It must never take a dispatcher's intent for what happened, and never pass over what it cannot
-//! place: an ending for a forward that nobody sent is a fault of the lab, and said.
+//! It holds the rules and the history of each open invocation. It shares no types and no code with the
+//! dispatcher except the ids on the wire, and uses no statement of the dispatcher about its own actions. It
+//! does no I/O and reads no clock. It never takes a dispatcher's intent for what happened. An observation
+//! that it cannot place, such as the end of a forward that nobody sent, is recorded as a fault of the lab.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fmt;
@@ -13,8 +13,10 @@
 
 use crate::scenario::{DeduplicationScope, Effect, Operation, Scenario};
 
+/// The id of one attempt of a client, as it stands on the wire.
 pub type InvocationId = u64;
 
+/// The final status that a client receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
     Succeeded,
@@ -22,129 +24,83 @@
     Errored,
 }
 
-/// How a forward came back, as it was put on the wire to the dispatcher.
+/// How a forward ended, as the runner's side of the wire showed it to the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardEnd {
     Succeeded,
+    /// The runner may have run it.
     MayHaveRun,
+    /// The runner has certainly not run it.
     NeverRan,
 }
 
-/// One thing seen on a wire.
+/// One observation on a wire. The `Debug` text of variants and fields appears in the histories of violations,
+/// so their names are part of the results.
 #[derive(Clone, Debug)]
 pub enum Observation {
-    /// An invocation's last byte has reached a dispatcher.
-    Taken {
-        inv: InvocationId,
-        dispatcher: u32,
-        operation: usize,
-        expires_at: Micros,
-    },
-    Answered {
-        inv: InvocationId,
-        how: FinalStatus,
-    },
-    /// A success came with what no runner made for this invocation.
-    Forged {
-        inv: InvocationId,
-    },
-    /// The client has left: nothing more is owed.
-    Left {
-        inv: InvocationId,
-    },
-    /// A kept connection ended under it, and it goes elsewhere: nothing is owed if it had not been read.
-    Crossed {
-        inv: InvocationId,
-    },
-    /// The dispatcher that owed it was killed outright.
-    Lost {
-        inv: InvocationId,
-    },
-    /// A forward has left the dispatcher; at a cold runner, with its true capacity now.
-    Forwarded {
-        inv: InvocationId,
-        dispatcher: u32,
-        runner: u32,
-        work: f64,
-        cold: Option<f64>,
-    },
-    /// A forward has told its runner how long its client will still wait.
-    TimeTold {
-        inv: InvocationId,
-        told: Micros,
-    },
-    Ended {
-        inv: InvocationId,
-        runner: u32,
-        how: ForwardEnd,
-    },
-    /// The dispatcher has withdrawn a forward that was out.
-    Withdrawn {
-        inv: InvocationId,
-        runner: u32,
-    },
-    /// A runner has begun on it and its effect is new there.
-    Ran {
-        inv: InvocationId,
-        runner: u32,
-    },
-    /// Discovery knows a runner's state from now on.
-    Listed {
-        runner: u32,
-        wanted: bool,
-        launched: Option<Micros>,
-    },
+    /// The last byte of an invocation has reached a dispatcher.
+    Taken { inv: InvocationId, dispatcher: u32, operation: usize, expires_at: Micros },
+    /// A client has received its final answer.
+    Answered { inv: InvocationId, how: FinalStatus },
+    /// A success carried a result that no runner produced for this invocation.
+    Forged { inv: InvocationId },
+    /// The client has left: no answer is required any more.
+    Left { inv: InvocationId },
+    /// A keep-alive connection closed while the invocation was being sent on it, and the client sends it
+    /// elsewhere: no answer is required unless the dispatcher had read it.
+    Crossed { inv: InvocationId },
+    /// The dispatcher that held the unanswered invocation was killed.
+    Lost { inv: InvocationId },
+    /// A forward has left the dispatcher. `cold` is the present true capacity of a cold runner, none for a
+    /// warm one.
+    Forwarded { inv: InvocationId, dispatcher: u32, runner: u32, work: f64, cold: Option<f64> },
+    /// A forward has stated to its runner how long its client will still wait, in microseconds.
+    TimeTold { inv: InvocationId, told: Micros },
+    /// A forward has ended at its runner.
+    Ended { inv: InvocationId, runner: u32, how: ForwardEnd },
+    /// The dispatcher has cancelled a forward that was in flight.
+    Withdrawn { inv: InvocationId, runner: u32 },
+    /// A runner has started the invocation and its effect is new there.
+    Ran { inv: InvocationId, runner: u32 },
+    /// Discovery lists the runner in this state from now on.
+    Listed { runner: u32, wanted: bool, launched: Option<Micros> },
     /// Discovery has written a runner's state to a dispatcher.
-    Told {
-        dispatcher: u32,
-        runner: u32,
-        wanted: bool,
-    },
-    /// A dispatcher has begun anew and knows nothing.
-    Began {
-        dispatcher: u32,
-    },
-    /// A dispatcher has said yes to a runner being out by hand, or back; or it was asked and nobody knows (none).
-    Hand {
-        dispatcher: u32,
-        runner: u32,
-        out: Option<bool>,
-    },
-    /// A dispatcher has told its boot number.
-    Boot {
-        dispatcher: u32,
-        boot: u64,
-    },
-    /// Asked at that moment, a dispatcher has said that it has no list to forward by.
-    Unlisted {
-        dispatcher: u32,
-        asked: Micros,
-    },
-    /// A dispatcher's disk was taken away or laid back: it cannot know what it once kept.
-    Forgets {
-        dispatcher: u32,
-    },
-    /// A dispatcher's process stands still, or goes on.
-    Still {
-        dispatcher: u32,
-        still: bool,
-    },
+    Told { dispatcher: u32, runner: u32, wanted: bool },
+    /// A dispatcher's process has started and knows nothing.
+    Began { dispatcher: u32 },
+    /// A dispatcher has confirmed an admin override that takes a runner out or back in; `None` if the call's
+    /// result is unknown.
+    Hand { dispatcher: u32, runner: u32, out: Option<bool> },
+    /// A dispatcher has reported its boot number.
+    Boot { dispatcher: u32, boot: u64 },
+    /// In reply to a request sent at `asked`, a dispatcher has said that it has no roster to forward by.
+    Unlisted { dispatcher: u32, asked: Micros },
+    /// A dispatcher's disk was emptied or replaced by another state: the dispatcher cannot know what it
+    /// stored.
+    Forgets { dispatcher: u32 },
+    /// A dispatcher's process is suspended (`still`) or resumes.
+    Still { dispatcher: u32, still: bool },
 }
 
+/// The rules that every run is judged by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
+    /// Exactly one answer, in time, and nothing forwarded after it.
     OneAnswer,
+    /// No effect takes place twice.
     NoEffectTwice,
+    /// Nothing is forwarded to a draining or removed runner after the drain grace.
     NothingToDraining,
+    /// A cold runner is sent no more than its budget of work and calls.
     ColdBudget,
-    /// Out by hand, said yes to, over any restart.
+    /// A runner that a confirmed admin override took out receives nothing, also after a restart.
     HandHolds,
-    /// No boot number for two lives, and each higher than those before.
+    /// Each boot number is higher than those of all earlier process runs.
     BootRises,
-    /// Nothing forwarded while it says that it has no list.
+    /// A dispatcher forwards nothing while it reports that it has no roster.
     NotBeforeListed,
-    /// No deadline told to a runner that is later than the client's.
+    /// No runner is given a later deadline than the client's.
     DeadlineTold,
 }
 
@@ -163,34 +119,44 @@
     }
 }
 
+/// One broken rule, with the history that shows it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
     pub rule: Rule,
+    /// When it was broken, in microseconds from the start of the run.
     pub at: Micros,
+    /// The invocation concerned; 0 for rules that concern no single one.
     pub inv: InvocationId,
+    /// What was observed.
     pub what: String,
-    /// All that was seen of the invocation until then, a line each.
+    /// All observations of the invocation until then, one line each.
     pub history: Vec<String>,
 }
 
-/// What the judge must know of a deployment.
+/// What the judge must know of a deployment. Times are in microseconds.
 pub struct JudgeParameters {
     pub operations: Vec<Operation>,
     /// Zone and cell of each runner.
     pub locations: Vec<(usize, i64)>,
+    /// How long after its notification a dispatcher may still forward to a draining runner.
     pub drain_grace: Micros,
+    /// After this time a roster change counts as known to every dispatcher.
     pub ask_within: Micros,
+    /// A cold runner's budget is this factor times the work that it can do in `tip_after`.
     pub overload_factor: f64,
+    /// The span over which a cold runner's budget applies.
     pub tip_after: Micros,
-    /// The mean work of an invocation.
+    /// The mean work of an invocation, in microseconds.
     pub mean_work: f64,
-    /// How much later than its order says something may be seen: what the lab cannot tell from the wire's way.
+    /// By how much an observation may come later than the event: the delay on the wire that the lab cannot
+    /// tell from lateness.
     pub slack: Micros,
     /// The same for a final answer against the client timeout.
     pub answer_slack: Micros,
 }
 
 impl JudgeParameters {
+    /// Takes the parameters from a scenario; `locations` has the zone and cell of each runner.
     pub fn of(
         scenario: &Scenario,
         locations: Vec<(usize, i64)>,
@@ -211,6 +177,7 @@
     }
 }
 
+/// A forward that the judge has seen.
 struct SentForward {
     runner: u32,
     at: Micros,
@@ -228,12 +195,13 @@
     }
 }
 
+/// All that the judge knows of an open invocation.
 struct InvocationRecord {
     dispatcher: u32,
     operation: usize,
     expires_at: Micros,
     answered: Option<(Micros, FinalStatus)>,
-    /// Nothing is owed: the client has left, or the dispatcher was killed.
+    /// No answer is required: the client has left, or the dispatcher was killed.
     excused: bool,
     /// When the client closed its connection.
     left_at: Option<Micros>,
@@ -244,7 +212,7 @@
 }
 
 impl InvocationRecord {
-    /// Whether nothing of it was to come any more at that moment.
+    /// Whether no further observation of the invocation was due at that moment.
     fn is_finished(&self, then: Micros) -> bool {
         let answered = self.answered.is_some_and(|(at, _)| at < then)
             && !self.sent.iter().any(SentForward::is_in_flight);
@@ -252,85 +220,103 @@
     }
 }
 
+/// The forwards sent to a cold runner within the last span: time, work, and whether the dispatcher knew of
+/// the runner's start. `broken` limits it to one violation.
 #[derive(Default)]
 struct ColdRunner {
     sends: VecDeque<(Micros, f64, bool)>,
     broken: bool,
 }
 
-/// Violations kept in full; beyond these they are only counted.
+/// Violations recorded in full; any more are only counted.
 const MAX_DETAILED_VIOLATIONS: usize = 20;
-/// How long an invocation is kept when nothing of it is to come any more, for what may come all the same.
+/// How long a finished invocation is kept, in microseconds, to judge observations that come late.
 const RETENTION: Micros = 5_000_000;
-/// What a process may take to come round after it stood still.
+/// How long a process may take to catch up after it resumes, in microseconds.
 const RESUME_GRACE: Micros = 100_000;
-/// How much a cold budget may be overdrawn by chance: a job's length is not known when it is sent. By number what chance
-/// explains is stated: 2 x root of N and 2 beyond N calls of mean work.
+/// Factor by which the work sent to a cold runner may exceed its budget at random: the length of a job is not
+/// known when it is sent. For the number of calls the random excess is computed: N calls of mean work may
+/// become N + 2 * sqrt(N) + 2.
 const COLD_WORK_TOLERANCE: f64 = 1.15;
 
-/// From a client's close on nothing may begin for it after this, by the terms.
+/// How long after a client closes its connection a forward may still start for it, in microseconds; given by
+/// the platform's terms.
 const CLIENT_LEFT_GRACE: Micros = 100_000;
-/// What a runner may be told beyond the time that its client has left, by the terms.
+/// By how much the time stated to a runner may exceed the time that its client has left, in microseconds;
+/// given by the platform's terms.
 const REPORTED_TIME_SLACK: Micros = 150_000;
 
+/// Takes observations in order of time and records every violation of a rule.
 pub struct Judge {
     parameters: JudgeParameters,
     invocations: HashMap<InvocationId, InvocationRecord>,
-    /// In the order in which they were taken, to be let go of.
+    /// Invocations in the order in which they were taken, for removal.
     order: VecDeque<(Micros, InvocationId)>,
-    /// What each dispatcher has been told of each runner: since when it is not wanted, or none.
+    /// By dispatcher and runner: since when the dispatcher has known that the runner is not wanted, and
+    /// whether the runner was wanted in the latest notification.
     notified: HashMap<(u32, u32), (Option<Micros>, bool)>,
     listed: BTreeMap<u32, (Micros, bool, Option<Micros>)>,
     cold: BTreeMap<u32, ColdRunner>,
-    /// Dispatchers that stand still, and since when.
+    /// Suspended dispatchers, and since when.
     suspended: BTreeMap<u32, Micros>,
-    /// Runners out by hand, by dispatcher, and since when.
+    /// Runners taken out by an admin override, by dispatcher, and since when.
     overrides: BTreeMap<(u32, u32), Micros>,
-    /// By dispatcher, the highest boot number of earlier lives, and this life's.
+    /// By dispatcher, the highest boot number of earlier process runs, and that of the present one.
     boots: BTreeMap<u32, (u64, Option<u64>)>,
-    /// When each dispatcher's present life first forwarded anything.
+    /// When the present process run of each dispatcher first forwarded anything.
     first_forwards: BTreeMap<u32, Micros>,
+    /// Counts and violations so far.
     pub verdict: Verdict,
-    /// How late the eyes of the lab are now: what they see may have been there for so long. Nobody else is to blame
-    /// for that.
+    /// How late the lab's own observations are now, in microseconds: an event may have happened that much
+    /// earlier than it is seen, which is not held against any dispatcher.
     pub observation_delay: Micros,
-    /// Work sent to cold runners, and the largest share of a budget that was used by all together.
+    /// Work sent to cold runners, in microseconds.
     pub cold_work: f64,
+    /// The largest share of one runner's budget that all dispatchers together used.
     pub max_cold_share: f64,
+    /// The calls sent to cold runners, against the random limit.
     pub cold_calls: ColdCalls,
 }
 
-/// What cold runners were sent in each span that ends with a call, against what may be put down to chance: N calls of mean
-/// work that the rule allows, 2 x root of N and 2 more.
+/// The calls that cold runners received in each span that ends with a call, against the random limit: the N
+/// calls of mean work that the rule allows, plus 2 * sqrt(N) + 2.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdCalls {
+    /// Number of spans.
     pub spans: u64,
+    /// Spans with more calls than the random limit.
     pub over: u64,
+    /// The largest share of the random limit in any span.
     pub most: f64,
 }
 
+/// What the judge found in a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
     pub taken: u64,
     pub succeeded: u64,
     pub throttled: u64,
     pub errored: u64,
-    /// Owed by a dispatcher when it was killed.
+    /// Unanswered when their dispatcher was killed.
     pub lost_by_kill: u64,
     pub forwards: u64,
+    /// Number of violations by rule.
     pub violations: BTreeMap<Rule, u64>,
+    /// The first violations in full.
     pub kept: Vec<Violation>,
-    /// What the lab itself got wrong; a run with any of these says nothing.
+    /// Faults of the lab itself; a run with any of these proves nothing.
     pub own_faults: Vec<String>,
 }
 
 impl Verdict {
+    /// Whether no rule was broken.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 }
 
 impl Judge {
+    /// A judge of a deployment that has not been started yet.
     pub fn new(parameters: JudgeParameters) -> Judge {
         Judge {
             parameters,
@@ -367,7 +353,7 @@
         }
     }
 
-    /// Takes in one thing seen, in the order of time.
+    /// Takes in one observation; observations must come in order of time.
     pub fn observe(&mut self, at: Micros, seen: Observation) {
         let inv = match &seen {
             Observation::Taken { inv, .. }
@@ -405,7 +391,7 @@
                     record.left_at.get_or_insert(at);
                 }
             }
-            // What was forwarded had been read.
+            // Once something was forwarded, the dispatcher had read the invocation.
             Observation::Crossed { inv } => {
                 if let Some(record) = self.invocations.get_mut(&inv).filter(|record| record.sent.is_empty()) {
                     record.excused = true;
@@ -435,7 +421,7 @@
             }
             Observation::Told { dispatcher, runner, wanted } => {
                 let told = self.notified.entry((dispatcher, runner)).or_insert((None, true));
-                // Told once more of the same does not lengthen the grace.
+                // A repeated notification does not extend the drain grace.
                 let since = if wanted { None } else { Some(told.0.unwrap_or(at)) };
                 *told = (since, wanted);
             }
@@ -468,23 +454,26 @@
         }
     }
 
-    /// How much work an invocation is, from whoever brought it.
+    /// Records the true work of an invocation, which only its client knows.
     pub fn note_work(&mut self, inv: InvocationId, work: f64) {
         if let Some(record) = self.invocations.get_mut(&inv) {
             record.work = work;
         }
     }
 
+    /// The work of an open invocation in microseconds, 0 if it is unknown.
     pub fn work(&self, inv: InvocationId) -> f64 {
         self.invocations.get(&inv).map_or(0.0, |record| record.work)
     }
 
+    /// The operation of an open invocation, as its place in the scenario.
     pub fn operation(&self, inv: InvocationId) -> Option<usize> {
         self.invocations.get(&inv).map(|record| record.operation)
     }
 
-    /// Who could not act is not to blame for having been late, and knows what was written to it meanwhile only from
-    /// now on. All else holds for it as for anybody: what it does next it does on what it can know now.
+    /// A suspended process could not act: invocations that expire before it has caught up are excused, and
+    /// what was written to it meanwhile counts as known from now on. All other rules hold unchanged for what
+    /// it does next.
     fn record_resume(&mut self, at: Micros, dispatcher: u32) {
         let Some(since) = self.suspended.remove(&dispatcher) else { return };
         for record in self.invocations.values_mut().filter(|record| record.dispatcher == dispatcher) {
@@ -538,7 +527,7 @@
         }
     }
 
-    /// Lets go of an invocation, and looks whether it was answered at all.
+    /// Removes an invocation, and records a violation if it was never answered.
     fn close(&mut self, at: Micros, inv: InvocationId) {
         let Some(record) = self.invocations.get(&inv) else { return };
         if record.answered.is_none() && !record.excused {
@@ -578,7 +567,7 @@
         }
     }
 
-    /// What a runner is told of the time left, against what the client still waits.
+    /// Checks the remaining time stated to a runner against what the client will still wait.
     fn check_reported_time(&mut self, at: Micros, inv: InvocationId, told: Micros) {
         let Some(record) = self.invocations.get(&inv) else { return };
         let left = record.expires_at - at;
@@ -642,7 +631,8 @@
         }
         record.sent.push(SentForward { runner, at, back: None, withdrawn: false });
 
-        // Told, or treated as told: a change counts for everybody after a while.
+        // Notified, or treated as notified: a change counts for every dispatcher after the notification
+        // deadline.
         let told = self.notified.get(&(dispatcher, runner)).copied();
         let listed = self.listed.get(&runner).copied();
         let deadline =
@@ -679,6 +669,7 @@
             counted.spans += 1;
             counted.over += u64::from(calls > random_limit);
             counted.most = counted.most.max(calls / random_limit);
+            // Dispatchers are at fault only if those that knew of the start sent two thirds of the work.
             let is_at_fault = knowing_work * 3.0 >= all * 2.0;
             if calls > random_limit && is_at_fault && !cold.broken {
                 cold.broken = true;
@@ -701,7 +692,7 @@
     fn record_forward_end(&mut self, at: Micros, inv: InvocationId, runner: u32, how: Option<ForwardEnd>) {
         let Some(record) = self.invocations.get_mut(&inv) else { return };
         let Some(sent) = record.sent.iter_mut().rev().find(|sent| sent.runner == runner) else {
-            // Whoever likes may give up what was never there.
+            // A forward that was never sent may be cancelled.
             if how.is_none() {
                 return;
             }
@@ -728,7 +719,7 @@
         }
     }
 
-    /// The run is over: whatever is still owed now was never answered.
+    /// Ends the run: every invocation still open and unanswered is recorded as never answered.
     pub fn finish(&mut self, at: Micros) {
         let mut open: Vec<InvocationId> = self.invocations.keys().copied().collect();
         open.sort_unstable();
--- a/lab/src/judge/tests.rs
+++ b/lab/src/judge/tests.rs
@@ -1,11 +1,12 @@
 use super::*;
 
-/// Each rule broken in the smallest way, and the same without the breach: the judge must tell them apart.
+/// Judges a sequence of observations of one invocation. The tests break each rule in the smallest way and
+/// compare with the same sequence without the breach.
 fn verdict(text: &str, seen: &[(Micros, Observation)]) -> Verdict {
     verdict_with_delay(0, text, seen)
 }
 
-/// The same by a lab that is so late.
+/// The same with observations that are late by `behind` microseconds.
 fn verdict_with_delay(delay: Micros, text: &str, seen: &[(Micros, Observation)]) -> Verdict {
     let base = r#"
             name = "t"
@@ -95,7 +96,7 @@
     assert!(!clean(ONCE, &perhaps, &throttled));
     assert!(clean(ONCE, &perhaps, &end));
     assert!(!clean(ONCE, &[&perhaps[..], &[sent(30, 1)]].concat(), &end));
-    // Withdrawn is no proof that it never ran, but it is not out any more.
+    // A cancelled forward may have run, but it is no longer in flight.
     let withdrawn = [sent(10, 0), (20, Observation::Withdrawn { inv: 1, runner: 0 }), sent(30, 1)];
     assert!(!clean(ONCE, &withdrawn, &end) && clean("", &withdrawn, &end));
     assert!(!clean("", &[sent(10, 0), sent(30, 1)], &end), "two out at once");
@@ -115,7 +116,7 @@
     let late = verdict("", &[told(false), sent(500_101, 0), end.clone()]);
     assert_eq!(rules(&late), [Rule::NothingToDraining]);
     assert!(verdict("", &[told(false), told(true), sent(800_000, 0), end.clone()]).is_clean());
-    // Not told, but listed for longer than anyone may go without asking.
+    // Not notified, but listed for longer than the notification deadline.
     let listed = (-12_000_000, Observation::Listed { runner: 0, wanted: false, launched: None });
     assert_eq!(rules(&verdict("", &[listed, sent(800_000, 0), end])), [Rule::NothingToDraining]);
 }
@@ -126,7 +127,7 @@
     let told = (1_500_000, Observation::Told { dispatcher: 0, runner: 0, wanted: false });
     let late = answered(6_000_000, FinalStatus::Errored);
     assert!(verdict("", &[still(1_000_000, true), still(5_500_000, false), late.clone()]).is_clean());
-    // It went on in time for that.
+    // It resumed early enough to answer in time.
     let early = verdict("", &[still(1_000_000, true), still(4_000_000, false), late]);
     assert_eq!(rules(&early), [Rule::OneAnswer]);
     let frozen = [still(1_000_000, true), told, still(2_000_000, false)];
@@ -168,7 +169,8 @@
     assert_eq!(broken(&[sent(300, 0), (350, Observation::Began { dispatcher: 0 }), unlisted(400)]), []);
 }
 
-/// 3 x 0.2 x 2 s is twelve calls of the mean 100 ms: 20 are put down to chance, 21 are not, however short they are.
+/// The budget of 3 x 0.2 x 2 s is twelve calls of the mean 100 ms: 20 calls are within the random limit, 21
+/// are not, however short they are.
 #[test]
 fn cold_runners_are_sent_no_more_calls_than_the_random_limit() {
     let sent = |count: i64, told: bool| {
@@ -191,7 +193,7 @@
 fn cold_runners_keep_their_budget() {
     let began = (5, Observation::Listed { runner: 0, wanted: true, launched: Some(5) });
     let told = (6, Observation::Told { dispatcher: 0, runner: 0, wanted: true });
-    // 3 x 0.2 x 2 s is 1.2 s of work; 1.38 s with the slack for chance.
+    // The budget of 3 x 0.2 x 2 s is 1.2 s of work; 1.38 s with the tolerance for random lengths.
     let send = |nth: i64, work: f64| {
         let (inv, at) = (1, 10 + nth);
         (at, Observation::Forwarded { inv, dispatcher: 0, runner: 0, work, cold: Some(0.2) })
@@ -207,7 +209,7 @@
     };
     assert_eq!(flood(300_000.0, &[began.clone(), told.clone()]), [Rule::ColdBudget]);
     assert_eq!(flood(270_000.0, &[began.clone(), told]), []);
-    // Who has not been told of the start is not to blame.
+    // A dispatcher that was not notified of the start is not at fault.
     assert_eq!(flood(300_000.0, &[began]), []);
 }
 
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -1,8 +1,7 @@
-//! Clients: when each brings what, and whether it comes back.
+//! Clients: when each request arrives, and whether a client retries.
 //!
-//! It does no I/O. What is brought is drawn from the seed alone, before anything is answered: two policies
-//! with one seed are brought the same work at the same moments. It must never look at an answer but to say
-//! whether the client tries again.
+//! It does no I/O. Requests are drawn from the seed alone, before anything is answered: two policies with one
+//! seed get the same work at the same times. Answers are used only to decide whether a client retries.
 
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
@@ -11,23 +10,27 @@
 
 use crate::scenario::{Arrivals, Clients, DeduplicationScope, Effect, Operation, Scenario, Shape};
 
-/// One thing that a client wants, with all its tries.
+/// One request of a client, with all its attempts.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
+    /// When it is due, in microseconds from the start.
     pub at: Micros,
     pub operation: usize,
-    /// Work at speed 1.
+    /// Work in microseconds at speed 1.
     pub work: f64,
+    /// The key, for operations that have keys.
     pub key: Option<u32>,
+    /// The client's zone.
     pub zone: usize,
 }
 
-/// A generator of its own for each purpose, so that one purpose's draws never shift another's.
+/// A separate generator for each purpose, so that the draws of one purpose never shift those of another.
 pub fn seeded_generator(seed: u64, purpose: u64) -> Pcg32 {
     let mixed = topazsail::hash(&[seed.to_le_bytes(), purpose.to_le_bytes()].concat());
     Pcg32::seed_from_u64(mixed)
 }
 
+/// Generates the requests of all clients in order of time.
 pub struct ArrivalGenerator {
     operations: Vec<Operation>,
     shares: Vec<f64>,
@@ -35,18 +38,18 @@
     keys: Vec<Option<Zipf<f64>>>,
     clients: Clients,
     zones: usize,
-    /// Mean gap in microseconds at the highest rate.
+    /// Mean time between arrivals at the highest rate, in microseconds.
     mean_gap: f64,
     peak: f64,
     at: f64,
     end: Micros,
     rng: Pcg32,
-    /// The present stretch of bursts: until when, and whether high.
+    /// The present phase of `bursts`: when it ends, and whether its rate is high.
     burst_phase: (f64, bool),
 }
 
 impl ArrivalGenerator {
-    /// `capacity` is the work that all runners do in a microsecond when warm and well.
+    /// `capacity` is the work that all runners do in a microsecond when warm and without faults.
     pub fn new(scenario: &Scenario, capacity: f64, seed: u64) -> ArrivalGenerator {
         let operations = scenario.operation.clone();
         let total: f64 = operations.iter().map(|op| op.share).sum();
@@ -81,7 +84,7 @@
         }
     }
 
-    /// The rate at a moment as a share of the mean.
+    /// The rate at a time, as a share of the mean.
     fn level(&mut self, at: f64) -> f64 {
         let (swing, period) = (self.clients.swing, self.clients.period.0.max(1) as f64);
         match self.clients.arrivals {
@@ -108,7 +111,8 @@
             if self.at >= self.end as f64 {
                 return None;
             }
-            // Thinning: arrivals at the highest rate, each kept by the share that the moment has of it.
+            // Thinning: arrivals are drawn at the highest rate, and each is kept with the probability of the
+            // present rate over the highest.
             let level = self.level(self.at) / self.peak;
             if self.rng.random::<f64>() < level {
                 break;
@@ -132,32 +136,33 @@
     }
 }
 
-/// What a client sees of one try.
+/// The result of one attempt, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     Succeeded,
     Throttled(Option<Micros>),
     Errored,
-    /// No dispatcher took it.
+    /// No dispatcher accepted it.
     Untaken,
-    /// It was taken, and then its connection ended or nothing came in time.
+    /// It was accepted, and then its connection ended or no answer came in time.
     Nothing,
 }
 
-/// Whether and when a client tries again: its own draws, so that one policy's answers shift no one else's.
+/// When a client retries, if it does. It uses its own generator, so that answers under one policy shift no
+/// other draws.
 pub fn retry_time(
     scenario: &Scenario,
     seed: u64,
-    ask: (u64, &ClientRequest),
+    request: (u64, &ClientRequest),
     attempts: u32,
     seen: AttemptResult,
     now: Micros,
 ) -> Option<Micros> {
-    let (number, ask) = ask;
-    let (clients, op) = (&scenario.clients, &scenario.operation[ask.operation]);
+    let (number, request) = request;
+    let (clients, op) = (&scenario.clients, &scenario.operation[request.operation]);
     let is_within_window = op.effect == Effect::Deduplicated
         && op.group == DeduplicationScope::All
-        && now < ask.at + op.memory_span.0.saturating_sub(100_000);
+        && now < request.at + op.memory_span.0.saturating_sub(100_000);
     let repeat_is_harmless = match seen {
         AttemptResult::Succeeded => false,
         AttemptResult::Throttled(_) | AttemptResult::Untaken => true,
@@ -175,5 +180,5 @@
         _ => wait,
     };
     let at = now + wait as Micros;
-    (at + 1_000 < ask.at + op.client_timeout.0).then_some(at)
+    (at + 1_000 < request.at + op.client_timeout.0).then_some(at)
 }
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -1,7 +1,7 @@
-//! Who decides, in virtual time: the module of decisions itself, or a baseline to measure it against.
+//! The policies that decide in virtual time: the decision module itself, or a baseline to compare it with.
 //!
-//! Baselines take the same events and return the same actions. They keep the rules on repeats, and nothing
-//! else: that is what they are for. Those with true state see what no real dispatcher can.
+//! Baselines take the same events and return the same actions. They obey the rules on repeats and nothing
+//! else, by intent. Those with true state see what no real dispatcher can see.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -16,20 +16,23 @@
 use crate::load::seeded_generator;
 use crate::runner::Runner;
 
+/// The policy of a run in virtual time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The module that topazsail serves with.
+    /// The decision module of topazsail.
     Topazsail,
     Random,
     RoundRobin,
-    /// The least of so many draws by the latest load report that this dispatcher has had.
+    /// Of this many drawn runners the one with the lowest load, by the latest load report that this
+    /// dispatcher has received.
     LeastReported(usize),
-    /// The least of so many draws by true counts.
+    /// Of this many drawn runners the one with the lowest load, by true counts.
     LeastTrue(usize),
-    /// The least of all runners by true counts.
+    /// The runner with the lowest load of all, by true counts.
     LeastOfAll,
 }
 
+/// The names of all policies, for help and error texts.
 pub const POLICIES: &str =
     "topazsail, random, round-robin, least-of-D, true-of-D (D from 1 to 9), least-of-all";
 
@@ -55,8 +58,10 @@
     }
 }
 
+/// Decides for one dispatcher: the decision module or a baseline.
 pub trait DecisionMaker {
-    /// As [`RoutingPolicy::decide`]; `truth` is for those baselines that are told it.
+    /// As [`RoutingPolicy::decide`]; `truth` has the true state of the runners, for the baselines that use
+    /// it.
     fn decide(&mut self, now: Micros, happened: Event, truth: &[Runner]) -> Vec<Action>;
 }
 
@@ -66,6 +71,7 @@
     }
 }
 
+/// Creates the policy of one dispatcher.
 pub fn new_decider(policy: Policy, settings: Settings, seed: u64) -> Box<dyn DecisionMaker> {
     match policy {
         Policy::Topazsail => Box::new(RoutingPolicy::new(settings, seed)),
@@ -82,12 +88,14 @@
     }
 }
 
+/// An unanswered invocation.
 struct OpenInvocation {
     operation: usize,
     forwards: u32,
     may_have_run: bool,
 }
 
+/// A baseline policy of one dispatcher.
 struct Baseline {
     policy: Policy,
     settings: Settings,
@@ -99,12 +107,13 @@
     subscribed: bool,
 }
 
-/// A runner's number, as it stands in its id.
+/// A runner's number, taken from its id; `u32::MAX` if the id has none.
 pub fn runner_number(id: &str) -> u32 {
     id[1..].parse().unwrap_or(u32::MAX)
 }
 
 impl Baseline {
+    /// Chooses a runner; none if the roster is empty.
     fn choose(&mut self, truth: &[Runner]) -> Option<Id> {
         if self.listed.is_empty() {
             return None;
@@ -119,7 +128,7 @@
                 self.next_turn % all
             }
             Policy::LeastOfAll => {
-                // Ties by chance, or the first of the list would have them all.
+                // Ties are broken at random, or the first of the list would win them all.
                 let first = self.rng.random_range(0..all);
                 let order = (0..all).map(|step| (first + step) % all);
                 order.min_by(|a, b| count(&self.listed[*a]).total_cmp(&count(&self.listed[*b])))?
@@ -145,12 +154,14 @@
         match runner {
             Some(runner) if open.forwards < self.settings.max_forwards => {
                 open.forwards += 1;
-                vec![Action::Forward { invocation: inv, runner: runner, latest: None }]
+                vec![Action::Forward { invocation: inv, runner, latest: None }]
             }
             _ => self.answer_failure(inv),
         }
     }
 
+    /// Answers an invocation without a further forward: throttles it where a repeat is harmless, else returns
+    /// an error.
     fn answer_failure(&mut self, inv: Id) -> Vec<Action> {
         let Some(open) = self.invocations.remove(&inv) else { return Vec::new() };
         let effect = self.settings.operations[open.operation].effect;
@@ -188,7 +199,8 @@
                 let Some(open) = self.invocations.get_mut(&outcome.invocation) else { return Vec::new() };
                 open.may_have_run |= !never;
                 let effect = self.settings.operations[open.operation].effect;
-                // Groups and spans are left alone: what may have run goes again only where any runner will do.
+                // Deduplication scopes and windows are ignored: what may have run is repeated only where any
+                // runner will do.
                 let again = !open.may_have_run || effect == Effect::Idempotent;
                 if again && outcome.result != ForwardResult::TimedOut {
                     self.forward(outcome.invocation, truth)
--- a/lab/src/ramp.rs
+++ b/lab/src/ramp.rs
@@ -1,9 +1,10 @@
-//! What the runners' warmth alone allows: the baseline "ramp" for what follows a loss of power.
+//! What the runners' warmth alone allows: the baseline "ramp" for the time after a power loss.
 //!
-//! A fleet without dispatchers' faults, that knows everything at once and whose work can be split at will: each
-//! second it does as much work as its runners' capacity, as it is at each moment, allows, an even share of
-//! all that is asked. What it leaves undone in a second is lost, so that it has no queue to catch up with. It is
-//! no bound, as a fleet may prefer what is worth most for its length; `best` is the same with that preference.
+//! It models a fleet without faulty dispatchers that knows everything at once and whose work can be split at
+//! will: each second it does as much work as its runners' present capacity allows, an even share of
+//! everything requested. Work not done within a second is lost, so there is no queue to catch up with. It is
+//! not an upper bound, as a fleet may prefer the work with the most value for its length; `best` is the ramp
+//! with that preference.
 
 use crate::load::ArrivalGenerator;
 use crate::runner::ProcessState;
@@ -11,12 +12,14 @@
 use crate::tally::{Window, round};
 use crate::world::World;
 
-/// Capacity is looked at so often.
+/// Sampling interval of the capacity, in microseconds.
 const STEP: i64 = 10_000;
+/// A second, in microseconds.
 const SECOND: i64 = 1_000_000;
 
-/// For each second of a run the share of what is asked that capacity allows: of work, and of billed value where
-/// what is worth most for its work comes first. And the work that the rule on cold runners lets them be sent.
+/// For each second of a run, the share of the requests that capacity allows: by work, and by billed value if
+/// the work with the most value for its length comes first. Also the work that the rule on cold runners lets
+/// them be sent in all.
 pub fn ramp(scenario: &Scenario, seed: u64) -> (Vec<(f64, f64)>, f64) {
     let mut world = World::new(scenario, seed);
     let seconds = ((scenario.length.0 + SECOND - 1) / SECOND) as usize;
@@ -35,28 +38,28 @@
         let capacity: f64 = working.map(|runner| runner.capacity(at)).sum();
         capacities[(at / SECOND) as usize] += capacity * STEP as f64;
     }
-    let mut asked: Vec<Vec<(f64, f64)>> = vec![Vec::new(); seconds];
-    for ask in ArrivalGenerator::new(scenario, world.capacity(), seed) {
-        let value = scenario.operation[ask.operation].billed_value;
-        asked[((ask.at / SECOND) as usize).min(seconds - 1)].push((value, ask.work));
+    let mut requested: Vec<Vec<(f64, f64)>> = vec![Vec::new(); seconds];
+    for request in ArrivalGenerator::new(scenario, world.capacity(), seed) {
+        let value = scenario.operation[request.operation].billed_value;
+        requested[((request.at / SECOND) as usize).min(seconds - 1)].push((value, request.work));
     }
-    let even = |asked: &[(f64, f64)], capacity: f64| {
-        let work: f64 = asked.iter().map(|(_, work)| work).sum();
+    let even = |requested: &[(f64, f64)], capacity: f64| {
+        let work: f64 = requested.iter().map(|(_, work)| work).sum();
         if work > capacity { round(capacity / work) } else { 1.0 }
     };
-    let by_second = asked
+    let by_second = requested
         .into_iter()
         .zip(capacities)
-        .map(|(asked, capacity)| (even(&asked, capacity), best(asked, capacity)));
+        .map(|(requested, capacity)| (even(&requested, capacity), best(requested, capacity)));
     (by_second.collect(), budget * scenario.limits.overload_factor)
 }
 
-/// The share of the value that fits, by value for work.
-fn best(mut asked: Vec<(f64, f64)>, mut capacity: f64) -> f64 {
-    let all: f64 = asked.iter().map(|(value, _)| value).sum();
-    asked.sort_by(|a, b| (b.0 / b.1).total_cmp(&(a.0 / a.1)));
+/// The share of the value that fits if requests are served in order of value per work.
+fn best(mut requested: Vec<(f64, f64)>, mut capacity: f64) -> f64 {
+    let all: f64 = requested.iter().map(|(value, _)| value).sum();
+    requested.sort_by(|a, b| (b.0 / b.1).total_cmp(&(a.0 / a.1)));
     let mut achieved = 0.0;
-    for (value, work) in asked {
+    for (value, work) in requested {
         let fits = (capacity / work).clamp(0.0, 1.0);
         achieved += value * fits;
         capacity -= work * fits;
@@ -64,32 +67,40 @@
     if all > 0.0 { round(achieved / all) } else { 1.0 }
 }
 
-/// Seconds over which runners are short: from the first in which the ramp falls below what it is worth measuring,
-/// until it is whole again; how much was had in them, and how much the ramp had.
+/// Comparison with the ramp over the seconds in which runners are short of capacity: from the first in which
+/// the ramp falls below `FULL_RAMP` until it is full again.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RampComparison {
+    /// Start of the comparison, in seconds from the start of the run.
     pub from: f64,
+    /// End of the comparison, in seconds from the start of the run.
     pub until: f64,
+    /// Goodput of the run, summed over the seconds.
     pub achieved: f64,
+    /// Goodput of the ramp, summed over the seconds.
     pub ramp: f64,
-    /// The ramp where what is worth most comes first.
+    /// Goodput of the ramp if the work with the most value for its length comes first, summed over the
+    /// seconds.
     pub best: f64,
-    /// From `from` until a second had 0.95 of its ramp, and every later one within the stretch as well.
+    /// Seconds from `from` until a second reached 0.95 of its ramp, as did every later one of the comparison;
+    /// none if that never happens.
     pub caught_up: Option<f64>,
 }
 
+/// From this goodput on the ramp counts as full; smaller gaps are not worth measuring.
 const FULL_RAMP: f64 = 0.995;
+/// Share of the ramp at which a second counts as caught up.
 const CAUGHT_UP: f64 = 0.95;
 
-/// The longest stretch after an outage in which warmth binds; none where it never does. Seconds without power are
-/// no part of it.
+/// Compares over the longest span after an outage in which warmth limits goodput; none if it never does.
+/// Seconds without power are left out.
 pub fn compare_with_ramp(windows: &[Window]) -> Option<RampComparison> {
     let short = |window: &&Window| window.ramp > 0.0 && window.ramp < FULL_RAMP;
     let first = windows.iter().position(|window| short(&window))?;
     let last = windows.iter().rposition(|window| short(&window))?;
     let seconds: Vec<&Window> = windows[first..=last].iter().filter(|window| window.ramp > 0.0).collect();
-    let behind = seconds.iter().rposition(|window| window.goodput < CAUGHT_UP * window.ramp);
-    let caught_up = match behind {
+    let last_behind = seconds.iter().rposition(|window| window.goodput < CAUGHT_UP * window.ramp);
+    let caught_up = match last_behind {
         None => Some(0.0),
         Some(nth) => seconds.get(nth + 1).map(|window| round(window.at - windows[first].at)),
     };
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,6 +1,6 @@
-//! Reports for people: one page of HTML with its plots inside, and a few lines for a terminal.
+//! Reports for people: one HTML page with its plots included, and a few lines for a terminal.
 //!
-//! It owns how figures look. It must never compute one that the JSON does not hold, and escapes all text.
+//! This module formats figures. It computes none that the JSON does not hold, and escapes all text.
 
 use std::fs;
 use std::ops::Range;
@@ -13,6 +13,7 @@
 use crate::ramp;
 use crate::tally::{FaultBand, Outcome};
 
+/// Size of a plot in pixels.
 const SIZE: (u32, u32) = (920, 260);
 const PALETTE: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
@@ -32,7 +33,7 @@
 
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// One plot as SVG text: axes from 0 to `top`, names under the axis where it has some, and what `draw` adds.
+/// One plot as SVG text: axes from 0 to `top`, names under the x axis if it has some, and what `draw` adds.
 fn canvas(
     title: &str,
     unit: &str,
@@ -72,7 +73,7 @@
     format!("plot: {error}")
 }
 
-/// Lines, with faults as bands behind them.
+/// A plot of lines, with faults as bands behind them.
 fn plot(
     title: &str,
     unit: &str,
@@ -108,6 +109,7 @@
     })
 }
 
+/// A bar chart of named values.
 fn bars(title: &str, unit: &str, values: &[(String, f64)]) -> Result<String, String> {
     let top = values.iter().map(|(_, value)| *value).fold(0.0, f64::max).max(1e-9) * 1.08;
     canvas(title, unit, 0.0..values.len() as f64, top, Some(values), |chart| {
@@ -251,6 +253,7 @@
     Ok(page(&format!("{}: {} against {}", comparison.scenario, comparison.ours, comparison.against), &body))
 }
 
+/// A few lines on a comparison.
 pub fn comparison_text(comparison: &Comparison) -> String {
     let mut text = format!(
         "{}: {} against {}, {} pairs, {} void\n",
@@ -292,6 +295,7 @@
     Ok(page(&format!("{}: {field}", name.unwrap_or_default()), &body))
 }
 
+/// A table of a sweep, one line for each value.
 pub fn sweep_text(field: &str, steps: &[Step]) -> String {
     let mut text = format!("{field:>16}  goodput    p50 ms    p99 ms  throttled  broken  void\n");
     for step in steps {
@@ -309,7 +313,7 @@
     text
 }
 
-/// A few lines on one run.
+/// A few lines on one run, for a terminal.
 pub fn run_text(outcome: &Outcome) -> String {
     let counts = &outcome.counts;
     let mut text = format!(
@@ -392,7 +396,7 @@
     text
 }
 
-/// Writes a file whole or not at all.
+/// Writes a file atomically: whole or not at all.
 pub fn write(path: &Path, text: &str) -> Result<(), String> {
     let io_error = |error: std::io::Error| format!("{}: {error}", path.display());
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
@@ -404,7 +408,7 @@
     Ok(())
 }
 
-/// Writes a page into a folder that is made if it is not there; where it is.
+/// Writes a page into a folder, which is created if needed. Returns the path of the page.
 pub fn write_page(folder: &Path, name: &str, html: &str) -> Result<PathBuf, String> {
     fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let name: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
--- a/lab/src/runner.rs
+++ b/lab/src/runner.rs
@@ -1,10 +1,11 @@
-//! One runner as it truly is: slots, a queue in order, speed, warm-up, and what ails it.
+//! One runner as it really is: slots, a FIFO queue, speed, warm-up and faults.
 //!
-//! It does no I/O, reads no clock and draws no chance but from the generator that it was made with; both
-//! clocks drive it. It must never know who dispatches to it or by which policy.
+//! It does no I/O, reads no clock and draws random numbers only from its own generator; both clocks drive it.
+//! It knows nothing of dispatchers or policies.
 //!
-//! All jobs in a runner go at one rate, so that one "service clock" tells when each ends: a job ends when that
-//! clock has come further by the job's work. A change of rate moves the clock's speed, and no entry.
+//! All jobs of a runner progress at the same rate, so one "service clock" determines when each ends: a job
+//! ends when that clock has advanced by the job's work. A change of the rate changes the speed of that clock
+//! and none of the entries.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,28 +15,31 @@
 
 use crate::scenario::{Limits, Pool};
 
-/// A forward's job: the id of its invocation, as one runner has one forward of an invocation at a time.
+/// A job, by the id of its invocation: a runner has at most one forward of an invocation at a time.
 pub type Job = u64;
 
+/// An event in the life cycle of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobEvent {
     Started,
-    /// Share done.
+    /// The share of the work done.
     Progress(f64),
     Done,
     Failed,
-    /// Handed back unstarted.
+    /// Returned without having started.
     Returned,
 }
 
-/// What a runner says at once to a forward.
+/// A runner's immediate reply to a forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferResult {
     Accepted,
+    /// No slot and no queue place is free, or the runner drains.
     Full,
     Failed,
 }
 
+/// State of a runner's process and machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
     Up,
@@ -45,6 +49,7 @@
     Silent,
 }
 
+/// A load report: free slots, queued jobs, and queued and running jobs together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     pub free: u32,
@@ -52,13 +57,14 @@
     pub in_flight: u32,
 }
 
+/// A running job.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     began: Micros,
     work: f64,
 }
 
-/// What strikes only some operations, or all where `operation` is none.
+/// A fault of one operation, or of all if `operation` is none.
 #[derive(Clone, Copy, Debug)]
 pub struct Impairment {
     pub operation: Option<usize>,
@@ -71,12 +77,14 @@
     }
 }
 
-/// A warm-up is played in so many equal steps of capacity.
+/// Number of equal steps in which capacity rises during warm-up.
 const WARM_STEPS: i64 = 24;
 
+/// A runner: its configuration, its jobs and its present faults.
 pub struct Runner {
     pub zone: usize,
     pub cell: i64,
+    /// The runner's pool, by its place in the scenario.
     pub kind: usize,
     pub slots: u32,
     queue_limit: u32,
@@ -87,31 +95,41 @@
     cold_from: f64,
     warm_within: Micros,
     pub state: ProcessState,
-    /// The process stands still: nothing is read, nothing goes on.
+    /// The process is frozen: it reads nothing and makes no progress.
     pub frozen: bool,
     pub draining: bool,
-    /// When it last started, if not before the run.
+    /// When the process last started, if during the run.
     pub launched: Option<Micros>,
+    /// Slower by this factor.
     pub slow: Option<Impairment>,
+    /// Fails this share of forwards at once.
     pub errors: Option<Impairment>,
+    /// Accepts this share of forwards and never ends them.
     pub loses: Option<Impairment>,
     progress_interval: Micros,
-    /// How far the service clock has come, in work of one slot at speed 1, and when that was.
+    /// Position of the service clock, in work of one slot at speed 1.
     service: f64,
+    /// The time of that position.
     at: Micros,
-    /// Keyed by the service clock's end of each job: order of bits is order of value, as none is negative.
+    /// Keyed by the service clock's position at the end of each job. The order of the bits is that of the
+    /// values, as none is negative.
     running: BTreeMap<(u64, Job), Running>,
+    /// The key in `running` of each running job.
     ends: BTreeMap<Job, u64>,
+    /// Queued jobs with their operation and work.
     waiting: VecDeque<(Job, usize, f64)>,
+    /// When the next progress report of each job is due.
     progress_due: BTreeMap<(Micros, Job), ()>,
     rng: Pcg32,
     report_delay: Micros,
+    /// Recent loads, for delayed reports.
     past_loads: VecDeque<(Micros, LoadReport)>,
-    /// Work done, for the report of a run.
+    /// Work done so far, for the report of a run.
     pub work_done: f64,
 }
 
 impl Runner {
+    /// A warm, idle runner; `place` is its zone and cell, `kind` its pool.
     pub fn new(pool: &Pool, kind: usize, place: (usize, i64), limits: &Limits, rng: Pcg32) -> Runner {
         Runner {
             zone: place.0,
@@ -146,30 +164,31 @@
         }
     }
 
-    /// Notes of progress at this gap; none for 0.
+    /// Sets the interval of progress reports in microseconds; 0 for none.
     pub fn set_progress_interval(&mut self, gap: Micros) {
         self.progress_interval = gap;
     }
 
+    /// Sets the age of load reports in microseconds, from `now` on.
     pub fn set_report_delay(&mut self, now: Micros, delay: Micros) {
         self.report_delay = delay;
         self.past_loads.clear();
         self.record_load(now);
     }
 
-    /// The share of its full capacity that it has.
+    /// The share of full capacity that the runner has now.
     pub fn warmth(&self, now: Micros) -> f64 {
         let Some(launched) = self.launched else { return 1.0 };
         let age = (now - launched).max(0);
         if age >= self.warm_within {
             return 1.0;
         }
-        // In steps, each at its beginning: never warmer than an even rise would be.
+        // Each step has the value of its beginning: never warmer than an even rise would be.
         let step = (age * WARM_STEPS / self.warm_within.max(1)) as f64 / WARM_STEPS as f64;
         self.cold_from + (1.0 - self.cold_from) * step
     }
 
-    /// Work that it can do in a microsecond, on all slots together.
+    /// Work that the runner can do in a microsecond, on all slots together.
     pub fn capacity(&self, now: Micros) -> f64 {
         f64::from(self.slots) * self.speed * self.warmth(now)
     }
@@ -185,11 +204,12 @@
             return None;
         }
         let step = (self.at - launched).max(0) * WARM_STEPS / self.warm_within.max(1) + 1;
-        // Rounded up: at the moment that is returned the step has surely come.
+        // Rounded up, so that the step has certainly come at the time that is returned.
         Some(launched + (step * self.warm_within + WARM_STEPS - 1) / WARM_STEPS)
     }
 
-    /// Brings the service clock up to `now`; the rate is constant in between, as each change calls this first.
+    /// Advances the service clock to `now`; the rate is constant in between, as every change calls this
+    /// first.
     fn advance(&mut self, now: Micros) {
         while let Some(step) = self.next_step().filter(|step| *step < now) {
             self.run_until(step);
@@ -204,7 +224,7 @@
         self.at = self.at.max(now);
     }
 
-    /// When it has something to say or do next.
+    /// When the next job ends, the next progress report is due or the rate changes.
     pub fn due(&self) -> Option<Micros> {
         if self.frozen || self.state != ProcessState::Up {
             return None;
@@ -219,7 +239,7 @@
         [end, report, step].into_iter().flatten().min()
     }
 
-    /// Ends, starts and notes up to `now`.
+    /// Processes all ends, starts and progress reports up to `now`.
     pub fn wake(&mut self, now: Micros, events: &mut Vec<(Job, JobEvent)>) {
         self.advance(now);
         if self.frozen || self.state != ProcessState::Up {
@@ -227,7 +247,7 @@
         }
         let mut ended = false;
         while let Some((&(end, job), _)) = self.running.first_key_value() {
-            // Less than a thousandth of a microsecond of work is rounding.
+            // Less than a thousandth of a microsecond of work is a rounding error.
             if f64::from_bits(end) > self.service + 1e-3 {
                 break;
             }
@@ -253,7 +273,7 @@
         self.record_load(now);
     }
 
-    /// Starts what waits while slots are free.
+    /// Starts waiting jobs while slots are free.
     fn fill(&mut self, now: Micros, events: &mut Vec<(Job, JobEvent)>) {
         while self.running.len() < self.slots as usize {
             let Some((job, _, work)) = self.waiting.pop_front() else { break };
@@ -267,7 +287,7 @@
         }
     }
 
-    /// A forward's last byte has come. What it starts at once is in `news`.
+    /// Handles a forward whose last byte has arrived. Events that follow at once are added to `events`.
     pub fn offer(
         &mut self,
         now: Micros,
@@ -304,11 +324,12 @@
         OfferResult::Accepted
     }
 
+    /// Whether the job is queued or running.
     pub fn holds(&self, job: Job) -> bool {
         self.ends.contains_key(&job) || self.waiting.iter().any(|(queued, ..)| *queued == job)
     }
 
-    /// Gives a job up, wherever it is. Whether it was known.
+    /// Cancels a job, queued or running. Returns whether it was known.
     pub fn cancel(&mut self, now: Micros, job: Job, events: &mut Vec<(Job, JobEvent)>) -> bool {
         self.advance(now);
         let before = self.waiting.len();
@@ -322,7 +343,8 @@
         known
     }
 
-    /// A new connection: what it costs is taken from whatever runs. False where it holds all it can.
+    /// Accepts a new connection; its cost is taken from the progress of running jobs. False if the connection
+    /// limit is reached.
     pub fn connect(&mut self, now: Micros) -> bool {
         if self.connections >= self.max_connections {
             return false;
@@ -335,19 +357,19 @@
         true
     }
 
-    /// How long the first request on a new connection takes more.
+    /// Extra time of the first request on a new connection, in microseconds.
     pub fn handshake(&self) -> Micros {
         self.handshake
     }
 
-    /// Any change of what ails it goes through here, so that time before it counts at the old rate.
+    /// Applies a change of the rate; progress until now is computed at the old rate first.
     pub fn change(&mut self, now: Micros, change: impl FnOnce(&mut Runner)) {
         self.advance(now);
         change(self);
         self.record_load(now);
     }
 
-    /// Drains: what has not started is handed back, nothing new is taken.
+    /// Starts to drain: queued jobs are returned and nothing new is accepted.
     pub fn drain(&mut self, now: Micros, events: &mut Vec<(Job, JobEvent)>) {
         self.advance(now);
         self.draining = true;
@@ -355,7 +377,7 @@
         self.record_load(now);
     }
 
-    /// The process ends; the jobs that it held are gone.
+    /// Ends the process and returns the jobs that are lost with it.
     pub fn stop(&mut self, now: Micros, state: ProcessState) -> Vec<Job> {
         self.advance(now);
         self.state = state;
@@ -370,7 +392,7 @@
         jobs
     }
 
-    /// A new process, cold.
+    /// Starts a new process, which is cold.
     pub fn start(&mut self, now: Micros) {
         self.advance(now);
         self.state = ProcessState::Up;
@@ -379,21 +401,23 @@
         self.record_load(now);
     }
 
+    /// The present load.
     pub fn load(&self) -> LoadReport {
         let (running, waiting) = (self.running.len() as u32, self.waiting.len() as u32);
         LoadReport { free: self.slots.saturating_sub(running), waiting, in_flight: running + waiting }
     }
 
-    /// How long the job that has run longest has been at it.
+    /// Running time of the oldest running job, in microseconds.
     pub fn oldest(&self, now: Micros) -> Micros {
         self.running.values().map(|running| now - running.began).max().unwrap_or(0)
     }
 
-    /// Waiting and running.
+    /// Number of jobs, waiting and running.
     pub fn jobs(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
+    /// Records the present load for delayed reports.
     fn record_load(&mut self, now: Micros) {
         if self.report_delay == 0 {
             return;
@@ -405,7 +429,7 @@
         }
     }
 
-    /// The load report that it hands out.
+    /// The load report as it is sent now, as old as the report delay says.
     pub fn report(&self, now: Micros) -> LoadReport {
         let reported = self.past_loads.iter().rev().find(|(at, _)| *at <= now - self.report_delay);
         if self.report_delay == 0 {
@@ -415,7 +439,7 @@
         }
     }
 
-    /// A number from this runner's own generator, for whoever plays it.
+    /// A random number from this runner's own generator, for the clock that drives it.
     pub fn draw(&mut self) -> u32 {
         self.rng.next_u32()
     }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -1,7 +1,8 @@
-//! Scenarios: what a run plays, read from TOML.
+//! Scenarios: the description of a run, read from TOML.
 //!
-//! It owns the form of that file and every bound on its values. It must never guess: a field that is unknown,
-//! missing or out of range is a fault that names file, line and field, and a span without a unit is refused.
+//! This module defines the format of that file and all bounds on its values. Nothing is guessed: an unknown
+//! field, a missing one, a value out of range or a time span without a unit is an error that names file, line
+//! and field.
 
 use std::fmt;
 use std::fs;
@@ -13,11 +14,11 @@
 
 use crate::disks::{DiskFault, DiskState};
 
-/// A span of time, written with its unit (`250ms`, `2s`); whole microseconds.
+/// A time span, written with its unit (`250ms`, `2s`); whole microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Micros);
 
-/// About a day: no run and nothing in one takes longer.
+/// The longest time span, a day in microseconds: no run and no part of one takes longer.
 const MAX_SPAN: Micros = 86_400_000_000;
 
 impl Serialize for Span {
@@ -50,7 +51,7 @@
     }
 }
 
-/// A number within bounds; the fault names both.
+/// Reads a number within bounds; the error names the value and both bounds.
 fn bounded<'de, D: Deserializer<'de>>(from: D, least: f64, most: f64) -> Result<f64, D::Error> {
     let value = f64::deserialize(from)?;
     if value >= least && value <= most {
@@ -81,13 +82,14 @@
     }
 }
 
+/// A run: its deployment, its clients and its faults.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Scenario {
     pub name: String,
     #[serde(default)]
     pub about: String,
-    /// How long clients bring new work; a run goes on until all is answered.
+    /// How long clients send new requests; a run goes on until all are answered.
     pub length: Span,
     #[serde(default = "one")]
     pub seed: u64,
@@ -95,7 +97,7 @@
     pub dispatchers: u32,
     #[serde(default)]
     pub zones: Zones,
-    /// Kinds of runners.
+    /// The pools of runners, by machine type.
     pub pool: Vec<Pool>,
     pub operation: Vec<Operation>,
     pub clients: Clients,
@@ -105,34 +107,35 @@
     pub reports: Reports,
     #[serde(default)]
     pub limits: Limits,
-    /// What dispatchers keep over a restart, and who calls them; nothing and nobody where it is missing. In virtual
-    /// time only the stages of a start are played, with a disk that is read at once; calls, faults of disks and words
-    /// between dispatchers on sockets only.
+    /// What dispatchers store over a restart, and who calls their admin interface; without it nothing is
+    /// stored and nobody calls. In virtual time only the stages of a start are played, with a disk that is
+    /// read at once; admin calls, disk faults and the real peer protocol are played on sockets only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub store: Option<Store>,
     #[serde(default)]
     pub fault: Vec<Fault>,
 }
 
-/// Each dispatcher keeps a folder, and operators take runners out and back by hand.
+/// Each dispatcher has a store directory, and operators take runners out and back in by admin overrides.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Store {
+    /// Whether a dispatcher refuses to start without a usable store.
     #[serde(default)]
     pub require: bool,
-    /// Dispatchers talk to one another.
+    /// Whether dispatchers exchange messages as peers.
     #[serde(default)]
     pub peers: bool,
-    /// From one call on a runner to the next, at any dispatcher (0 s: none).
+    /// Interval between admin calls on a runner, at any dispatcher (0 s: none).
     #[serde(default)]
     pub hands_every: Span,
-    /// What nobody could have told a dispatcher is not held against it.
+    /// Whether a dispatcher is excused for forgetting what neither its disk nor a peer could tell it.
     #[serde(default = "Store::excused")]
     pub excused: bool,
     /// Whether runners are taken back in again.
     #[serde(default = "Store::back")]
     pub back: bool,
-    /// How many runners may be out by hand at once.
+    /// How many runners may be taken out by overrides at once.
     #[serde(default = "Store::most")]
     pub out_most: u32,
 }
@@ -155,11 +158,11 @@
     1
 }
 
-/// A scenario that stands on another one: whatever it names replaces that whole field of its base.
+/// A scenario with a base: each field that it names replaces that whole field of the base.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct Overlay {
-    /// Beside this file.
+    /// File name of the base, in the same directory.
     base: String,
     name: String,
     about: Option<String>,
@@ -204,16 +207,18 @@
     }
 }
 
-/// Places and the links between them.
+/// The zones and the links between them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Zones {
     pub names: Vec<String>,
-    /// One way within a zone, between two, and between clients and their dispatchers.
+    /// One-way delay within a zone.
     pub within: Span,
+    /// One-way delay between two zones.
     pub between: Span,
+    /// One-way delay between clients and their dispatchers.
     pub client: Span,
-    /// By how much a delay may lie above its figure, as a share of it.
+    /// By how much a delay may exceed its value, as a share of it.
     #[serde(deserialize_with = "share")]
     pub jitter: f64,
 }
@@ -225,7 +230,7 @@
     }
 }
 
-/// Runners of one machine type, dealt over the zones in turn.
+/// Runners of one machine type, assigned to the zones in turn.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Pool {
@@ -234,17 +239,17 @@
     pub count: u32,
     #[serde(deserialize_with = "count")]
     pub slots: u32,
-    /// Waiting places; what comes beyond them is turned away unseen.
+    /// Queue places; what exceeds them is rejected unread.
     pub queue: u32,
     #[serde(default = "Pool::speed", deserialize_with = "factor")]
     pub speed: f64,
-    /// How far speeds of single runners lie apart, as a coefficient of variation.
+    /// Spread of the runners' speeds, as a coefficient of variation.
     #[serde(default, deserialize_with = "share")]
     pub speed_spread: f64,
-    /// What a new connection costs the runner, as work on one slot, and the first request on it, in time.
+    /// Cost of a new connection: work on one slot of the runner, and extra time for the first request on it.
     #[serde(default)]
     pub handshake: Span,
-    /// Connections that it accepts.
+    /// Limit of open connections per runner.
     #[serde(default = "Pool::connections", deserialize_with = "count")]
     pub connections: u32,
 }
@@ -259,6 +264,7 @@
     }
 }
 
+/// Whether an operation may run more than once.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
@@ -268,7 +274,7 @@
     NonIdempotent,
 }
 
-/// Which runners recognise a deduplicated invocation's repeats.
+/// The runners that recognise a repeat of a deduplicated invocation.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum DeduplicationScope {
@@ -278,24 +284,26 @@
     Cell,
 }
 
+/// Distribution of the work of an operation.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
     Fixed,
     #[default]
     Exponential,
-    /// With `cv`.
+    /// With the coefficient of variation `cv`.
     Lognormal,
 }
 
+/// An operation that clients request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Operation {
     pub name: String,
-    /// Its share of all invocations, against the other operations'.
+    /// Weight of the operation among all invocations.
     #[serde(default = "Pool::speed", deserialize_with = "factor")]
     pub share: f64,
-    /// Mean work: the time it takes on one slot of a warm runner of speed 1.
+    /// Mean work: the time that an invocation takes on one slot of a warm runner of speed 1.
     pub work: Span,
     #[serde(default)]
     pub shape: Shape,
@@ -303,63 +311,72 @@
     pub cv: f64,
     #[serde(default)]
     pub effect: Effect,
+    /// Which runners recognise a repeat, for deduplicated operations.
     #[serde(default)]
     pub group: DeduplicationScope,
+    /// How long runners recognise a repeat, for deduplicated operations.
     #[serde(default)]
     pub memory_span: Span,
     pub latency_objective: Span,
     pub client_timeout: Span,
     #[serde(default = "Pool::speed", deserialize_with = "factor")]
     pub billed_value: f64,
-    /// What an answer after the objective is still worth, as a share.
+    /// The value of an answer after the objective, as a share of the billed value.
     #[serde(default, deserialize_with = "share")]
     pub late_share: f64,
-    /// Distinct keys, drawn by Zipf; 0 for none.
+    /// Number of distinct keys, drawn from a Zipf distribution; 0 for no keys.
     #[serde(default)]
     pub keys: u32,
-    /// The kind of machine that runs it, where only one does.
+    /// The only machine type that runs the operation; any type if it is missing.
     #[serde(default)]
     pub kind: Option<String>,
 }
 
+/// How the arrival rate changes over time.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrivals {
-    /// At an even mean rate.
+    /// A constant mean rate.
     #[default]
     Poisson,
-    /// Half of the time at `1 + swing`, half at `1 - swing` of the mean, in stretches of about `period`.
+    /// Half of the time at `1 + swing` of the mean rate, half at `1 - swing`, alternating about every
+    /// `period`.
     Bursts,
-    /// A sine of `period` and `swing`: a day, shortened.
+    /// A sine of `period` and `swing`: a shortened day.
     Daily,
 }
 
+/// The clients: how much they send and when they retry.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Clients {
-    /// Work brought, as a share of what all runners can do when warm and well.
+    /// Offered work, as a share of the capacity of all runners when warm and without faults.
     #[serde(deserialize_with = "factor")]
     pub load: f64,
     #[serde(default)]
     pub arrivals: Arrivals,
+    /// Relative change of the rate in `bursts` and `daily`.
     #[serde(default, deserialize_with = "share")]
     pub swing: f64,
+    /// Period of `bursts` and `daily`.
     #[serde(default = "Clients::period")]
     pub period: Span,
+    /// Exponent of the Zipf distribution of keys.
     #[serde(default = "Pool::speed", deserialize_with = "factor")]
     pub zipf: f64,
-    /// Tries after the first, where trying again is harmless.
+    /// Retries after the first attempt, made only where a repeat is harmless.
     #[serde(default)]
     pub retries: u32,
+    /// Mean wait before the first retry; it doubles with each further one.
     #[serde(default = "Clients::wait")]
     pub retry_wait: Span,
-    /// Share of clients that come back when they were told to.
+    /// Share of clients that obey a Retry-After.
     #[serde(default, deserialize_with = "share")]
     pub honour: f64,
     /// Share of requests whose client closes its connection before the answer; on sockets only.
     #[serde(default, deserialize_with = "share", skip_serializing_if = "is_zero")]
     pub leaves: f64,
-    /// How long the front goes on sending to a dispatcher that has died.
+    /// How long the front end goes on sending to a dispatcher that has died.
     #[serde(default = "Clients::notice")]
     pub front_notice: Span,
 }
@@ -382,15 +399,17 @@
     }
 }
 
-/// The list of runners and how late it comes.
+/// The discovery service and its delays.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Discovery {
-    /// From a change until it is written to those who watch; a process that dies, and one that falls silent.
+    /// Delay from a change, such as the end of a process, until it is written to subscribers.
     pub notice: Span,
+    /// The same for a machine that becomes silent.
     pub silent_notice: Span,
-    /// What one call costs the service, which works through calls in turn, and how long one may wait.
+    /// Processing time of one call; the service handles calls one after the other.
     pub call: Span,
+    /// The longest time that a call may wait.
     pub call_most: Span,
 }
 
@@ -405,12 +424,13 @@
     }
 }
 
+/// Load and progress reports of runners.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Reports {
-    /// How old a load report is when it is read.
+    /// Age of a load report when it is read.
     pub delay: Span,
-    /// Runners tell of starts, and of progress at this gap (0 s: neither).
+    /// Interval of progress reports; runners then also report starts (0 s: neither).
     pub progress: Span,
 }
 
@@ -420,27 +440,38 @@
     }
 }
 
-/// What the installation allows, and the figures behind the four rules.
+/// What the installation allows, and the parameters of the deployment rules.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
+    /// Most forwards of one invocation.
     #[serde(deserialize_with = "count")]
     pub most_forwards: u32,
+    /// Whether runners can cancel.
     pub cancel: bool,
+    /// Whether runners answer probes.
     pub probes: bool,
+    /// Largest Retry-After (0 s: none is given).
     pub come_back_most: Span,
     pub dial_timeout: Span,
     pub probe_timeout: Span,
+    /// How long after its notification a dispatcher may still forward to a draining runner.
     pub drain_grace: Span,
+    /// After this time a roster change counts as known to every dispatcher.
     pub ask_within: Span,
+    /// Share of its full capacity that a runner has when it starts.
     #[serde(deserialize_with = "share")]
     pub cold_from: f64,
+    /// Time from its start until a runner has its full capacity.
     pub warm_within: Span,
+    /// A cold runner's budget is this factor times the work that it can do in `tip_after`.
     #[serde(deserialize_with = "factor")]
     pub overload_factor: f64,
+    /// The span over which a cold runner's budget applies.
     pub tip_after: Span,
-    /// Whether a crossing of zones, or a connection, is priced.
+    /// Whether a forward to another zone has a price.
     pub crossing_priced: bool,
+    /// Whether a new connection has a price.
     pub connection_priced: bool,
 }
 
@@ -465,61 +496,65 @@
     }
 }
 
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
     /// The process dies and is back, cold, after `lasts`.
     Crash,
-    /// Takes work and says nothing for `lasts`.
+    /// The runner takes work and sends nothing for `lasts`.
     Hang,
-    /// Stands still for `size` milliseconds, again and again, about once a second.
+    /// The process pauses for `size` milliseconds, repeatedly, about once a second.
     Pauses,
-    /// Slower by the factor `size`.
+    /// The runner is slower by the factor `size`.
     Slow,
-    /// A share `size` of what it is sent fails at once.
+    /// A share `size` of what the runner is sent fails at once.
     FastErrors,
-    /// A share `size` of what it is sent is taken and never ends.
+    /// A share `size` of what the runner is sent is accepted and never finishes.
     Loses,
-    /// Load reports are older by `size` milliseconds, everywhere.
+    /// Load reports of all runners are older by `size` milliseconds.
     LateReports,
-    /// The links between `zone` and the others carry nothing until `lasts` is over.
+    /// The links between `zone` and the others carry nothing for `lasts`; messages are held until then.
     ZoneCut,
-    /// Nothing that leaves `zone` arrives elsewhere until `lasts` is over; what is sent to it does.
+    /// What is sent from `zone` to others is held for `lasts`; what is sent to it arrives.
     ZoneMute,
-    /// All runners in `zone` fall silent at once and are back, cold, after `lasts`.
+    /// All runners in `zone` become silent at once and are back, cold, after `lasts`.
     ZoneLoss,
-    /// Calls and watches at discovery fail for `lasts`.
+    /// Calls and subscriptions at discovery fail for `lasts`.
     DiscoveryDown,
-    /// Every runner of the part drains and comes back as a new process, a few at a time, over `lasts`.
+    /// Every affected runner drains and restarts as a new process, a few at a time, over `lasts`.
     Deploy,
-    /// Dispatchers are ended with SIGTERM, and with SIGKILL, one after the other over `lasts`.
+    /// Dispatchers are ended with SIGTERM (`roll-term`) or SIGKILL (`roll-kill`), one after the other over
+    /// `lasts`.
     RollTerm,
     RollKill,
-    /// Every dispatcher is told to read its configuration again.
+    /// Every dispatcher reads its configuration again.
     Reload,
-    /// Clients that send what is no request, `size` of them a second.
+    /// Clients send malformed requests, `size` of them a second.
     BadClients,
-    /// Dispatchers are killed outright at once. They are back after `lasts`, in any order within `spread`; a share
+    /// Dispatchers are killed at once. They are back after `lasts`, in random order within `spread`; a share
     /// `away` of them never is.
     Kill,
-    /// Dispatchers stand still (SIGSTOP) and go on after `lasts` as if nothing had been.
+    /// Dispatchers are suspended (SIGSTOP) and resume after `lasts` with all their state.
     Freeze,
     /// Every machine of `zone`, or of the whole site, is without power for `lasts`: runners are back cold,
-    /// dispatchers as after `kill`, discovery with the first zone.
+    /// dispatchers as after `kill`, and discovery with the first zone.
     PowerLoss,
-    /// Datagrams between dispatchers, those of `part` of them: `link` says what becomes of them.
+    /// Datagrams from and to a share `part` of the dispatchers are disturbed as `link` says.
     Link,
-    /// Something is wrong with the disks of some dispatchers; what, `wrong` says (`size` ms a sync where it is slow).
+    /// The disks of some dispatchers have the fault that `wrong` names (`size` milliseconds a sync for
+    /// `slow`).
     Disk,
 }
 
 impl FaultKind {
-    /// Whether it strikes dispatchers: `part` is then a share of them.
+    /// Whether it affects dispatchers: `part` is then a share of them.
     pub fn of_dispatchers(self) -> bool {
         matches!(self, FaultKind::Kill | FaultKind::Freeze | FaultKind::Disk | FaultKind::Link)
     }
 }
 
+/// A fault: its kind, when it begins, how long it lasts and what it affects.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Fault {
@@ -527,46 +562,51 @@
     pub at: Span,
     #[serde(default)]
     pub lasts: Span,
-    /// The share of runners that it strikes.
+    /// The share of runners, or of dispatchers, that is affected.
     #[serde(default = "Fault::part", deserialize_with = "share")]
     pub part: f64,
+    /// The size of the fault; its unit depends on the kind.
     #[serde(default, deserialize_with = "amount")]
     pub size: f64,
-    /// Only this operation, where the kind strikes operations.
+    /// Affects only this operation, for kinds that affect operations.
     #[serde(default)]
     pub operation: Option<String>,
+    /// Only this zone; required for `zone-cut`, `zone-mute` and `zone-loss`.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Dispatchers that were killed come back within so long after the first.
+    /// Killed dispatchers are back within this span after the first.
     #[serde(default)]
     pub spread: Span,
     /// The share of killed dispatchers that is not back in this run.
     #[serde(default, deserialize_with = "share")]
     pub away: f64,
-    /// In which state killed dispatchers find their disks; `old` is `size` ms from before they were killed.
+    /// The state in which killed dispatchers find their disks; `old` is the state `size` ms before they were
+    /// killed.
     #[serde(default)]
     pub disk: DiskState,
+    /// The disk fault, for the kind `disk`.
     #[serde(default)]
     pub wrong: Option<DiskFault>,
+    /// The link fault, for the kind `link`.
     #[serde(default)]
     pub link: Option<LinkFaultKind>,
 }
 
-/// What becomes of datagrams between dispatchers; `size` is a share, or milliseconds where it is a time.
+/// How datagrams between dispatchers are disturbed; `size` is a share, or milliseconds where it is a time.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkFaultKind {
-    /// Nothing passes, either way.
+    /// No datagram passes in either direction.
     Cut,
-    /// Nothing that they send passes.
+    /// No datagram that the affected dispatchers send passes.
     OneWay,
-    /// A share is lost, comes twice, or is overtaken.
+    /// A share is lost, duplicated or reordered.
     Loss,
     Repeat,
     Reorder,
-    /// Later by `size` ms.
+    /// Each datagram is later by `size` ms.
     Delay,
-    /// Cut for `size` ms, whole for as long, and so on.
+    /// Cut for `size` ms, connected for as long, and so on.
     Flap,
 }
 
@@ -576,12 +616,12 @@
     }
 }
 
-/// Which line of `text` the byte `at` stands on, from 1.
+/// The line, from 1, that contains the byte `at` of `text`.
 fn line_of(text: &str, at: usize) -> usize {
     1 + text.bytes().take(at).filter(|byte| *byte == b'\n').count()
 }
 
-/// The line of the `nth` table `[[name]]`: where a fault is found that concerns a whole table.
+/// The line of the `nth` table `[[name]]`: the position of an error that concerns a whole table.
 fn table_line(text: &str, name: &str, nth: usize) -> usize {
     let head = format!("[[{name}]]");
     let lines = text.lines().enumerate().filter(|(_, line)| line.trim() == head);
@@ -596,7 +636,7 @@
     toml::from_str(text).map_err(|error| {
         let line = line_of(text, error.span().map_or(0, |span| span.start));
         let message = error.message().lines().next().unwrap_or("not a scenario").to_owned();
-        // The field is named too where the message alone does not.
+        // Adds the field where the message does not name it.
         let field = text.lines().nth(line - 1).and_then(|line| line.split_once('='));
         let field = field.map(|(field, _)| field.trim()).filter(|field| !message.contains(field));
         format!("{name}:{line}: {}{message}", field.map_or(String::new(), |field| format!("{field}: ")))
@@ -604,13 +644,13 @@
 }
 
 impl Scenario {
-    /// The mean work of an invocation.
+    /// The mean work of an invocation, in microseconds.
     pub fn mean_work(&self) -> f64 {
         let total: f64 = self.operation.iter().map(|op| op.share).sum();
         self.operation.iter().map(|op| op.share / total * op.work.0 as f64).sum()
     }
 
-    /// Reads and checks a file; a fault is one line: `FILE:LINE: what and which field`.
+    /// Reads and validates a file; an error is one line: `FILE:LINE: what and which field`.
     pub fn load(path: &Path) -> Result<Scenario, String> {
         let name = path.display().to_string();
         let text = fs::read_to_string(path).map_err(|error| format!("{name}: {error}"))?;
@@ -629,7 +669,7 @@
         scenario.validated(&name, &text)
     }
 
-    /// A scenario that stands on no other; `name` is for messages.
+    /// Parses a scenario without a base; `name` is used in error messages.
     pub fn parse(name: &str, text: &str) -> Result<Scenario, String> {
         parse_toml::<Scenario>(name, text)?.validated(name, text)
     }
@@ -642,7 +682,8 @@
         Ok(self)
     }
 
-    /// What no single field shows.
+    /// Checks the constraints that concern several fields. An error has the table's name, its number and the
+    /// text; an empty name stands for the whole file.
     fn check(&self) -> Result<(), (&'static str, usize, String)> {
         let file_error = |fault: &str| Err(("", 0, fault.to_owned()));
         if self.length.0 < 1_000_000 {
@@ -748,13 +789,13 @@
         Ok(())
     }
 
-    /// Runners in all pools.
+    /// Number of runners in all pools.
     pub fn runners(&self) -> usize {
         self.pool.iter().map(|pool| pool.count as usize).sum()
     }
 
-    /// The file that a dispatcher of this scenario is started with: the platform's form, in both clocks.
-    /// Addresses are those of the stand-ins; in virtual time they are never used.
+    /// The configuration file of a dispatcher in this scenario, in the platform's format, for both clocks.
+    /// The addresses are those of the emulated services; in virtual time they are never used.
     pub fn configuration(&self, parameters: &DispatcherParameters) -> String {
         let us = |span: Span| span.0;
         let operations: Vec<_> = self
@@ -829,22 +870,23 @@
     }
 }
 
-/// What differs from one dispatcher's configuration to the next.
+/// What differs between the configurations of two dispatchers.
 pub struct DispatcherParameters {
     pub number: u32,
     pub zone: String,
     pub seed: u64,
     pub listen: String,
     pub discovery: String,
-    /// The list as this dispatcher last had it, in discovery's form.
+    /// The roster that this dispatcher last had, in discovery's format.
     pub known: serde_json::Value,
-    /// Where it keeps what outlives it, and where operators call.
+    /// Its store and admin address, where the scenario has a store.
     pub store: Option<StoreParameters>,
 }
 
+/// Store directory, admin address and peers of one dispatcher.
 pub struct StoreParameters {
     pub folder: String,
     pub admin: String,
-    /// Where it hears other dispatchers, and their names and addresses.
+    /// Its own peer address, and the names and addresses of the others.
     pub peers: Option<(String, Vec<(String, String)>)>,
 }
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -608,7 +608,7 @@
             });
         }
     }
-    for (r, inv, news) in follows.news {
+    for (r, inv, news) in follows.job_events {
         tell(lab, r, inv, news);
     }
     for (r, state, after) in follows.listed {
--- a/lab/src/start.rs
+++ b/lab/src/start.rs
@@ -1,8 +1,8 @@
-//! A dispatcher's start in virtual time, where its scenario has a store: the stages of recovery and what is taken while
-//! the fleet is cold, by the very cores that the program uses.
+//! A dispatcher's start in virtual time, where its scenario has a store: the stages of recovery, and the
+//! admission limits while the fleet is cold. It uses the same recovery module as the program.
 //!
-//! The disk itself is not played here: it is read at once and holds what was kept. It must never decide anything that
-//! the cores do not.
+//! The disk is not played here: it is read at once and holds what was stored. No decision is made here that
+//! the recovery module does not make.
 
 use std::collections::BTreeMap;
 
@@ -13,15 +13,17 @@
 use topazsail_recovery::{Event, Recovery, Stage};
 use topazsail_store::LoadSummary;
 
-/// Advice to those who come before there is service, or for whom there is no room: spread over this.
+/// Spread of the Retry-After for invocations that come before the dispatcher serves or that exceed the
+/// limits, in microseconds.
 const RETRY_SPREAD: Micros = 1_000_000;
 
+/// The stages of one dispatcher's start.
 pub struct Startup {
     recovery: Recovery,
     limits: AdmissionLimits,
-    /// Listed runners and when each started, as this dispatcher has been told.
+    /// Listed runners and when each started, as this dispatcher knows them.
     listed: BTreeMap<u32, Option<Micros>>,
-    /// Runners that the remembered list had.
+    /// Number of runners in the stored roster.
     remembered_count: usize,
     cold_capacity_share: f64,
     warm_up_span: Micros,
@@ -30,6 +32,7 @@
 }
 
 impl Startup {
+    /// The start of a process at `now`, with `remembered_count` runners in its stored roster.
     pub fn new(
         settings: &Settings,
         peers: bool,
@@ -55,7 +58,7 @@
         }
     }
 
-    /// Discovery has told a whole list, or one change.
+    /// Handles a whole list from discovery, or one change of it.
     pub fn update_roster(
         &mut self,
         runners: impl Iterator<Item = (u32, bool, Option<Micros>)>,
@@ -75,11 +78,12 @@
         self.recovery.handle(now, Event::Heard);
     }
 
-    /// Of so many others so many have answered.
+    /// Passes on how many of all peers have answered.
     pub fn peers_agreed(&mut self, (all, agree): (usize, usize), now: Micros) {
         self.recovery.handle(now, Event::Agree { all, agree });
     }
 
+    /// Whether the answers of peers still matter for the stage.
     pub fn is_waiting_for_peers(&self) -> bool {
         self.recovery.stage() < Stage::Asked
     }
@@ -90,6 +94,7 @@
         self.listed.iter().filter(|(_, launched)| cold(launched)).map(|(r, _)| *r).collect()
     }
 
+    /// Notes that discovery has refused a call.
     pub fn discovery_refused(&mut self, now: Micros) {
         self.recovery.handle(now, Event::Refused);
     }
@@ -100,7 +105,7 @@
         warm / self.listed.len().max(self.remembered_count).max(1) as f64
     }
 
-    /// Whether one that comes now is taken; else when its client is told to come back.
+    /// Admits an invocation, or returns the retry advice for its client in microseconds.
     pub fn admit(&mut self, operation: usize, now: Micros) -> Result<(), Option<Micros>> {
         if self.recovery.stage() == Stage::Serving {
             return Ok(());
@@ -116,13 +121,14 @@
         if limited && !self.limits.takes(operation, drawn, now) { Err(retry_after) } else { Ok(()) }
     }
 
-    /// Something that was taken found no room.
+    /// Notes that an admitted invocation was throttled for lack of capacity.
     pub fn note_throttled(&mut self, now: Micros) {
         if self.recovery.stage() == Stage::Limited {
             self.limits.short(self.warmth(now), now);
         }
     }
 
+    /// Records the duration of a successful invocation in microseconds, for the admission limits.
     pub fn succeeded(&mut self, operation: usize, duration: Micros) {
         if self.recovery.stage() == Stage::Limited {
             self.limits.succeeded(operation, duration);
--- a/lab/src/talk.rs
+++ b/lab/src/talk.rs
@@ -1,7 +1,7 @@
-//! What one dispatcher says to the others in virtual time, where its scenario has peers: the very core that the program
-//! uses, its datagrams carried by the world's links.
+//! The peer messages of one dispatcher in virtual time, where its scenario has peers. It uses the same
+//! protocol module as the program; the datagrams are carried by the world's links.
 //!
-//! It must never decide anything that the core does not.
+//! No decision is made here that the protocol module does not make.
 
 use std::net::SocketAddr;
 
@@ -10,20 +10,22 @@
 use topazsail::{Micros, Settings};
 use topazsail_peers::{Action, Member, PeerEvent, Peers};
 
+/// The peer protocol of one dispatcher.
 pub struct PeerMessages {
+    /// The protocol module.
     pub core: Peers,
-    /// What its last life sent to cold runners may count until then.
+    /// Until then what its previous process run sent to cold runners may still count against their budgets.
     paused_until: Micros,
 }
 
-/// A datagram, and the dispatcher that it is for.
+/// A datagram and its receiver.
 pub type Datagram = (u32, Vec<u8>);
 
 fn name(d: u32) -> String {
     format!("d{d}")
 }
 
-/// Any that are not the same: no socket is bound there.
+/// A distinct address for each dispatcher; no socket is bound to it.
 fn address(d: u32) -> SocketAddr {
     SocketAddr::from(([127, 0, (d >> 8) as u8, d as u8], 1))
 }
@@ -36,6 +38,7 @@
 }
 
 impl PeerMessages {
+    /// Starts the protocol of dispatcher `d` of `all`, with its boot number.
     pub fn new(
         (d, all): (u32, u32),
         boot: u64,
@@ -52,7 +55,7 @@
         PeerMessages { core, paused_until }
     }
 
-    /// What is to be sent, and to whom.
+    /// The datagrams that result from the actions.
     fn collect_datagrams(&mut self, actions: Vec<Action>) -> Vec<Datagram> {
         let mut sent = Vec::new();
         for action in actions {
@@ -65,17 +68,19 @@
         sent
     }
 
+    /// Sends the periodic messages.
     pub fn round(&mut self, now: Micros) -> Vec<Datagram> {
         let actions = self.core.tick(now);
         self.collect_datagrams(actions)
     }
 
+    /// Handles a datagram of another dispatcher.
     pub fn receive(&mut self, from: u32, bytes: &[u8], now: Micros) -> Vec<Datagram> {
         let actions = self.core.heard(now, address(from), bytes);
         self.collect_datagrams(actions)
     }
 
-    /// What is this dispatcher's own of cold runners' budgets.
+    /// This dispatcher's shares of the cold runners' budgets; none while its previous run may still count.
     pub fn slow_start_shares(
         &mut self,
         cold: Vec<topazsail::Id>,
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -1,7 +1,7 @@
-//! What a run came to: counts, billed value in time, latencies from when work was due, load by runner.
+//! The results of a run: counts, goodput by billed value, latencies from when work was due, load by runner.
 //!
-//! It owns the figures and their form as JSON. It does no I/O; a run with the same seed in virtual time gives
-//! the same bytes, so it must never hold anything that depends on the wall clock there.
+//! It computes the figures and defines their JSON format. It does no I/O. In virtual time a run with the same
+//! seed gives the same bytes, so nothing here depends on the wall clock there.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,7 +13,7 @@
 use crate::ramp::ramp;
 use crate::scenario::Scenario;
 
-/// How an ask ended for its client, over all its tries.
+/// How a request ended for its client, after all attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
     Succeeded,
@@ -23,6 +23,7 @@
     Nothing,
 }
 
+/// Requests by result.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Counts {
     pub asked: u64,
@@ -30,6 +31,7 @@
     pub late: u64,
     pub throttled: u64,
     pub errored: u64,
+    /// Requests without any answer.
     pub nothing: u64,
 }
 
@@ -46,7 +48,7 @@
     }
 }
 
-/// Milliseconds from when the work was due to the last byte of its success.
+/// Latency in milliseconds, from when the work was due to the last byte of its success.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Latency {
     pub p50: f64,
@@ -64,6 +66,7 @@
     }
 }
 
+/// The results of one operation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct OperationOutcome {
     pub name: String,
@@ -72,34 +75,36 @@
     pub latency: Latency,
 }
 
-/// One stretch of a run, by when the work was due.
+/// One second of a run, by when the work was due.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Window {
-    /// Seconds from the start.
+    /// Start of the window, in seconds from the start of the run.
     pub at: f64,
     pub counts: Counts,
     pub goodput: f64,
     pub p50: f64,
     pub p99: f64,
-    /// What the runners' warmth alone allows, as goodput (`ramp`).
+    /// The goodput that the runners' warmth alone allows (`ramp`).
     #[serde(default)]
     pub ramp: f64,
-    /// The same with what is worth most for its work first.
+    /// The same if the work with the most value for its length comes first.
     #[serde(default)]
     pub best: f64,
 }
 
+/// The load of one runner.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct RunnerOutcome {
     pub name: String,
     pub zone: String,
     pub kind: String,
     pub forwards: u64,
-    /// Work done over what it could have done, warm and well, in the length of the run.
+    /// Work done, as a share of what the runner could have done in the length of the run when warm and
+    /// without faults.
     pub used: f64,
 }
 
-/// A fault as it was played, for the report's bands.
+/// A fault as it was played, in seconds from the start, for the bands of the report.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FaultBand {
     pub what: String,
@@ -107,42 +112,50 @@
     pub to: f64,
 }
 
+/// Counts of attempts, forwards and messages.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Traffic {
+    /// Attempts of clients.
     pub tries: u64,
     pub forwards: u64,
+    /// Forwards to another zone.
     pub crossings: u64,
     pub probes: u64,
     pub cancels: u64,
     pub connections: u64,
+    /// Forwards that runners rejected as full.
     pub turned_away: u64,
-    /// Between dispatchers.
+    /// Datagrams between dispatchers, and their bytes.
     #[serde(default)]
     pub datagrams: u64,
     #[serde(default)]
     pub datagram_bytes: u64,
-    /// Calls at discovery, and the most of them in any second.
+    /// Calls at discovery.
     #[serde(default)]
     pub calls: u64,
+    /// The most calls at discovery in any second.
     #[serde(default)]
     pub calls_most: u64,
 }
 
-/// What all dispatchers together sent to cold runners, of what the rule on them allows: in the mean of all of it, and
-/// at most in any span that the rule looks at.
+/// What all dispatchers together sent to cold runners, against what the rule on them allows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ColdUsage {
     pub used: f64,
+    /// The largest share of a budget used in any span that the rule covers.
     pub most: f64,
-    /// Spans that ended with a call, those of them with more calls than chance explains, and the most of that in any.
+    /// Spans that end with a call to a cold runner.
     #[serde(default)]
     pub spans: u64,
+    /// Spans with more calls than the random limit.
     #[serde(default)]
     pub over: u64,
+    /// The largest share of the random limit in any span.
     #[serde(default)]
     pub most_by_chance: f64,
 }
 
+/// The results of a run, as written to JSON.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Outcome {
     pub scenario: String,
@@ -152,7 +165,7 @@
     pub seconds: f64,
     #[serde(default)]
     pub dispatchers: u32,
-    /// Billed value answered in time (in part where late) over the value asked for. Simulated runners.
+    /// Billed value answered in time (in part where late) over the value requested. Runners are simulated.
     pub goodput: f64,
     pub counts: Counts,
     pub latency: Latency,
@@ -164,17 +177,18 @@
     pub cold: Option<ColdUsage>,
     pub faults: Vec<FaultBand>,
     pub verdict: serde_json::Value,
-    /// Rules broken, by name: empty where all were kept.
+    /// Violations by rule; empty if all rules were kept.
     pub broken: BTreeMap<String, u64>,
-    /// Why the run says nothing, where it does not: the lab itself was late, or lost count.
+    /// Why the run is void, if it is: the lab itself was late, or lost count.
     pub void: Vec<String>,
-    /// Only on sockets: CPU microseconds for an invocation, peak memory in MB, by dispatcher.
+    /// CPU time and peak memory by dispatcher; on sockets only.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub processes: Vec<Process>,
     #[serde(default)]
     pub notes: Vec<String>,
 }
 
+/// Resource usage of one dispatcher's process: CPU time in milliseconds, peak memory in MB, and starts.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Process {
     pub name: String,
@@ -183,8 +197,10 @@
     pub starts: u32,
 }
 
+/// Length of a window, in microseconds.
 const WINDOW: Micros = 1_000_000;
 
+/// The figures of one window.
 struct WindowTally {
     counts: Counts,
     asked_value: f64,
@@ -192,18 +208,23 @@
     latency: Histogram<u64>,
 }
 
+/// Collects the figures of a run.
 pub struct Tally {
+    /// By operation: counts, requested value, achieved value and latencies.
     operations: Vec<(Counts, f64, f64, Histogram<u64>)>,
     all: Histogram<u64>,
     windows: Vec<WindowTally>,
+    /// By operation: latency objective and client timeout in microseconds, billed value and its share when
+    /// late.
     objectives: Vec<(Micros, Micros, f64, f64)>,
     pub traffic: Traffic,
+    /// Forwards by runner.
     pub forwards: Vec<u64>,
-    /// When discovery was called within the last second.
+    /// Times of the calls at discovery within the last second.
     calls: VecDeque<Micros>,
 }
 
-/// Three digits up to an hour, in units of a hundredth of a millisecond.
+/// A histogram with three significant digits, in hundredths of a millisecond; it grows as needed.
 fn histogram() -> Histogram<u64> {
     let mut histogram = Histogram::new(3).expect("three digits are allowed");
     histogram.auto(true);
@@ -211,6 +232,7 @@
 }
 
 impl Tally {
+    /// An empty tally for a scenario.
     pub fn new(scenario: &Scenario) -> Tally {
         let ops = &scenario.operation;
         let windows = (scenario.length.0 + WINDOW - 1) / WINDOW;
@@ -234,7 +256,7 @@
         }
     }
 
-    /// An ask has ended, so long after it was due.
+    /// Records the end of a request, `after` microseconds after it was due.
     pub fn record_end(&mut self, request: &ClientRequest, end: RequestResult, after: Micros) {
         let (objective, timeout, value, late) = self.objectives[request.operation];
         let in_time = after <= objective;
@@ -262,7 +284,7 @@
         }
     }
 
-    /// A call has reached discovery.
+    /// Records a call at discovery.
     pub fn record_discovery_call(&mut self, at: Micros) {
         self.traffic.calls += 1;
         self.calls.push_back(at);
@@ -272,6 +294,7 @@
         self.traffic.calls_most = self.traffic.calls_most.max(self.calls.len() as u64);
     }
 
+    /// Computes the results of the run.
     pub fn outcome(self, scenario: &Scenario, details: RunDetails) -> Outcome {
         let ratio = |achieved: f64, asked: f64| if asked > 0.0 { round(achieved / asked) } else { 1.0 };
         let (mut counts, mut asked, mut achieved) = (Counts::default(), 0.0, 0.0);
@@ -339,7 +362,7 @@
     }
 }
 
-/// What a clock tells of its run besides the tally.
+/// What a clock adds to the tally of its run.
 pub struct RunDetails {
     pub clock: String,
     pub program: String,
@@ -355,7 +378,7 @@
     pub notes: Vec<String>,
 }
 
-/// To a ten-thousandth.
+/// Rounds to a ten-thousandth.
 pub fn round(value: f64) -> f64 {
     (value * 1e4).round() / 1e4
 }
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -1,8 +1,10 @@
-//! The world in virtual time: the module of decisions in process, and everything round it as events on a heap.
+//! The lab in virtual time: the decision module runs in process, and everything around it is played as events
+//! on a heap.
 //!
-//! It owns the clock, the links' messages, and the part that the desk has on sockets: numbers of forwards, what
-//! is out, what is owed. It must never decide what a dispatcher does, never iterate in hash order where that
-//! could show, and never let the wall clock into a result: the same scenario and seed give the same bytes.
+//! This module owns the clock, the messages on the links, and the part that the request table has on sockets:
+//! numbers of forwards, forwards in flight and unanswered invocations. It makes no decision for a dispatcher,
+//! never iterates in hash order where that could change a result, and lets no wall-clock time into one: the
+//! same scenario and seed give the same bytes.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -27,67 +29,88 @@
 use crate::tally::{Outcome, RequestResult, RunDetails, RunnerOutcome, Tally, round};
 use crate::world::{Change, ListingState, World};
 
-/// An answer on its way when the client's time ends is as good as none; as the dispatcher on sockets has it.
+/// Time in microseconds reserved for the way of an answer to its client: an answer still on the way when the
+/// client times out is lost. The dispatcher on sockets reserves the same.
 const ANSWER_TRANSIT: Micros = 20_000;
-/// The machine's agent tells of a process that died after so long.
+/// Delay in microseconds after which a machine's agent reports a process that died.
 const AGENT_NOTICE_DELAY: Micros = 100_000;
-/// How far dispatchers lie apart in hearing of a change.
+/// Largest difference in microseconds between two dispatchers' receipt of a roster change.
 const MAX_NOTIFICATION_SKEW: Micros = 100_000;
-/// New connections go on coming for so long after SIGTERM.
+/// How long new connections still arrive after SIGTERM, in microseconds.
 const TERM_NOTICE_DELAY: Micros = 300_000;
-/// How much time the heap holds at once.
+/// Span of virtual time that the heap holds at once, in microseconds.
 const HEAP_WINDOW: Micros = 50_000;
-/// Bits of an invocation's number that count its client's tries.
+/// Bits of an invocation's number that count its client's attempts.
 const ATTEMPT_BITS: u32 = 4;
 
-/// One life of one dispatcher; what is meant for an earlier one is dropped.
+/// One process run of one dispatcher; events for an earlier run are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Incarnation {
     d: u32,
     epoch: u32,
 }
 
+/// An event on the heap. Numbers stand for invocations (`u64`), and for forwards, runners and dispatchers
+/// (`u32`).
 #[derive(Clone, Debug)]
 enum ClockEvent {
-    /// The next arrival that the clients bring.
+    /// The next request of the clients is due.
     NextRequest,
     /// An invocation has reached its dispatcher.
     RequestArrived(u64, u32),
-    /// A try's end has reached its client.
+    /// The result of an attempt has reached its client.
     ResultArrived(u64, load::AttemptResult),
+    /// A client sends its next attempt.
     Retry(u64),
+    /// The client timeout of a request has passed.
     ClientTimeout(u64),
-    /// A dispatcher's due time for an invocation.
+    /// A dispatcher's own deadline for an invocation has passed.
     DeadlineReached(Incarnation, u64),
+    /// A connection dialled for a forward is established.
     Connected(Incarnation, u64, u32, u32),
-    /// A forward's last byte has reached its runner.
+    /// The last byte of a forward has reached its runner.
     Submit(Incarnation, u64, u32, u32),
-    /// The connection of a forward is free again.
+    /// The connection of a forward is idle again.
     ConnectionIdle(Incarnation, u32),
+    /// The end of a forward has reached its dispatcher.
     ForwardEnded(Incarnation, u64, u32, ForwardResult, Option<LoadReport>),
+    /// A progress report has reached its dispatcher.
     Progress(Incarnation, u64, u32),
+    /// A cancel has reached its runner.
     Cancel(Incarnation, u64, u32, u32),
+    /// A probe has reached its runner.
     Probe(Incarnation, u32, u64),
+    /// The result of a probe has reached its dispatcher; without a report it has failed.
     ProbeEnded(Incarnation, u32, u64, Option<LoadReport>),
+    /// A runner's next event is due, unless it was rescheduled since.
     RunnerDue(u32, u32),
+    /// The timer of a dispatcher's decision module has fired.
     TimerFired(Incarnation),
-    /// A dispatcher's round of words to the others.
+    /// A dispatcher's periodic messages to its peers are due.
     PeerRound(Incarnation),
-    /// To whom, from whom.
+    /// Receiver, sender and bytes.
     Datagram(u32, u32, Rc<[u8]>),
+    /// A change of the world's schedule is due.
     Change(usize),
+    /// Discovery learns of a runner's state.
     Listed(u32, ListingState),
+    /// A roster change has reached a dispatcher.
     RosterChange(Incarnation, u32, ListingState),
+    /// A dispatcher's call has reached discovery.
     DiscoveryCall(Incarnation),
+    /// The whole roster has reached a dispatcher.
     WholeRoster(Incarnation),
+    /// A dispatcher's call or subscription has failed.
     DiscoveryRefused(Incarnation),
-    /// The front's view of a dispatcher's life.
+    /// The front end learns whether a dispatcher is up.
     FrontNotice(Incarnation, bool),
-    /// The front notices that a dispatcher stands still, if it still does.
+    /// The front end notices that a dispatcher is suspended, if it still is.
     SuspensionNoticed(Incarnation),
+    /// The jobs of all runners are sampled.
     Sample,
 }
 
+/// An event with its time and serial number, by which events are ordered.
 struct ScheduledEvent(Micros, u64, ClockEvent);
 
 impl PartialEq for ScheduledEvent {
@@ -107,14 +130,16 @@
     }
 }
 
+/// A forward as its dispatcher knows it.
 struct SentForward {
-    /// Its bytes have left: no new connection has to come up for it any more.
+    /// Its bytes have been sent: it waits for no new connection any more.
     bytes_sent: bool,
     runner: u32,
     at: Micros,
     in_flight: bool,
 }
 
+/// An invocation that is unanswered or has a forward in flight.
 struct OpenInvocation {
     id: Id,
     at: Micros,
@@ -122,6 +147,7 @@
     sent: Vec<SentForward>,
 }
 
+/// A dispatcher's process.
 struct Dispatcher {
     decide: Box<dyn DecisionMaker>,
     alive: bool,
@@ -129,81 +155,94 @@
     starts: u64,
     zone: usize,
     invocations: FxHashMap<u64, OpenInvocation>,
-    /// Idle connections, and all, by runner.
+    /// Idle connections and all connections, by runner.
     connections: FxHashMap<u32, (u32, u32)>,
     probes: FxHashMap<u32, u64>,
     subscribed: bool,
-    /// What has come for it while its process stands still.
+    /// Events held while the process is suspended; none while it runs.
     suspended_events: Option<Vec<ClockEvent>>,
-    /// Where the scenario has a store: the stages of its start.
+    /// The stages of its start, where the scenario has a store.
     startup: Option<Startup>,
-    /// Where it has peers: what they say to one another.
+    /// Its peer protocol, where the scenario has peers.
     peers: Option<PeerMessages>,
     /// When its process was last killed.
     killed_at: Option<Micros>,
 }
 
+/// A client's request that has not ended, and its attempts so far.
 struct OpenRequest {
     request: ClientRequest,
     attempts: u32,
 }
 
+/// Optional measurements of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Samples how many runners hold how many jobs, at this gap, after the first fifth of the run.
+    /// Interval in microseconds at which the number of jobs of each runner is sampled, after the first fifth
+    /// of the run (0: never).
     pub sample_interval: Micros,
-    /// Takes the wall clock's time round each call of the module: a figure for people, beside the outcome.
+    /// Measures the wall-clock time of each call of the decision module. It is reported beside the outcome,
+    /// which does not depend on it.
     pub measure_time: bool,
 }
 
-/// How often a runner was seen with at least so many jobs, as a share, from 0.
+/// For each number of jobs from 0: the share of samples in which a runner had at least so many.
 pub type Tails = Vec<f64>;
 
+/// The outcome of a run and its optional measurements.
 pub struct Run {
     pub outcome: Outcome,
+    /// The sampled distribution of jobs per runner.
     pub tails: Tails,
-    /// Calls of the decision module, and the wall clock's time in them where it was asked for: for lists, and for
-    /// all else.
+    /// Number of calls of the decision module.
     pub decisions: u64,
+    /// Wall-clock time in these calls if it was measured: for rosters, and for all other events.
     pub decision_time: [Duration; 2],
 }
 
+/// The state of a run.
 struct Clock<'a> {
     scenario: &'a Scenario,
     seed: u64,
     policy: Policy,
     now: Micros,
+    /// Events within the current window.
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
-    /// What is due later than the next stretch, by stretch: most of it are time-outs that come to nothing, and
-    /// would make every step on the heap a deeper one.
+    /// Events later than the current heap window, by window. Most of them are timeouts that never matter and
+    /// would make each operation on the heap slower.
     later: BTreeMap<Micros, Vec<ScheduledEvent>>,
     serial: u64,
     world: World,
     dispatchers: Vec<Dispatcher>,
     settings: Vec<Settings>,
-    /// Which dispatchers the front sends to.
+    /// Which dispatchers the front end sends to.
     front: Vec<bool>,
     ids: Vec<Id>,
     requests: BTreeMap<u64, OpenRequest>,
     request_count: u64,
     arrivals: ArrivalGenerator,
     next_request: Option<ClientRequest>,
-    /// Who waits for a job's end: its dispatcher's life, and the forward's number.
+    /// By runner and invocation, the dispatcher that waits for the job's end, and the number of the forward.
     owners: FxHashMap<(u32, u64), (Incarnation, u32)>,
+    /// Messages held at a frozen runner.
     inbox: Vec<Vec<ClockEvent>>,
+    /// When each runner's next event is due, and a number that invalidates earlier schedules.
     runner_due: Vec<(Option<Micros>, u32)>,
-    /// What waits for a cut link, with the zones at both ends.
+    /// Messages held at a cut link, with the zones of both ends.
     held_messages: Vec<(usize, usize, ClockEvent)>,
     listing_states: Vec<ListingState>,
+    /// When discovery has worked through all calls so far.
     discovery_busy_until: Micros,
     network_rng: Pcg32,
     datagram_rng: Pcg32,
     client_rng: Pcg32,
     judge: Judge,
     tally: Tally,
-    /// Deduplicated work by its mark and group: when its effect first came.
+    /// When the effect of deduplicated work first took place, by request and scope.
     marks: FxHashMap<(u64, i64), Micros>,
+    /// A buffer for job events, reused between calls.
     job_event_buffer: Vec<(u64, JobEvent)>,
+    /// Number of samples, and how often each number of jobs was seen.
     sampled: (u64, Vec<u64>),
     options: Options,
     decisions: u64,
@@ -222,7 +261,7 @@
         let world = World::new(scenario, seed);
         let zones = &scenario.zones.names;
         let mut settings = Vec::new();
-        // The settings go the way that they go on sockets, so that both clocks tell the same.
+        // The settings pass through the configuration file as on sockets, so that both clocks use the same.
         for number in 0..scenario.dispatchers {
             let parameters = DispatcherParameters {
                 number,
@@ -288,7 +327,7 @@
         }
     }
 
-    /// The next event in order.
+    /// Removes the next event in order of time.
     fn pop(&mut self) -> Option<ScheduledEvent> {
         if self.heap.is_empty()
             && let Some((_, due)) = self.later.pop_first()
@@ -298,7 +337,8 @@
         self.heap.pop().map(|Reverse(at)| at)
     }
 
-    /// A message between two places: after the link's delay, or once a cut link is up again.
+    /// Sends a message between two zones: it arrives after the link's delay, or is held until a cut link is
+    /// up again.
     fn send(&mut self, from: usize, to: usize, event: ClockEvent) {
         if self.world.linked(from, to) {
             let delay = self.delay(from, to);
@@ -328,8 +368,8 @@
             self.push(self.scenario.length.0 / 5, ClockEvent::Sample);
         }
         self.next_request = self.arrivals.next();
-        if let Some(ask) = &self.next_request {
-            self.push(ask.at, ClockEvent::NextRequest);
+        if let Some(request) = &self.next_request {
+            self.push(request.at, ClockEvent::NextRequest);
         }
         let longest = self.scenario.operation.iter().map(|op| op.client_timeout.0).max().unwrap_or(0);
         let end = self.scenario.length.0 + longest + 5_000_000;
@@ -344,7 +384,7 @@
         }
     }
 
-    /// Whom an event is for, where a process that stands still does not get it.
+    /// The dispatcher that receives an event, for events that are held while its process is suspended.
     fn recipient(event: &ClockEvent) -> Option<u32> {
         match event {
             ClockEvent::RequestArrived(_, d) | ClockEvent::Datagram(d, ..) => Some(*d),
@@ -373,8 +413,8 @@
             ClockEvent::NextRequest => self.send_request(),
             ClockEvent::RequestArrived(inv, d) => self.request_arrived(inv, d),
             ClockEvent::ResultArrived(inv, seen) => self.result_arrived(inv, seen),
-            ClockEvent::Retry(ask) => self.send_attempt(ask),
-            ClockEvent::ClientTimeout(ask) => self.end_request(ask, RequestResult::Nothing),
+            ClockEvent::Retry(request) => self.send_attempt(request),
+            ClockEvent::ClientTimeout(request) => self.end_request(request, RequestResult::Nothing),
             ClockEvent::DeadlineReached(incarnation, inv) => self.deadline_reached(incarnation, inv),
             ClockEvent::Connected(incarnation, inv, number, r) => {
                 self.dial_ended(incarnation, inv, number, r)
@@ -424,7 +464,7 @@
                     self.handle_event(incarnation.d, Event::TimerFired);
                 }
             }
-            ClockEvent::PeerRound(incarnation) => self.round(incarnation),
+            ClockEvent::PeerRound(incarnation) => self.peer_round(incarnation),
             ClockEvent::Datagram(to, from, bytes) => {
                 let now = self.now;
                 let to = self.dispatchers[to as usize].alive.then_some(to);
@@ -495,9 +535,9 @@
         Incarnation { d, epoch: self.dispatchers[d as usize].epoch }
     }
 
-    // Words between dispatchers.
+    // Peer messages.
 
-    fn round(&mut self, incarnation: Incarnation) {
+    fn peer_round(&mut self, incarnation: Incarnation) {
         let now = self.now;
         let Some(dispatcher) = self.running_dispatcher(incarnation) else { return };
         let Some(peers) = &mut dispatcher.peers else { return };
@@ -508,7 +548,7 @@
         self.send_datagrams(incarnation.d, datagrams);
     }
 
-    /// Which portions of cold runners' budgets are a dispatcher's own.
+    /// Passes a dispatcher its shares of the cold runners' slow-start budgets.
     fn update_slow_start_shares(&mut self, d: u32) {
         let now = self.now;
         let dispatcher = &mut self.dispatchers[d as usize];
@@ -520,7 +560,7 @@
         }
     }
 
-    /// A dispatcher's datagrams leave, and what it has heard counts for the stages of its start.
+    /// Sends a dispatcher's datagrams, and passes the agreement of its peers to the stages of its start.
     fn send_datagrams(&mut self, d: u32, datagrams: Vec<Datagram>) {
         for (to, bytes) in datagrams {
             self.tally.traffic.datagrams += 1;
@@ -543,18 +583,18 @@
     // Clients.
 
     fn send_request(&mut self) {
-        let Some(ask) = self.next_request.take() else { return };
+        let Some(request) = self.next_request.take() else { return };
         let number = self.request_count;
         self.request_count += 1;
         self.push(
-            ask.at + self.scenario.operation[ask.operation].client_timeout.0,
+            request.at + self.scenario.operation[request.operation].client_timeout.0,
             ClockEvent::ClientTimeout(number),
         );
-        self.requests.insert(number, OpenRequest { request: ask, attempts: 0 });
+        self.requests.insert(number, OpenRequest { request, attempts: 0 });
         self.send_attempt(number);
         self.next_request = self.arrivals.next();
-        if let Some(ask) = &self.next_request {
-            self.push(ask.at, ClockEvent::NextRequest);
+        if let Some(request) = &self.next_request {
+            self.push(request.at, ClockEvent::NextRequest);
         }
     }
 
@@ -565,7 +605,8 @@
         let zone = open.request.zone;
         self.tally.traffic.tries += 1;
         let all = self.dispatchers.len();
-        // Drawn from this try alone: one policy's answers are not to shift where others' clients go.
+        // Drawn from this attempt alone, so that the answers under one policy do not change where other
+        // clients go.
         let start = seeded_generator(self.seed ^ 0x5eed, inv).random_range(0..all);
         let order = || (0..all).map(|step| (start + step) % all).filter(|d| self.front[*d]);
         let near = order().find(|d| self.dispatchers[*d].zone == zone);
@@ -605,7 +646,7 @@
         }
     }
 
-    // What the desk does on sockets.
+    // The part of the request table.
 
     fn request_arrived(&mut self, inv: u64, d: u32) {
         let Some(open) = self.requests.get(&(inv >> ATTEMPT_BITS)) else { return };
@@ -642,7 +683,7 @@
             Event::Arrival(Arrival {
                 invocation: id,
                 operation,
-                time_left: time_left,
+                time_left,
                 slots: 1.0,
                 work_hint: None,
                 key,
@@ -673,7 +714,7 @@
                 None,
             );
         }
-        // What the module has not ended by now gets its error all the same.
+        // An invocation that the module has not ended by now gets its error nevertheless.
         if let Some(open) =
             self.dispatchers[incarnation.d as usize].invocations.get(&inv).filter(|open| !open.answered)
         {
@@ -703,8 +744,8 @@
             invocation: id,
             forward,
             runner: runner_id,
-            result: result,
-            answered: answered,
+            result,
+            answered,
             elapsed,
             report: report_values(load),
         };
@@ -712,7 +753,7 @@
         self.handle_event(d, Event::Outcome(ended));
     }
 
-    /// Lets go of an invocation with nothing owed and nothing out.
+    /// Removes an invocation that is answered and has no forward in flight.
     fn remove_if_finished(&mut self, d: u32, inv: u64) {
         let invocations = &mut self.dispatchers[d as usize].invocations;
         if invocations
@@ -738,14 +779,14 @@
         self.remove_if_finished(d, inv);
     }
 
-    /// Tells the module one thing and does what it decides.
+    /// Passes one event to the decision module and carries out its actions.
     fn handle_event(&mut self, d: u32, event: Event) {
         self.decisions += 1;
         let dispatcher = &mut self.dispatchers[d as usize];
         let began = self.options.measure_time.then(Instant::now);
-        let about = usize::from(!matches!(event, Event::Roster(_)));
+        let kind = usize::from(!matches!(event, Event::Roster(_)));
         let actions = dispatcher.decide.decide(self.now, event, &self.world.runners);
-        self.decision_time[about] += began.map_or(Duration::ZERO, |began| began.elapsed());
+        self.decision_time[kind] += began.map_or(Duration::ZERO, |began| began.elapsed());
         let incarnation = self.incarnation(d);
         for action in actions {
             match action {
@@ -761,8 +802,8 @@
                         continue;
                     };
                     if !bytes_sent {
-                        // As on sockets: what never got out is withdrawn at once, or an answer that comes
-                        // meanwhile would be followed by a forward.
+                        // As on sockets: a forward that was not sent is withdrawn at once. Otherwise a
+                        // forward could follow an answer that arrives in between.
                         self.push(
                             self.now,
                             ClockEvent::ForwardEnded(
@@ -829,12 +870,12 @@
         );
     }
 
-    /// Opens a connection: `up` once it is there, `never` where it never comes up.
+    /// Opens a connection: schedules `up` when it is established, or `never` when it fails.
     fn dial(&mut self, incarnation: Incarnation, r: u32, up: ClockEvent, never: ClockEvent) {
         let (from, to) = self.zones_of(incarnation.d, r);
         let there_and_back = self.delay(from, to) + self.delay(to, from);
         let runner = &self.world.runners[r as usize];
-        // One way alone brings no connection up.
+        // A link that works in one direction only establishes no connection.
         let linked = self.world.linked(from, to) && self.world.linked(to, from);
         if runner.state == ProcessState::Silent || !linked {
             self.push(self.now + self.scenario.limits.dial_timeout.0, never);
@@ -878,7 +919,7 @@
         }
     }
 
-    /// A forward's bytes leave.
+    /// Sends a forward to its runner.
     fn send_forward(&mut self, incarnation: Incarnation, inv: u64, number: u32, r: u32) {
         if let Some(open) = self.dispatchers[incarnation.d as usize].invocations.get_mut(&inv) {
             open.sent[number as usize].bytes_sent = true;
@@ -949,7 +990,7 @@
         let how = match result {
             ForwardResult::Succeeded => Some(ForwardEnd::Succeeded),
             ForwardResult::Overloaded => Some(ForwardEnd::NeverRan),
-            // No byte left: the judge never saw a forward.
+            // No byte was sent: the judge never saw a forward.
             ForwardResult::Unreachable | ForwardResult::Void => None,
             ForwardResult::Withdrawn => None,
             _ => Some(ForwardEnd::MayHaveRun),
@@ -960,7 +1001,7 @@
         if was_in_flight || result == ForwardResult::Void {
             self.report_outcome(incarnation.d, (inv, id), (number, r), result, elapsed, load);
         } else if result == ForwardResult::Succeeded {
-            // Given up, but it came to its end all the same: this is the result that is owed.
+            // It was cancelled but succeeded nevertheless: this result answers the invocation.
             self.answer(incarnation.d, inv, FinalStatus::Succeeded, None);
             self.handle_event(incarnation.d, Event::ClientLeft { invocation: id });
         }
@@ -968,7 +1009,7 @@
 
     // Runners.
 
-    /// What has reached a runner: it waits where the process stands still.
+    /// Handles a message that has reached a runner; it is held while the process is frozen.
     fn runner_reached(&mut self, event: ClockEvent) {
         let r = match event {
             ClockEvent::Submit(_, _, _, r) | ClockEvent::Cancel(_, _, _, r) | ClockEvent::Probe(_, r, _) => r,
@@ -988,10 +1029,10 @@
                 // A later forward of the same invocation to the same runner is not this one.
                 if self.owners.get(&(r, inv)).is_some_and(|(_, sent)| *sent == number) {
                     self.owners.remove(&(r, inv));
-                    let mut news = std::mem::take(&mut self.job_event_buffer);
-                    self.world.runners[r as usize].cancel(self.now, inv, &mut news);
-                    self.handle_job_events(r, &mut news);
-                    self.job_event_buffer = news;
+                    let mut job_events = std::mem::take(&mut self.job_event_buffer);
+                    self.world.runners[r as usize].cancel(self.now, inv, &mut job_events);
+                    self.handle_job_events(r, &mut job_events);
+                    self.job_event_buffer = job_events;
                     self.reschedule(r);
                 }
                 let (to, from) = self.zones_of(incarnation.d, r);
@@ -1010,7 +1051,7 @@
         }
     }
 
-    /// The process is gone: the connection is reset.
+    /// Handles a message to a process that is gone: the connection is reset.
     fn reset_connection(&mut self, event: ClockEvent) {
         match event {
             ClockEvent::Submit(incarnation, inv, number, r) => {
@@ -1041,7 +1082,8 @@
     fn submit(&mut self, incarnation: Incarnation, inv: u64, number: u32, r: u32) {
         let (to, from) = self.zones_of(incarnation.d, r);
         let Some(open) = self.requests.get(&(inv >> ATTEMPT_BITS)) else {
-            // The client has its answer or has left, and how much work it was is not kept: it fails at once.
+            // The client has its answer or has left, and the work of the request is no longer stored: the job
+            // fails at once.
             return self.send(
                 from,
                 to,
@@ -1049,9 +1091,9 @@
             );
         };
         let (operation, work) = (open.request.operation, open.request.work);
-        let mut news = std::mem::take(&mut self.job_event_buffer);
+        let mut job_events = std::mem::take(&mut self.job_event_buffer);
         let runner = &mut self.world.runners[r as usize];
-        let taken = runner.offer(self.now, inv, operation, work, &mut news);
+        let taken = runner.offer(self.now, inv, operation, work, &mut job_events);
         let load = runner.report(self.now);
         self.send(from, to, ClockEvent::ConnectionIdle(incarnation, r));
         match taken {
@@ -1074,16 +1116,16 @@
                 );
             }
         }
-        self.handle_job_events(r, &mut news);
-        self.job_event_buffer = news;
+        self.handle_job_events(r, &mut job_events);
+        self.job_event_buffer = job_events;
         self.reschedule(r);
     }
 
     fn process_runner(&mut self, r: u32) {
-        let mut news = std::mem::take(&mut self.job_event_buffer);
-        self.world.runners[r as usize].wake(self.now, &mut news);
-        self.handle_job_events(r, &mut news);
-        self.job_event_buffer = news;
+        let mut job_events = std::mem::take(&mut self.job_event_buffer);
+        self.world.runners[r as usize].wake(self.now, &mut job_events);
+        self.handle_job_events(r, &mut job_events);
+        self.job_event_buffer = job_events;
         self.reschedule(r);
     }
 
@@ -1099,15 +1141,15 @@
     }
 
     fn handle_job_events(&mut self, r: u32, events: &mut Vec<(u64, JobEvent)>) {
-        for (inv, news) in events.drain(..) {
-            if news == JobEvent::Started {
+        for (inv, job_event) in events.drain(..) {
+            if job_event == JobEvent::Started {
                 self.job_started(r, inv);
                 continue;
             }
             let Some((incarnation, number)) = self.owners.get(&(r, inv)).copied() else { continue };
             let (to, from) = self.zones_of(incarnation.d, r);
             let load = Some(self.world.runners[r as usize].report(self.now));
-            let result = match news {
+            let result = match job_event {
                 JobEvent::Progress(_) => {
                     self.send(from, to, ClockEvent::Progress(incarnation, inv, number));
                     continue;
@@ -1121,11 +1163,11 @@
         }
     }
 
-    /// A job begins; whether its effect is new in its group is for the judge to hear.
+    /// A job starts; the judge is notified if its effect is new within its deduplication scope.
     fn job_started(&mut self, r: u32, inv: u64) {
         use crate::scenario::{DeduplicationScope, Effect};
-        let ask = inv >> ATTEMPT_BITS;
-        let Some(open) = self.requests.get(&ask) else { return };
+        let request = inv >> ATTEMPT_BITS;
+        let Some(open) = self.requests.get(&request) else { return };
         let op = &self.scenario.operation[open.request.operation];
         let runner = &self.world.runners[r as usize];
         let new = match op.effect {
@@ -1137,11 +1179,12 @@
                     DeduplicationScope::Cell => runner.cell,
                 };
                 let now = self.now;
-                let known = self.marks.get(&(ask, group)).copied();
-                // Remembered from when it was first sent; begun somewhat later, so that this errs to its side.
+                let known = self.marks.get(&(request, group)).copied();
+                // Real runners remember the invocation from when it was first sent. Here the span begins at
+                // the start of the job, somewhat later, which errs in the dispatcher's favour.
                 let new = known.is_none_or(|at| now > at + op.memory_span.0);
                 if new {
-                    self.marks.insert((ask, group), now);
+                    self.marks.insert((request, group), now);
                 }
                 new
             }
@@ -1151,7 +1194,7 @@
         }
     }
 
-    // What goes wrong.
+    // Faults.
 
     fn apply_change(&mut self, nth: usize) {
         let change = self.world.schedule[nth].1.clone();
@@ -1171,7 +1214,7 @@
         let effects = self.world.apply(self.now, &change);
         for (r, inv) in &effects.lost {
             let Some((incarnation, number)) = self.owners.remove(&(*r as u32, *inv)) else { continue };
-            // Where the machine itself is gone, nobody is left to tell.
+            // Only a machine that still runs reports its lost jobs; a silent one cannot.
             if self.world.runners[*r].state == ProcessState::Down {
                 self.push(
                     self.now + AGENT_NOTICE_DELAY,
@@ -1192,8 +1235,8 @@
                 self.runner_reached(event);
             }
         }
-        for (r, inv, news) in effects.news {
-            self.handle_job_events(r as u32, &mut vec![(inv, news)]);
+        for (r, inv, job_events) in effects.job_events {
+            self.handle_job_events(r as u32, &mut vec![(inv, job_events)]);
         }
         for (r, state, after) in effects.listed {
             self.push(self.now + after, ClockEvent::Listed(r as u32, state));
@@ -1259,7 +1302,7 @@
         if suspended {
             dispatcher.suspended_events = Some(Vec::new());
         } else {
-            // As on sockets, where all that has come is read before anything is decided, lists first.
+            // As on sockets, where all that has arrived is read before anything is decided, rosters first.
             let mut held = dispatcher.suspended_events.take().unwrap_or_default();
             held.sort_by_key(|event| {
                 !matches!(
@@ -1354,7 +1397,7 @@
 
     fn update_listing(&mut self, r: u32, state: ListingState) {
         let runner = &self.world.runners[r as usize];
-        // What has been overtaken by a new start is passed over.
+        // A state older than the runner's latest start is ignored.
         if state != ListingState::Up && runner.state == ProcessState::Up && !runner.draining {
             return;
         }
@@ -1378,7 +1421,7 @@
         }
     }
 
-    /// A call has reached discovery, which works through calls in turn.
+    /// Handles a call that has reached discovery, which processes calls one after the other.
     fn discovery_called(&mut self, incarnation: Incarnation) {
         self.tally.record_discovery_call(self.now);
         let discovery = &self.scenario.discovery;
@@ -1454,7 +1497,7 @@
             Policy::Topazsail => "topazsail (module, in process)".to_owned(),
             other => format!("baseline {other:?}"),
         };
-        let about = RunDetails {
+        let kind = RunDetails {
             clock: "virtual".to_owned(),
             program,
             seed: self.seed,
@@ -1468,7 +1511,7 @@
             notes: Vec::new(),
         };
         Run {
-            outcome: self.tally.outcome(self.scenario, about),
+            outcome: self.tally.outcome(self.scenario, kind),
             tails,
             decisions: self.decisions,
             decision_time: self.decision_time,
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -1,8 +1,8 @@
-//! The deployment that a scenario describes: its runners, its links, what discovery lists, and the schedule of
-//! what goes wrong.
+//! The deployment that a scenario describes: its runners, its links, what discovery lists, and the schedule
+//! of its faults.
 //!
-//! It does no I/O and reads no clock; both clocks build one from scenario and seed, and apply the same changes
-//! at the same moments. It must never hold anything of dispatchers: they are what is being tried.
+//! It does no I/O and reads no clock. Both clocks build it from scenario and seed, and apply the same changes
+//! at the same times. It holds no state of dispatchers, as they are what is tested.
 
 use std::collections::BTreeMap;
 
@@ -17,54 +17,68 @@
 use crate::scenario::{Fault, FaultKind, LinkFaultKind, Scenario};
 use crate::tally::FaultBand;
 
-/// Runners of a zone that share what they remember.
+/// Runners of a zone that share one deduplication memory.
 const CELL_SIZE: usize = 4;
-/// From the order to drain until the process ends, and from there until the new one is up.
+/// How long a runner drains until its process ends, in microseconds.
 const DRAIN_DURATION: Micros = 2_000_000;
+/// Time from the end of a drained process until its successor is up, in microseconds.
 const RESTART_DURATION: Micros = 1_000_000;
-/// A dispatcher that is rolled is away for so long.
+/// How long a dispatcher is down in a rolling restart, in microseconds.
 const ROLL_DOWNTIME: Micros = 1_000_000;
-/// After SIGTERM comes SIGKILL, at the earliest that the platform allows.
+/// Time in microseconds from SIGTERM to SIGKILL, the shortest that the platform allows.
 pub const TERM_TO_KILL: Micros = 3_700_000;
+/// Mean time from the end of a pause of a runner to the next one, in microseconds.
 const MEAN_PAUSE_INTERVAL: Micros = 1_000_000;
 
+/// A change of the deployment. Dispatchers and runners are given by number.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
+    /// A runner's process ends or its machine becomes silent.
     Stop(usize, ProcessState),
+    /// A runner starts as a new process.
     Start(usize),
+    /// A runner's process is frozen or resumes.
     Freeze(usize, bool),
+    /// A runner becomes slower by a factor, or has its full speed again.
     Slow(usize, Option<FaultParameters>),
+    /// A runner fails a share of its forwards, or none any more.
     Errors(usize, Option<FaultParameters>),
+    /// A runner loses a share of its forwards, or none any more.
     Loses(usize, Option<FaultParameters>),
+    /// A runner starts to drain.
     Drain(usize),
-    /// The process has ended after a drain, as was planned.
+    /// The runner's process has ended after a planned drain.
     Retire(usize),
+    /// Load reports of all runners are older by this much, in microseconds.
     ReportDelay(Micros),
-    /// Links from a zone to the others, and those to it where both ways are meant.
-    Cut {
-        zone: usize,
-        both: bool,
-        cut: bool,
-    },
+    /// Cuts or restores the links from a zone to the others, and with `both` those to it.
+    Cut { zone: usize, both: bool, cut: bool },
+    /// Discovery is up or down.
     Discovery(bool),
+    /// A dispatcher gets SIGTERM.
     Term(u32),
+    /// A dispatcher is killed.
     Kill(u32),
+    /// A dispatcher starts as a new process.
     StartDispatcher(u32),
-    /// A dispatcher's process stands still, or goes on.
+    /// A dispatcher's process is suspended or resumes.
     Suspend(u32, bool),
-    /// A dispatcher's disk has something wrong with it, or no more; a sync takes so long where it is slow.
+    /// A dispatcher's disk fault begins or ends; the time in microseconds is that of a sync on a slow disk.
     DiskFault(u32, DiskFault, Micros, bool),
-    /// A copy of a dispatcher's disk is laid by.
+    /// A copy of a dispatcher's disk is saved.
     SaveDisk(u32),
-    /// In which state a dispatcher that is about to begin finds its disk, whether its machine has begun anew, and
-    /// whether all others find theirs so as well.
+    /// The disk state that a dispatcher finds at its next start, whether its machine has restarted, and
+    /// whether all other dispatchers find theirs in the same state.
     PrepareDisk(u32, DiskState, bool, bool),
-    /// A fault of the links between dispatchers begins, or is over.
+    /// A fault of the links between dispatchers begins or ends.
     Link(usize, bool),
+    /// All dispatchers reload their configuration.
     Reload,
+    /// Malformed requests a second.
     BadClients(f64),
 }
 
+/// The operation that a fault affects (none: all), and its size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultParameters {
     pub operation: Option<usize>,
@@ -77,7 +91,7 @@
     }
 }
 
-/// What discovery lists of a runner.
+/// State of a runner as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListingState {
     Up,
@@ -85,48 +99,54 @@
     Gone,
 }
 
-/// What follows from a change, for the clock to carry out.
+/// The effects of a change that the clock carries out.
 #[derive(Debug, Default)]
 pub struct ChangeEffects {
-    /// News of jobs at a runner.
-    pub news: Vec<(usize, Job, JobEvent)>,
-    /// Jobs that a process took with it.
+    /// Events of jobs at a runner.
+    pub job_events: Vec<(usize, Job, JobEvent)>,
+    /// Jobs lost with their process.
     pub lost: Vec<(usize, Job)>,
     /// Runners whose connections are reset.
     pub reset: Vec<usize>,
-    /// Runners that read again what came while they stood still.
+    /// Runners that now read what arrived while they were frozen.
     pub thawed: Vec<usize>,
-    /// Discovery learns of a state after so long.
+    /// Discovery learns of a runner's state after this delay in microseconds.
     pub listed: Vec<(usize, ListingState, Micros)>,
-    /// Links that are up again.
+    /// Whether links were restored.
     pub healed: bool,
 }
 
-/// A fault of the links of some dispatchers to all others.
+/// A fault of the links between some dispatchers and all others.
 struct LinkFault {
-    bad: LinkFaultKind,
+    kind: LinkFaultKind,
     size: f64,
     affected: Vec<bool>,
     on: bool,
 }
 
-/// What is overtaken or comes twice comes later by up to this.
+/// Largest extra delay of a reordered or duplicated datagram, in microseconds.
 const MAX_REORDER_DELAY: Micros = 100_000;
 
+/// The runners, links and discovery of a run, with the schedule of their changes.
 pub struct World {
     pub runners: Vec<Runner>,
+    /// Number of zones.
     pub zones: usize,
-    /// By zone: whether what leaves it, and what is sent to it, is held.
+    /// By zone: whether messages from it, and messages to it, are held.
     cut: Vec<(bool, bool)>,
+    /// Whether discovery answers.
     pub discovery_up: bool,
     links: Vec<LinkFault>,
+    /// All changes, in order of time in microseconds.
     pub schedule: Vec<(Micros, Change)>,
+    /// The faults as played, for the report.
     pub bands: Vec<FaultBand>,
     notice: Micros,
     silent_notice: Micros,
 }
 
 impl World {
+    /// Builds the deployment of a scenario; all draws come from the seed.
     pub fn new(scenario: &Scenario, seed: u64) -> World {
         let zones = scenario.zones.names.len();
         let mut rng = seeded_generator(seed, 2);
@@ -173,7 +193,7 @@
         world
     }
 
-    /// Where outages of one thing overlap it goes with the first and is back after the last.
+    /// Merges overlapping outages of the same thing into one: down with the first, up after the last.
     fn merge_overlapping_outages(&mut self) {
         let mut depth: BTreeMap<(u8, u32), u32> = BTreeMap::new();
         self.schedule.retain(|(_, change)| {
@@ -183,7 +203,7 @@
                 Change::Stop(r, _) | Change::Retire(r) => ((1, r as u32), true),
                 Change::Start(r) => ((1, r as u32), false),
                 Change::Discovery(up) => ((2, 0), !up),
-                Change::Suspend(d, still) => ((3, d), still),
+                Change::Suspend(d, suspended) => ((3, d), suspended),
                 _ => return true,
             };
             let depth = depth.entry(key).or_default();
@@ -193,12 +213,13 @@
         });
     }
 
-    /// Dispatchers of a zone, or all; which one stands where is the same in both clocks.
+    /// The dispatchers of a zone, or all; the assignment is the same in both clocks.
     fn dispatchers(&self, scenario: &Scenario, zone: Option<usize>) -> Vec<u32> {
         let all = 0..scenario.dispatchers;
         all.filter(|d| zone.is_none_or(|zone| *d as usize % self.zones == zone)).collect()
     }
 
+    /// Schedules the kill and restart of dispatchers; returns when the last may be back.
     fn plan_kills(&mut self, mut dispatchers: Vec<u32>, fault: &Fault, all: u32, rng: &mut Pcg32) -> Micros {
         use rand::RngExt;
         let all = dispatchers.len() == all as usize;
@@ -213,29 +234,30 @@
             if nth >= away {
                 let after = rng.random_range(0..=fault.spread.0);
                 let power = fault.kind == FaultKind::PowerLoss;
-                let find = Change::PrepareDisk(d, fault.disk, power, all);
-                self.schedule.push((back + after, find));
+                let prepare = Change::PrepareDisk(d, fault.disk, power, all);
+                self.schedule.push((back + after, prepare));
                 self.schedule.push((back + after, Change::StartDispatcher(d)));
             }
         }
         back + fault.spread.0
     }
 
-    /// Work that all runners do in a microsecond when warm and well.
+    /// Work that all runners do in a microsecond when warm and without faults.
     pub fn capacity(&self) -> f64 {
         self.runners.iter().map(|runner| f64::from(runner.slots) * runner.speed).sum()
     }
 
+    /// Zone and cell of each runner.
     pub fn places(&self) -> Vec<(usize, i64)> {
         self.runners.iter().map(|runner| (runner.zone, runner.cell)).collect()
     }
 
-    /// Whether a link carries anything.
+    /// Whether the link from one zone to another carries anything.
     pub fn linked(&self, from: usize, to: usize) -> bool {
         from == to || !(self.cut[from].0 || self.cut[to].1)
     }
 
-    /// After how long each copy of a datagram from one dispatcher to another arrives: none where it is lost.
+    /// Delay of each copy of a datagram from one dispatcher to another, in microseconds; empty if it is lost.
     pub fn datagram_delays(
         &self,
         scenario: &Scenario,
@@ -252,12 +274,12 @@
         for fault in self.links.iter().filter(|fault| fault.on) {
             let (sender, either) =
                 (fault.affected[from as usize], fault.affected[from as usize] || fault.affected[to as usize]);
-            if !either || fault.bad == LinkFaultKind::OneWay && !sender {
+            if !either || fault.kind == LinkFaultKind::OneWay && !sender {
                 continue;
             }
             let span = (fault.size * 1000.0) as Micros;
             let hit = fault.size > 0.0 && rng.random::<f64>() < fault.size;
-            match fault.bad {
+            match fault.kind {
                 LinkFaultKind::Cut | LinkFaultKind::OneWay => return Vec::new(),
                 LinkFaultKind::Flap if (now / span.max(1)) % 2 == 0 => return Vec::new(),
                 LinkFaultKind::Flap => {}
@@ -271,13 +293,14 @@
         after
     }
 
-    /// A link's delay, one way, with `drawn` from 0 to 1 for jitter.
+    /// One-way delay of a link in microseconds; `jitter_draw` from 0 to 1 sets the jitter.
     pub fn delay(scenario: &Scenario, from: usize, to: usize, jitter_draw: f64) -> Micros {
         let zones = &scenario.zones;
         let base = if from == to { zones.within.0 } else { zones.between.0 } as f64;
         (base * (1.0 + zones.jitter * jitter_draw)) as Micros
     }
 
+    /// Adds a fault's changes to the schedule. All draws are from `rng`, in the order of the faults.
     fn plan(&mut self, scenario: &Scenario, fault: &Fault, rng: &mut Pcg32) {
         let (at, until) = (fault.at.0, fault.at.0 + fault.lasts.0);
         let zone = fault.zone.as_ref().and_then(|zone| scenario.zones.names.iter().position(|z| z == zone));
@@ -381,7 +404,7 @@
                     let mut affected = vec![false; scenario.dispatchers as usize];
                     all.iter().for_each(|d| affected[*d as usize] = true);
                     let nth = self.links.len();
-                    self.links.push(LinkFault { bad, size: fault.size, affected, on: false });
+                    self.links.push(LinkFault { kind: bad, size: fault.size, affected, on: false });
                     let changes = [(at, Change::Link(nth, true)), (until, Change::Link(nth, false))];
                     self.schedule.extend(changes);
                 } else if let Some(wrong) = fault.wrong {
@@ -418,10 +441,10 @@
         });
     }
 
-    /// Carries out what concerns runners, links and discovery; the rest is the clock's.
+    /// Applies a change to runners, links and discovery; the clock does the rest.
     pub fn apply(&mut self, now: Micros, change: &Change) -> ChangeEffects {
         let mut effects = ChangeEffects::default();
-        let mut news = Vec::new();
+        let mut job_events = Vec::new();
         let mut of = None;
         match *change {
             Change::Stop(r, state) => {
@@ -434,7 +457,7 @@
                 effects.listed.push((r, ListingState::Gone, notice));
             }
             Change::Start(r) => {
-                // A machine that was silent is back: what was open to it ends now.
+                // Connections that were still open to a silent machine end when it is back.
                 effects.reset.push(r);
                 self.runners[r].start(now);
                 effects.listed.push((r, ListingState::Up, self.notice));
@@ -456,7 +479,7 @@
                 self.runners[r].loses = parameters.map(FaultParameters::impairment)
             }
             Change::Drain(r) => {
-                self.runners[r].drain(now, &mut news);
+                self.runners[r].drain(now, &mut job_events);
                 of = Some(r);
                 effects.listed.push((r, ListingState::Draining, self.notice / 10));
             }
@@ -486,12 +509,12 @@
             | Change::BadClients(_) => {}
         }
         if let Some(r) = of {
-            effects.news.extend(news.into_iter().map(|(job, news)| (r, job, news)));
+            effects.job_events.extend(job_events.into_iter().map(|(job, job_events)| (r, job, job_events)));
         }
         effects
     }
 
-    /// One line of discovery's list, in the platform's form.
+    /// One entry of discovery's list, in the platform's format.
     pub fn entry(
         &self,
         scenario: &Scenario,
