--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -420,10 +420,10 @@
                 }
             }
             Observation::Told { dispatcher, runner, wanted } => {
-                let told = self.notified.entry((dispatcher, runner)).or_insert((None, true));
+                let notification = self.notified.entry((dispatcher, runner)).or_insert((None, true));
                 // A repeated notification does not extend the drain grace.
-                let since = if wanted { None } else { Some(told.0.unwrap_or(at)) };
-                *told = (since, wanted);
+                let since = if wanted { None } else { Some(notification.0.unwrap_or(at)) };
+                *notification = (since, wanted);
             }
             Observation::Began { dispatcher } => {
                 self.notified.retain(|(d, _), _| *d != dispatcher);
@@ -479,8 +479,8 @@
         for record in self.invocations.values_mut().filter(|record| record.dispatcher == dispatcher) {
             record.excused |= record.answered.is_none() && record.expires_at < at + RESUME_GRACE;
         }
-        for ((_, _), (told, _)) in self.notified.iter_mut().filter(|((d, _), _)| *d == dispatcher) {
-            *told = told.map(|told| if told >= since { at } else { told });
+        for ((_, _), (unwanted_since, _)) in self.notified.iter_mut().filter(|((d, _), _)| *d == dispatcher) {
+            *unwanted_since = unwanted_since.map(|then| if then >= since { at } else { then });
         }
     }
 
@@ -568,11 +568,11 @@
     }
 
     /// Checks the remaining time stated to a runner against what the client will still wait.
-    fn check_reported_time(&mut self, at: Micros, inv: InvocationId, told: Micros) {
+    fn check_reported_time(&mut self, at: Micros, inv: InvocationId, stated: Micros) {
         let Some(record) = self.invocations.get(&inv) else { return };
         let left = record.expires_at - at;
-        if told > left + REPORTED_TIME_SLACK + self.observation_delay {
-            let what = format!("its runner was told {told} us with {left} us left");
+        if stated > left + REPORTED_TIME_SLACK + self.observation_delay {
+            let what = format!("its runner was told {stated} us with {left} us left");
             self.record_violation(at, Rule::DeadlineTold, inv, what);
         }
     }
@@ -633,11 +633,11 @@
 
         // Notified, or treated as notified: a change counts for every dispatcher after the notification
         // deadline.
-        let told = self.notified.get(&(dispatcher, runner)).copied();
+        let notification = self.notified.get(&(dispatcher, runner)).copied();
         let listed = self.listed.get(&runner).copied();
         let deadline =
             listed.filter(|(_, wanted, _)| !wanted).map(|(at, ..)| at + self.parameters.ask_within);
-        let since = [told.and_then(|(since, _)| since), deadline].into_iter().flatten().min();
+        let since = [notification.and_then(|(since, _)| since), deadline].into_iter().flatten().min();
         let knows = since.filter(|since| at > since + self.parameters.drain_grace + slack);
         if let Some(since) = knows {
             let what = format!("forwarded to r{runner} {} us after it was told to leave it", at - since);
@@ -650,7 +650,7 @@
             breaches.push((Rule::HandHolds, what));
         }
         if let Some(capacity) = cold {
-            let knows_start = told.is_some_and(|(_, wanted)| wanted);
+            let knows_start = notification.is_some_and(|(_, wanted)| wanted);
             let cold = self.cold.entry(runner).or_default();
             let span = self.parameters.tip_after;
             while cold.sends.front().is_some_and(|(sent, ..)| *sent <= at - span) {
@@ -659,7 +659,7 @@
             cold.sends.push_back((at, work, knows_start));
             let all: f64 = cold.sends.iter().map(|(_, work, _)| work).sum();
             let knowing_work: f64 =
-                cold.sends.iter().filter(|(.., told)| *told).map(|(_, work, _)| work).sum();
+                cold.sends.iter().filter(|(.., knows)| *knows).map(|(_, work, _)| work).sum();
             let budget = self.parameters.overload_factor * capacity * span as f64;
             self.cold_work += work;
             self.max_cold_share = self.max_cold_share.max(all / budget);
--- a/lab/src/judge/tests.rs
+++ b/lab/src/judge/tests.rs
@@ -110,12 +110,12 @@
 
 #[test]
 fn nothing_to_a_runner_past_the_grace() {
-    let told = |wanted| (100, Observation::Told { dispatcher: 0, runner: 0, wanted });
+    let notified = |wanted| (100, Observation::Told { dispatcher: 0, runner: 0, wanted });
     let end = answered(900_000, FinalStatus::Errored);
-    assert!(verdict("", &[told(false), sent(500_100, 0), end.clone()]).is_clean());
-    let late = verdict("", &[told(false), sent(500_101, 0), end.clone()]);
+    assert!(verdict("", &[notified(false), sent(500_100, 0), end.clone()]).is_clean());
+    let late = verdict("", &[notified(false), sent(500_101, 0), end.clone()]);
     assert_eq!(rules(&late), [Rule::NothingToDraining]);
-    assert!(verdict("", &[told(false), told(true), sent(800_000, 0), end.clone()]).is_clean());
+    assert!(verdict("", &[notified(false), notified(true), sent(800_000, 0), end.clone()]).is_clean());
     // Not notified, but listed for longer than the notification deadline.
     let listed = (-12_000_000, Observation::Listed { runner: 0, wanted: false, launched: None });
     assert_eq!(rules(&verdict("", &[listed, sent(800_000, 0), end])), [Rule::NothingToDraining]);
@@ -124,13 +124,13 @@
 #[test]
 fn a_suspended_dispatcher_is_excused_for_that_time_only() {
     let still = |at, still| (at, Observation::Still { dispatcher: 0, still });
-    let told = (1_500_000, Observation::Told { dispatcher: 0, runner: 0, wanted: false });
+    let notified = (1_500_000, Observation::Told { dispatcher: 0, runner: 0, wanted: false });
     let late = answered(6_000_000, FinalStatus::Errored);
     assert!(verdict("", &[still(1_000_000, true), still(5_500_000, false), late.clone()]).is_clean());
     // It resumed early enough to answer in time.
     let early = verdict("", &[still(1_000_000, true), still(4_000_000, false), late]);
     assert_eq!(rules(&early), [Rule::OneAnswer]);
-    let frozen = [still(1_000_000, true), told, still(2_000_000, false)];
+    let frozen = [still(1_000_000, true), notified, still(2_000_000, false)];
     let end = answered(4_000_000, FinalStatus::Errored);
     let clean = |at| verdict("", &[&frozen[..], &[sent(at, 0), end.clone()]].concat()).is_clean();
     assert!(clean(2_400_000) && !clean(2_600_000));
@@ -173,9 +173,9 @@
 /// are not, however short they are.
 #[test]
 fn cold_runners_are_sent_no_more_calls_than_the_random_limit() {
-    let sent = |count: i64, told: bool| {
+    let sent = |count: i64, notified: bool| {
         let mut seen = vec![(5, Observation::Listed { runner: 0, wanted: true, launched: Some(5) })];
-        seen.extend(told.then_some((6, Observation::Told { dispatcher: 0, runner: 0, wanted: true })));
+        seen.extend(notified.then_some((6, Observation::Told { dispatcher: 0, runner: 0, wanted: true })));
         for nth in 0..count {
             let (inv, at, work) = (1, 10 + 2 * nth, 1000.0);
             let forwarded = Observation::Forwarded { inv, dispatcher: 0, runner: 0, work, cold: Some(0.2) };
@@ -192,30 +192,30 @@
 #[test]
 fn cold_runners_keep_their_budget() {
     let began = (5, Observation::Listed { runner: 0, wanted: true, launched: Some(5) });
-    let told = (6, Observation::Told { dispatcher: 0, runner: 0, wanted: true });
+    let notified = (6, Observation::Told { dispatcher: 0, runner: 0, wanted: true });
     // The budget of 3 x 0.2 x 2 s is 1.2 s of work; 1.38 s with the tolerance for random lengths.
     let send = |nth: i64, work: f64| {
         let (inv, at) = (1, 10 + nth);
         (at, Observation::Forwarded { inv, dispatcher: 0, runner: 0, work, cold: Some(0.2) })
     };
     let back = ended(11, 0, ForwardEnd::NeverRan);
-    let flood = |work: f64, told: &[(Micros, Observation)]| {
-        let mut seen = told.to_vec();
+    let flood = |work: f64, notified: &[(Micros, Observation)]| {
+        let mut seen = notified.to_vec();
         for nth in 0..5 {
             seen.extend([send(nth * 2, work), (11 + nth * 2, back.1.clone())]);
         }
         seen.push(answered(900, FinalStatus::Throttled));
         rules(&verdict("", &seen))
     };
-    assert_eq!(flood(300_000.0, &[began.clone(), told.clone()]), [Rule::ColdBudget]);
-    assert_eq!(flood(270_000.0, &[began.clone(), told]), []);
+    assert_eq!(flood(300_000.0, &[began.clone(), notified.clone()]), [Rule::ColdBudget]);
+    assert_eq!(flood(270_000.0, &[began.clone(), notified]), []);
     // A dispatcher that was not notified of the start is not at fault.
     assert_eq!(flood(300_000.0, &[began]), []);
 }
 
 #[test]
 fn a_runner_gets_no_later_deadline_than_the_clients() {
-    let told = |at, told| {
+    let stated = |at, told| {
         let told = (at, Observation::TimeTold { inv: 1, told });
         verdict(
             "",
@@ -227,8 +227,8 @@
             ],
         )
     };
-    assert!(told(1_000_000, 4_150_000).is_clean());
-    assert_eq!(rules(&told(1_000_000, 4_150_001)), [Rule::DeadlineTold]);
+    assert!(stated(1_000_000, 4_150_000).is_clean());
+    assert_eq!(rules(&stated(1_000_000, 4_150_001)), [Rule::DeadlineTold]);
 }
 
 #[test]
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -296,8 +296,9 @@
 
     /// Computes the results of the run.
     pub fn outcome(self, scenario: &Scenario, details: RunDetails) -> Outcome {
-        let ratio = |achieved: f64, asked: f64| if asked > 0.0 { round(achieved / asked) } else { 1.0 };
-        let (mut counts, mut asked, mut achieved) = (Counts::default(), 0.0, 0.0);
+        let ratio =
+            |achieved: f64, requested: f64| if requested > 0.0 { round(achieved / requested) } else { 1.0 };
+        let (mut counts, mut requested, mut achieved) = (Counts::default(), 0.0, 0.0);
         let mut operations = Vec::new();
         for ((of, value, operation_achieved, histogram), op) in
             self.operations.iter().zip(&scenario.operation)
@@ -308,7 +309,7 @@
             counts.throttled += of.throttled;
             counts.errored += of.errored;
             counts.nothing += of.nothing;
-            asked += value;
+            requested += value;
             achieved += operation_achieved;
             operations.push(OperationOutcome {
                 name: op.name.clone(),
@@ -338,7 +339,7 @@
             seed: details.seed,
             seconds: scenario.length.0 as f64 / 1e6,
             dispatchers: scenario.dispatchers,
-            goodput: ratio(achieved, asked),
+            goodput: ratio(achieved, requested),
             counts,
             latency: Latency::of(&self.all),
             operations,
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -870,19 +870,19 @@
         );
     }
 
-    /// Opens a connection: schedules `up` when it is established, or `never` when it fails.
-    fn dial(&mut self, incarnation: Incarnation, r: u32, up: ClockEvent, never: ClockEvent) {
+    /// Opens a connection: schedules the event `connected` or `failed`.
+    fn dial(&mut self, incarnation: Incarnation, r: u32, connected: ClockEvent, failed: ClockEvent) {
         let (from, to) = self.zones_of(incarnation.d, r);
-        let there_and_back = self.delay(from, to) + self.delay(to, from);
+        let round_trip = self.delay(from, to) + self.delay(to, from);
         let runner = &self.world.runners[r as usize];
         // A link that works in one direction only establishes no connection.
         let linked = self.world.linked(from, to) && self.world.linked(to, from);
         if runner.state == ProcessState::Silent || !linked {
-            self.push(self.now + self.scenario.limits.dial_timeout.0, never);
+            self.push(self.now + self.scenario.limits.dial_timeout.0, failed);
         } else if runner.state == ProcessState::Down || runner.connections >= runner.max_connections {
-            self.push(self.now + there_and_back, never);
+            self.push(self.now + round_trip, failed);
         } else {
-            self.push(self.now + there_and_back + runner.handshake(), up);
+            self.push(self.now + round_trip + runner.handshake(), connected);
         }
     }
 
@@ -1344,17 +1344,17 @@
             subscribed: false,
             suspended_events: None,
             startup: self.scenario.store.is_some().then(|| {
-                let drawn = seeded_generator(self.seed, 1 << 42 | u64::from(d) << 8 | starts);
-                Startup::new(settings, has_peers, self.world.runners.len(), drawn, now)
+                let rng = seeded_generator(self.seed, 1 << 42 | u64::from(d) << 8 | starts);
+                Startup::new(settings, has_peers, self.world.runners.len(), rng, now)
             }),
             peers: has_peers.then(|| {
-                let drawn = seeded_generator(self.seed, 1 << 43 | u64::from(d) << 8 | starts);
+                let rng = seeded_generator(self.seed, 1 << 43 | u64::from(d) << 8 | starts);
                 let paused_until = killed_at.map_or(now, |at| at + settings.overload_window);
                 PeerMessages::new(
                     (d, self.scenario.dispatchers),
                     starts + 1,
                     settings,
-                    drawn,
+                    rng,
                     paused_until,
                     now,
                 )
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -316,14 +316,14 @@
         let parameters = FaultParameters { operation, size: fault.size };
         let mut to = until;
         let plan = &mut self.schedule;
-        let mut both = |r: usize, change: fn(usize, Option<FaultParameters>) -> Change| {
+        let mut begin_and_end = |r: usize, change: fn(usize, Option<FaultParameters>) -> Change| {
             plan.push((at, change(r, Some(parameters))));
             plan.push((until, change(r, None)));
         };
         match fault.kind {
-            FaultKind::Slow => part.iter().for_each(|r| both(*r, Change::Slow)),
-            FaultKind::FastErrors => part.iter().for_each(|r| both(*r, Change::Errors)),
-            FaultKind::Loses => part.iter().for_each(|r| both(*r, Change::Loses)),
+            FaultKind::Slow => part.iter().for_each(|r| begin_and_end(*r, Change::Slow)),
+            FaultKind::FastErrors => part.iter().for_each(|r| begin_and_end(*r, Change::Errors)),
+            FaultKind::Loses => part.iter().for_each(|r| begin_and_end(*r, Change::Loses)),
             FaultKind::Crash => {
                 for &r in part {
                     plan.extend([(at, Change::Stop(r, ProcessState::Down)), (until, Change::Start(r))]);
@@ -400,11 +400,11 @@
                 all.truncate(((all.len() as f64 * fault.part).round() as usize).max(1));
                 if fault.kind == FaultKind::Kill {
                     to = self.plan_kills(all, fault, scenario.dispatchers, rng);
-                } else if let Some(bad) = fault.link {
+                } else if let Some(kind) = fault.link {
                     let mut affected = vec![false; scenario.dispatchers as usize];
                     all.iter().for_each(|d| affected[*d as usize] = true);
                     let nth = self.links.len();
-                    self.links.push(LinkFault { kind: bad, size: fault.size, affected, on: false });
+                    self.links.push(LinkFault { kind, size: fault.size, affected, on: false });
                     let changes = [(at, Change::Link(nth, true)), (until, Change::Link(nth, false))];
                     self.schedule.extend(changes);
                 } else if let Some(wrong) = fault.wrong {
@@ -413,9 +413,9 @@
                     self.schedule.extend(change(true).map(|change| (at, change)));
                     self.schedule.extend(change(false).map(|change| (until, change)));
                 } else {
-                    let still = |still| all.iter().map(move |d| Change::Suspend(*d, still));
-                    self.schedule.extend(still(true).map(|change| (at, change)));
-                    self.schedule.extend(still(false).map(|change| (until, change)));
+                    let suspended = |suspended| all.iter().map(move |d| Change::Suspend(*d, suspended));
+                    self.schedule.extend(suspended(true).map(|change| (at, change)));
+                    self.schedule.extend(suspended(false).map(|change| (until, change)));
                 }
             }
             FaultKind::PowerLoss => {
