--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -337,6 +337,7 @@
         }
     }
 
+    /// Counts a violation and keeps the first ones with the history of their invocation.
     fn record_violation(&mut self, at: Micros, rule: Rule, inv: InvocationId, what: String) {
         *self.verdict.violations.entry(rule).or_default() += 1;
         if self.verdict.kept.len() < MAX_DETAILED_VIOLATIONS {
@@ -347,6 +348,7 @@
         }
     }
 
+    /// Records an observation that the judge cannot place.
     fn record_lab_fault(&mut self, at: Micros, what: String) {
         if self.verdict.own_faults.len() < MAX_DETAILED_VIOLATIONS {
             self.verdict.own_faults.push(format!("{at}: {what}"));
@@ -484,6 +486,7 @@
         }
     }
 
+    /// Checks that a boot number is higher than those of earlier process runs.
     fn record_boot(&mut self, at: Micros, dispatcher: u32, boot: u64) {
         let (before, now) = self.boots.entry(dispatcher).or_default();
         let (before, known) = (*before, now.replace(boot));
@@ -493,6 +496,7 @@
         }
     }
 
+    /// Opens an invocation, and closes those that ended long enough ago.
     fn record_taken(
         &mut self,
         at: Micros,
@@ -536,6 +540,7 @@
         self.invocations.remove(&inv);
     }
 
+    /// Checks an answer: only one, in time, and throttled only where a repeat is harmless.
     fn record_answer(&mut self, at: Micros, inv: InvocationId, how: FinalStatus) {
         let slack = self.parameters.answer_slack + self.observation_delay;
         let Some(record) = self.invocations.get_mut(&inv) else {
@@ -577,6 +582,7 @@
         }
     }
 
+    /// Checks a forward against all rules that concern the sending of one.
     fn record_forward(
         &mut self,
         at: Micros,
@@ -689,6 +695,7 @@
         }
     }
 
+    /// Records the end of a forward, or its cancellation where `how` is none.
     fn record_forward_end(&mut self, at: Micros, inv: InvocationId, runner: u32, how: Option<ForwardEnd>) {
         let Some(record) = self.invocations.get_mut(&inv) else { return };
         let Some(sent) = record.sent.iter_mut().rev().find(|sent| sent.runner == runner) else {
@@ -706,6 +713,7 @@
         }
     }
 
+    /// Checks that an effect that must not take place twice has not done so.
     fn record_start(&mut self, at: Micros, inv: InvocationId, runner: u32) {
         let Some(record) = self.invocations.get_mut(&inv) else { return };
         record.ran += 1;
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -663,7 +663,7 @@
         let base_text =
             fs::read_to_string(&base).map_err(|error| format!("{name}: base {base_name}: {error}"))?;
         if has_base(&base_text) {
-            return Err(format!("{name}: base {base_name} stands on another one itself"));
+            return Err(format!("{name}: base {base_name} has a base itself, which is not supported"));
         }
         let scenario = overlay.apply_to(Scenario::parse(&base_name, &base_text)?);
         scenario.validated(&name, &text)
@@ -851,7 +851,8 @@
             },
         });
         let configuration = serde_json::json!({
-            "name": format!("d{}", parameters.number), "listen": parameters.listen, "discovery": parameters.discovery,
+            "name": format!("d{}", parameters.number),
+            "listen": parameters.listen, "discovery": parameters.discovery,
             "seed": format!("{:x}", parameters.seed), "limits": {"memory_mb": 192, "sockets": 1024},
             "known": parameters.known, "settings": settings,
         });
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -317,6 +317,7 @@
         })
     }
 
+    /// Schedules an event.
     fn push(&mut self, at: Micros, event: ClockEvent) {
         self.serial += 1;
         let (at, window) = (ScheduledEvent(at, self.serial, event), at.div_euclid(HEAP_WINDOW));
@@ -357,6 +358,7 @@
         (zones.client.0 as f64 * (1.0 + zones.jitter * self.client_rng.random::<f64>())) as Micros
     }
 
+    /// Runs until all requests have ended, or at the latest 5 s after the last client timeout.
     fn run(&mut self) {
         for d in 0..self.scenario.dispatchers {
             self.start_dispatcher(d);
@@ -403,6 +405,7 @@
         }
     }
 
+    /// Handles one event, or holds it where its dispatcher is suspended.
     fn step(&mut self, event: ClockEvent) {
         let held =
             Clock::recipient(&event).and_then(|d| self.dispatchers[d as usize].suspended_events.as_mut());
@@ -527,16 +530,19 @@
         }
     }
 
+    /// The dispatcher, if this process run of it still exists.
     fn running_dispatcher(&mut self, incarnation: Incarnation) -> Option<&mut Dispatcher> {
         self.dispatchers.get_mut(incarnation.d as usize).filter(|d| d.alive && d.epoch == incarnation.epoch)
     }
 
+    /// The present process run of a dispatcher.
     fn incarnation(&self, d: u32) -> Incarnation {
         Incarnation { d, epoch: self.dispatchers[d as usize].epoch }
     }
 
     // Peer messages.
 
+    /// Sends a dispatcher's periodic messages to its peers and schedules the next ones.
     fn peer_round(&mut self, incarnation: Incarnation) {
         let now = self.now;
         let Some(dispatcher) = self.running_dispatcher(incarnation) else { return };
@@ -582,6 +588,7 @@
 
     // Clients.
 
+    /// Sends the next request of the clients and schedules the one after it.
     fn send_request(&mut self) {
         let Some(request) = self.next_request.take() else { return };
         let number = self.request_count;
@@ -598,6 +605,8 @@
         }
     }
 
+    /// Sends the next attempt of a request, to a dispatcher in the client's zone if the front end knows one
+    /// that is up.
     fn send_attempt(&mut self, number: u64) {
         let Some(open) = self.requests.get_mut(&number) else { return };
         open.attempts += 1;
@@ -618,6 +627,7 @@
         }
     }
 
+    /// Handles the result of an attempt: the client retries or the request ends.
     fn result_arrived(&mut self, inv: u64, seen: load::AttemptResult) {
         let number = inv >> ATTEMPT_BITS;
         let Some(open) = self.requests.get(&number) else { return };
@@ -640,6 +650,7 @@
         }
     }
 
+    /// Ends a request and records its result.
     fn end_request(&mut self, number: u64, end: RequestResult) {
         if let Some(open) = self.requests.remove(&number) {
             self.tally.record_end(&open.request, end, self.now - open.request.at);
@@ -648,6 +659,7 @@
 
     // The part of the request table.
 
+    /// Handles an invocation that has reached its dispatcher.
     fn request_arrived(&mut self, inv: u64, d: u32) {
         let Some(open) = self.requests.get(&(inv >> ATTEMPT_BITS)) else { return };
         if !self.dispatchers[d as usize].alive {
@@ -691,6 +703,7 @@
         );
     }
 
+    /// Cancels the forward in flight and answers with an error when a dispatcher's own deadline has passed.
     fn deadline_reached(&mut self, incarnation: Incarnation, inv: u64) {
         let now = self.now;
         let Some(dispatcher) = self.running_dispatcher(incarnation) else { return };
@@ -724,6 +737,7 @@
         }
     }
 
+    /// Reports the end of a forward to the decision module, after answering the invocation if it succeeded.
     fn report_outcome(
         &mut self,
         d: u32,
@@ -764,6 +778,7 @@
         }
     }
 
+    /// Sends the final answer of an invocation, once.
     fn answer(&mut self, d: u32, inv: u64, how: FinalStatus, retry_after: Option<Micros>) {
         let dispatcher = &mut self.dispatchers[d as usize];
         let Some(open) = dispatcher.invocations.get_mut(&inv).filter(|open| !open.answered) else { return };
@@ -847,6 +862,8 @@
         (self.dispatchers[d as usize].zone, self.world.runners[r as usize].zone)
     }
 
+    /// Forwards an invocation over an idle connection or a new one. A forward that is no longer possible ends
+    /// as void.
     fn forward(&mut self, incarnation: Incarnation, id: &Id, runner_id: &Id) {
         let (inv, r, now) = (invocation_number(id), runner_number(runner_id), self.now);
         let dispatcher = &mut self.dispatchers[incarnation.d as usize];
@@ -886,6 +903,7 @@
         }
     }
 
+    /// Opens a connection at a runner; false if it does not accept one.
     fn open_connection(&mut self, incarnation: Incarnation, r: u32) -> bool {
         let now = self.now;
         let runner = &mut self.world.runners[r as usize];
@@ -900,6 +918,7 @@
         up
     }
 
+    /// Uses a new connection for its forward, or leaves it idle if the forward has ended meanwhile.
     fn dial_ended(&mut self, incarnation: Incarnation, inv: u64, number: u32, r: u32) {
         let Some(dispatcher) = self.running_dispatcher(incarnation) else { return };
         let in_flight =
@@ -938,6 +957,7 @@
         self.send(from, to, ClockEvent::Submit(incarnation, inv, number, r));
     }
 
+    /// Probes a runner's load, over an idle connection or a new one.
     fn probe(&mut self, incarnation: Incarnation, r: u32) {
         self.tally.traffic.probes += 1;
         self.serial += 1;
@@ -966,6 +986,7 @@
         }
     }
 
+    /// Handles the end of a forward that has reached its dispatcher.
     fn forward_ended(
         &mut self,
         incarnation: Incarnation,
@@ -1079,6 +1100,7 @@
         }
     }
 
+    /// Offers a forward to its runner and schedules the reply.
     fn submit(&mut self, incarnation: Incarnation, inv: u64, number: u32, r: u32) {
         let (to, from) = self.zones_of(incarnation.d, r);
         let Some(open) = self.requests.get(&(inv >> ATTEMPT_BITS)) else {
@@ -1121,6 +1143,7 @@
         self.reschedule(r);
     }
 
+    /// Processes what is due at a runner.
     fn process_runner(&mut self, r: u32) {
         let mut job_events = std::mem::take(&mut self.job_event_buffer);
         self.world.runners[r as usize].wake(self.now, &mut job_events);
@@ -1129,6 +1152,7 @@
         self.reschedule(r);
     }
 
+    /// Schedules a runner's next event anew if its time has changed.
     fn reschedule(&mut self, r: u32) {
         let due = self.world.runners[r as usize].due();
         let (at, nth) = self.runner_due[r as usize];
@@ -1140,6 +1164,7 @@
         }
     }
 
+    /// Sends what has happened to jobs to the dispatchers that wait for them.
     fn handle_job_events(&mut self, r: u32, events: &mut Vec<(u64, JobEvent)>) {
         for (inv, job_event) in events.drain(..) {
             if job_event == JobEvent::Started {
@@ -1196,6 +1221,7 @@
 
     // Faults.
 
+    /// Applies a change of the world's schedule.
     fn apply_change(&mut self, nth: usize) {
         let change = self.world.schedule[nth].1.clone();
         match change {
@@ -1261,6 +1287,7 @@
         }
     }
 
+    /// Kills a dispatcher's process: connections end, and unanswered invocations are lost.
     fn kill(&mut self, d: u32) {
         let dispatcher = &mut self.dispatchers[d as usize];
         dispatcher.alive = false;
@@ -1292,6 +1319,7 @@
         self.push(self.now + notice, ClockEvent::FrontNotice(incarnation, false));
     }
 
+    /// Suspends or resumes a dispatcher's process.
     fn set_suspended(&mut self, d: u32, suspended: bool) {
         let incarnation = self.incarnation(d);
         let dispatcher = &mut self.dispatchers[d as usize];
@@ -1324,6 +1352,7 @@
         }
     }
 
+    /// Starts a new process of a dispatcher, with the roster that it has stored.
     fn start_dispatcher(&mut self, d: u32) {
         let nth = d as usize;
         let zone = nth % self.world.zones;
@@ -1378,6 +1407,7 @@
 
     // Discovery.
 
+    /// A runner's roster entry in this state.
     fn entry(&self, r: u32, state: ListingState) -> RosterEntry {
         let runner = &self.world.runners[r as usize];
         RosterEntry {
@@ -1395,6 +1425,7 @@
         }
     }
 
+    /// Updates a runner's state at discovery and sends it to all subscribers.
     fn update_listing(&mut self, r: u32, state: ListingState) {
         let runner = &self.world.runners[r as usize];
         // A state older than the runner's latest start is ignored.
@@ -1439,6 +1470,7 @@
         }
     }
 
+    /// Delivers the whole roster to a dispatcher, which is subscribed from then on.
     fn send_whole_roster(&mut self, incarnation: Incarnation) {
         let Some(dispatcher) = self.running_dispatcher(incarnation) else { return };
         dispatcher.subscribed = true;
@@ -1468,6 +1500,7 @@
         self.update_slow_start_shares(incarnation.d);
     }
 
+    /// Counts the jobs of all runners.
     fn sample(&mut self) {
         self.sampled.0 += 1;
         for runner in &self.world.runners {
@@ -1482,6 +1515,7 @@
         }
     }
 
+    /// Ends the run and computes its outcome.
     fn finish(mut self) -> Run {
         self.judge.finish(self.now);
         let seen = (self.sampled.0 * self.world.runners.len() as u64).max(1) as f64;
@@ -1531,10 +1565,12 @@
     world.runners.iter().enumerate().map(of).collect()
 }
 
+/// The number of an invocation, from its id.
 fn invocation_number(inv: &Id) -> u64 {
     u64::from_str_radix(inv, 16).unwrap_or(u64::MAX)
 }
 
+/// The values of a load report as the dispatcher's settings list them.
 fn report_values(load: Option<LoadReport>) -> Vec<f64> {
     load.map_or(Vec::new(), |load| {
         vec![f64::from(load.free), f64::from(load.waiting), f64::from(load.in_flight)]
