--- a/lab/src/bin/lab-dispatcher.rs
+++ b/lab/src/bin/lab-dispatcher.rs
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use topazsail_lab::disks::{Ailment, control};
+use topazsail_lab::disks::{DiskCondition, control_file};
 use topazsail_store::{DirectoryDisk, Disk, DiskFaults, FaultyDisk, Machine};
 
 /// Environment variable that selects a defect.
@@ -27,7 +27,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Reads the file of faults; `None` if it is missing or malformed.
-fn read_ailment(path: &Path) -> Option<Ailment> {
+fn read_ailment(path: &Path) -> Option<DiskCondition> {
     serde_json::from_slice(&std::fs::read(path).ok()?).ok()
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// Converts the lab's description of faults to the disk's.
-fn disk_faults(ailment: &Ailment) -> DiskFaults {
+fn disk_faults(ailment: &DiskCondition) -> DiskFaults {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
     DiskFaults {
         full: ailment.full,
@@ -84,7 +84,7 @@
 
 /// Opens the faulty disk of a directory, and keeps its faults up to date with the file.
 fn open_disk(folder: &Path) -> io::Result<Box<dyn Disk>> {
-    let path: PathBuf = control(folder);
+    let path: PathBuf = control_file(folder);
     alter_files(folder)?;
     let initial = read_ailment(&path).unwrap_or_default();
     let shared = Arc::new(Mutex::new(disk_faults(&initial)));
--- a/lab/src/fault_days.rs
+++ b/lab/src/fault_days.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-use crate::load::chance;
+use crate::load::seeded_generator;
 use crate::scenario::Scenario;
 
 /// The deployment of all days. It ends inside the table `[store]`.
@@ -125,7 +125,7 @@
 ///
 /// Returns an error if the drawn scenario is not valid, which is a defect of this module.
 pub fn day(seed: u64) -> Result<Scenario, String> {
-    let mut rng = chance(seed, 10);
+    let mut rng = seeded_generator(seed, 10);
     let (length, dispatchers) = (9_000, rng.random_range(7..=9));
     let mut text = format!(
         "name = \"ordeal-{seed}\"\nlength = \"{length}ms\"\nseed = {seed}\ndispatchers = {dispatchers}\n\
--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -1,9 +1,9 @@
-//! The judge: whether the four rules were kept, by what was seen on the wires alone.
+//! The judge: checks the deployment rules against what was observed on the wires.
 //!
-//! It owns the rules and the history of each open invocation. It shares nothing with what it judges but the
-//! ids on the wire: no type, no code, no word of the dispatcher on what it did. It does no I/O and reads no
-//! clock. It must never take a dispatcher's intent for what happened, and never pass over what it cannot
-//! place: an ending for a forward that nobody sent is a fault of the lab, and said.
+//! It holds the rules and the history of each open invocation. It shares no types and no code with the
+//! dispatcher except the ids on the wire, and uses no statement of the dispatcher about its own actions. It
+//! does no I/O and reads no clock. It never takes a dispatcher's intent for what happened. An observation
+//! that it cannot place, such as the end of a forward that nobody sent, is recorded as a fault of the lab.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fmt;
@@ -11,140 +11,96 @@
 use serde::Serialize;
 use topazsail::Micros;
 
-use crate::scenario::{Effect, Group, Operation, Scenario};
+use crate::scenario::{DeduplicationScope, Effect, Operation, Scenario};
 
-pub type Inv = u64;
+/// The id of one attempt of a client, as it stands on the wire.
+pub type InvocationId = u64;
 
+/// The final status that a client receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalStatus {
     Succeeded,
     Throttled,
     Errored,
 }
 
-/// How a forward came back, as it was put on the wire to the dispatcher.
+/// How a forward ended, as the runner's side of the wire showed it to the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Back {
+pub enum ForwardEnd {
     Succeeded,
+    /// The runner may have run it.
     MayHaveRun,
+    /// The runner has certainly not run it.
     NeverRan,
 }
 
-/// One thing seen on a wire.
+/// One observation on a wire. The `Debug` text of variants and fields appears in the histories of violations,
+/// so their names are part of the results.
 #[derive(Clone, Debug)]
-pub enum Seen {
-    /// An invocation's last byte has reached a dispatcher.
-    Taken {
-        inv: Inv,
-        dispatcher: u32,
-        operation: usize,
-        expires_at: Micros,
-    },
-    Answered {
-        inv: Inv,
-        how: Final,
-    },
-    /// A success came with what no runner made for this invocation.
-    Forged {
-        inv: Inv,
-    },
-    /// The client has left: nothing more is owed.
-    Left {
-        inv: Inv,
-    },
-    /// A kept connection ended under it, and it goes elsewhere: nothing is owed if it had not been read.
-    Crossed {
-        inv: Inv,
-    },
-    /// The dispatcher that owed it was killed outright.
-    Lost {
-        inv: Inv,
-    },
-    /// A forward has left the dispatcher; at a cold runner, with its true capacity now.
-    Forwarded {
-        inv: Inv,
-        dispatcher: u32,
-        runner: u32,
-        work: f64,
-        cold: Option<f64>,
-    },
-    /// A forward has told its runner how long its client will still wait.
-    TimeTold {
-        inv: Inv,
-        told: Micros,
-    },
-    Ended {
-        inv: Inv,
-        runner: u32,
-        how: Back,
-    },
-    /// The dispatcher has withdrawn a forward that was out.
-    Withdrawn {
-        inv: Inv,
-        runner: u32,
-    },
-    /// A runner has begun on it and its effect is new there.
-    Ran {
-        inv: Inv,
-        runner: u32,
-    },
-    /// Discovery knows a runner's state from now on.
-    Listed {
-        runner: u32,
-        wanted: bool,
-        launched: Option<Micros>,
-    },
+pub enum Observation {
+    /// The last byte of an invocation has reached a dispatcher.
+    Taken { inv: InvocationId, dispatcher: u32, operation: usize, expires_at: Micros },
+    /// A client has received its final answer.
+    Answered { inv: InvocationId, how: FinalStatus },
+    /// A success carried a result that no runner produced for this invocation.
+    Forged { inv: InvocationId },
+    /// The client has left: no answer is required any more.
+    Left { inv: InvocationId },
+    /// A keep-alive connection closed while the invocation was being sent on it, and the client sends it
+    /// elsewhere: no answer is required unless the dispatcher had read it.
+    Crossed { inv: InvocationId },
+    /// The dispatcher that held the unanswered invocation was killed.
+    Lost { inv: InvocationId },
+    /// A forward has left the dispatcher. `cold` is the present true capacity of a cold runner, none for a
+    /// warm one.
+    Forwarded { inv: InvocationId, dispatcher: u32, runner: u32, work: f64, cold: Option<f64> },
+    /// A forward has stated to its runner how long its client will still wait, in microseconds.
+    TimeTold { inv: InvocationId, told: Micros },
+    /// A forward has ended at its runner.
+    Ended { inv: InvocationId, runner: u32, how: ForwardEnd },
+    /// The dispatcher has cancelled a forward that was in flight.
+    Withdrawn { inv: InvocationId, runner: u32 },
+    /// A runner has started the invocation and its effect is new there.
+    Ran { inv: InvocationId, runner: u32 },
+    /// Discovery lists the runner in this state from now on.
+    Listed { runner: u32, wanted: bool, launched: Option<Micros> },
     /// Discovery has written a runner's state to a dispatcher.
-    Told {
-        dispatcher: u32,
-        runner: u32,
-        wanted: bool,
-    },
-    /// A dispatcher has begun anew and knows nothing.
-    Began {
-        dispatcher: u32,
-    },
-    /// A dispatcher has said yes to a runner being out by hand, or back; or it was asked and nobody knows (none).
-    Hand {
-        dispatcher: u32,
-        runner: u32,
-        out: Option<bool>,
-    },
-    /// A dispatcher has told its boot number.
-    Boot {
-        dispatcher: u32,
-        boot: u64,
-    },
-    /// Asked at that moment, a dispatcher has said that it has no list to forward by.
-    Unlisted {
-        dispatcher: u32,
-        asked: Micros,
-    },
-    /// A dispatcher's disk was taken away or laid back: it cannot know what it once kept.
-    Forgets {
-        dispatcher: u32,
-    },
-    /// A dispatcher's process stands still, or goes on.
-    Still {
-        dispatcher: u32,
-        still: bool,
-    },
+    Told { dispatcher: u32, runner: u32, wanted: bool },
+    /// A dispatcher's process has started and knows nothing.
+    Began { dispatcher: u32 },
+    /// A dispatcher has confirmed an admin override that takes a runner out or back in; `None` if the call's
+    /// result is unknown.
+    Hand { dispatcher: u32, runner: u32, out: Option<bool> },
+    /// A dispatcher has reported its boot number.
+    Boot { dispatcher: u32, boot: u64 },
+    /// In reply to a request sent at `asked`, a dispatcher has said that it has no roster to forward by.
+    Unlisted { dispatcher: u32, asked: Micros },
+    /// A dispatcher's disk was emptied or replaced by another state: the dispatcher cannot know what it
+    /// stored.
+    Forgets { dispatcher: u32 },
+    /// A dispatcher's process is suspended (`still`) or resumes.
+    Still { dispatcher: u32, still: bool },
 }
 
+/// The rules that every run is judged by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
+    /// Exactly one answer, in time, and nothing forwarded after it.
     OneAnswer,
+    /// No effect takes place twice.
     NoEffectTwice,
+    /// Nothing is forwarded to a draining or removed runner after the drain grace.
     NothingToDraining,
+    /// A cold runner is sent no more than its budget of work and calls.
     ColdBudget,
-    /// Out by hand, said yes to, over any restart.
+    /// A runner that a confirmed admin override took out receives nothing, also after a restart.
     HandHolds,
-    /// No boot number for two lives, and each higher than those before.
+    /// Each boot number is higher than those of all earlier process runs.
     BootRises,
-    /// Nothing forwarded while it says that it has no list.
+    /// A dispatcher forwards nothing while it reports that it has no roster.
     NotBeforeListed,
-    /// No deadline told to a runner that is later than the client's.
+    /// No runner is given a later deadline than the client's.
     DeadlineTold,
 }
 
@@ -163,38 +119,53 @@
     }
 }
 
+/// One broken rule, with the history that shows it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
     pub rule: Rule,
+    /// When it was broken, in microseconds from the start of the run.
     pub at: Micros,
-    pub inv: Inv,
+    /// The invocation concerned; 0 for rules that concern no single one.
+    pub inv: InvocationId,
+    /// What was observed.
     pub what: String,
-    /// All that was seen of the invocation until then, a line each.
+    /// All observations of the invocation until then, one line each.
     pub history: Vec<String>,
 }
 
-/// What the judge must know of a deployment.
-pub struct Terms {
+/// What the judge must know of a deployment. Times are in microseconds.
+pub struct JudgeParameters {
     pub operations: Vec<Operation>,
     /// Zone and cell of each runner.
-    pub places: Vec<(usize, i64)>,
+    pub locations: Vec<(usize, i64)>,
+    /// How long after its notification a dispatcher may still forward to a draining runner.
     pub drain_grace: Micros,
+    /// After this time a roster change counts as known to every dispatcher.
     pub ask_within: Micros,
+    /// A cold runner's budget is this factor times the work that it can do in `tip_after`.
     pub overload_factor: f64,
+    /// The span over which a cold runner's budget applies.
     pub tip_after: Micros,
-    /// The mean work of an invocation.
+    /// The mean work of an invocation, in microseconds.
     pub mean_work: f64,
-    /// How much later than its order says something may be seen: what the lab cannot tell from the wire's way.
+    /// By how much an observation may come later than the event: the delay on the wire that the lab cannot
+    /// tell from lateness.
     pub slack: Micros,
     /// The same for a final answer against the client timeout.
     pub answer_slack: Micros,
 }
 
-impl Terms {
-    pub fn of(scenario: &Scenario, places: Vec<(usize, i64)>, slack: Micros, answer_slack: Micros) -> Terms {
-        Terms {
+impl JudgeParameters {
+    /// Takes the parameters from a scenario; `locations` has the zone and cell of each runner.
+    pub fn of(
+        scenario: &Scenario,
+        locations: Vec<(usize, i64)>,
+        slack: Micros,
+        answer_slack: Micros,
+    ) -> JudgeParameters {
+        JudgeParameters {
             operations: scenario.operation.clone(),
-            places,
+            locations,
             drain_grace: scenario.limits.drain_grace.0,
             ask_within: scenario.limits.ask_within.0,
             overload_factor: scenario.limits.overload_factor,
@@ -206,300 +177,336 @@
     }
 }
 
-struct Sent {
+/// A forward that the judge has seen.
+struct SentForward {
     runner: u32,
     at: Micros,
-    back: Option<Back>,
+    back: Option<ForwardEnd>,
     withdrawn: bool,
 }
 
-impl Sent {
-    fn out(&self) -> bool {
+impl SentForward {
+    fn is_in_flight(&self) -> bool {
         self.back.is_none() && !self.withdrawn
     }
 
-    fn never_ran(&self) -> bool {
-        self.back == Some(Back::NeverRan)
+    fn has_never_run(&self) -> bool {
+        self.back == Some(ForwardEnd::NeverRan)
     }
 }
 
-struct Case {
+/// All that the judge knows of an open invocation.
+struct InvocationRecord {
     dispatcher: u32,
     operation: usize,
     expires_at: Micros,
-    answered: Option<(Micros, Final)>,
-    /// Nothing is owed: the client has left, or the dispatcher was killed.
+    answered: Option<(Micros, FinalStatus)>,
+    /// No answer is required: the client has left, or the dispatcher was killed.
     excused: bool,
     /// When the client closed its connection.
     left_at: Option<Micros>,
-    sent: Vec<Sent>,
+    sent: Vec<SentForward>,
     ran: u32,
     work: f64,
-    history: Vec<(Micros, Seen)>,
+    history: Vec<(Micros, Observation)>,
 }
 
-impl Case {
-    /// Whether nothing of it was to come any more at that moment.
-    fn over(&self, then: Micros) -> bool {
-        let answered = self.answered.is_some_and(|(at, _)| at < then) && !self.sent.iter().any(Sent::out);
+impl InvocationRecord {
+    /// Whether no further observation of the invocation was due at that moment.
+    fn is_finished(&self, then: Micros) -> bool {
+        let answered = self.answered.is_some_and(|(at, _)| at < then)
+            && !self.sent.iter().any(SentForward::is_in_flight);
         answered || self.expires_at < then
     }
 }
 
+/// The forwards sent to a cold runner within the last span: time, work, and whether the dispatcher knew of
+/// the runner's start. `broken` limits it to one violation.
 #[derive(Default)]
-struct Cold {
-    spent: VecDeque<(Micros, f64, bool)>,
+struct ColdRunner {
+    sends: VecDeque<(Micros, f64, bool)>,
     broken: bool,
 }
 
-/// Violations kept in full; beyond these they are only counted.
-const KEPT: usize = 20;
-/// How long an invocation is kept when nothing of it is to come any more, for what may come all the same.
-const KEPT_FOR: Micros = 5_000_000;
-/// What a process may take to come round after it stood still.
-const GOES_ON: Micros = 100_000;
-/// How much a cold budget may be overdrawn by chance: a job's length is not known when it is sent. By number what chance
-/// explains is stated: 2 x root of N and 2 beyond N calls of mean work.
-const BY_CHANCE: f64 = 1.15;
-
-/// From a client's close on nothing may begin for it after this, by the terms.
-const LEFT_MOST: Micros = 100_000;
-/// What a runner may be told beyond the time that its client has left, by the terms.
-const TOLD_SLACK: Micros = 150_000;
-
+/// Violations recorded in full; any more are only counted.
+const MAX_DETAILED_VIOLATIONS: usize = 20;
+/// How long a finished invocation is kept, in microseconds, to judge observations that come late.
+const RETENTION: Micros = 5_000_000;
+/// How long a process may take to catch up after it resumes, in microseconds.
+const RESUME_GRACE: Micros = 100_000;
+/// Factor by which the work sent to a cold runner may exceed its budget at random: the length of a job is not
+/// known when it is sent. For the number of calls the random excess is computed: N calls of mean work may
+/// become N + 2 * sqrt(N) + 2.
+const COLD_WORK_TOLERANCE: f64 = 1.15;
+
+/// How long after a client closes its connection a forward may still start for it, in microseconds; given by
+/// the platform's terms.
+const CLIENT_LEFT_GRACE: Micros = 100_000;
+/// By how much the time stated to a runner may exceed the time that its client has left, in microseconds;
+/// given by the platform's terms.
+const REPORTED_TIME_SLACK: Micros = 150_000;
+
+/// Takes observations in order of time and records every violation of a rule.
 pub struct Judge {
-    terms: Terms,
-    cases: HashMap<Inv, Case>,
-    /// In the order in which they were taken, to be let go of.
-    order: VecDeque<(Micros, Inv)>,
-    /// What each dispatcher has been told of each runner: since when it is not wanted, or none.
-    told: HashMap<(u32, u32), (Option<Micros>, bool)>,
+    parameters: JudgeParameters,
+    invocations: HashMap<InvocationId, InvocationRecord>,
+    /// Invocations in the order in which they were taken, for removal.
+    order: VecDeque<(Micros, InvocationId)>,
+    /// By dispatcher and runner: since when the dispatcher has known that the runner is not wanted, and
+    /// whether the runner was wanted in the latest notification.
+    notified: HashMap<(u32, u32), (Option<Micros>, bool)>,
     listed: BTreeMap<u32, (Micros, bool, Option<Micros>)>,
-    cold: BTreeMap<u32, Cold>,
-    /// Dispatchers that stand still, and since when.
-    still: BTreeMap<u32, Micros>,
-    /// Runners out by hand, by dispatcher, and since when.
-    hands: BTreeMap<(u32, u32), Micros>,
-    /// By dispatcher, the highest boot number of earlier lives, and this life's.
+    cold: BTreeMap<u32, ColdRunner>,
+    /// Suspended dispatchers, and since when.
+    suspended: BTreeMap<u32, Micros>,
+    /// Runners taken out by an admin override, by dispatcher, and since when.
+    overrides: BTreeMap<(u32, u32), Micros>,
+    /// By dispatcher, the highest boot number of earlier process runs, and that of the present one.
     boots: BTreeMap<u32, (u64, Option<u64>)>,
-    /// When each dispatcher's present life first forwarded anything.
-    first: BTreeMap<u32, Micros>,
+    /// When the present process run of each dispatcher first forwarded anything.
+    first_forwards: BTreeMap<u32, Micros>,
+    /// Counts and violations so far.
     pub verdict: Verdict,
-    /// How late the eyes of the lab are now: what they see may have been there for so long. Nobody else is to blame
-    /// for that.
-    pub behind: Micros,
-    /// Work sent to cold runners, and the largest share of a budget that was used by all together.
-    pub cold_sent: f64,
-    pub cold_most: f64,
+    /// How late the lab's own observations are now, in microseconds: an event may have happened that much
+    /// earlier than it is seen, which is not held against any dispatcher.
+    pub observation_delay: Micros,
+    /// Work sent to cold runners, in microseconds.
+    pub cold_work: f64,
+    /// The largest share of one runner's budget that all dispatchers together used.
+    pub max_cold_share: f64,
+    /// The calls sent to cold runners, against the random limit.
     pub cold_calls: ColdCalls,
 }
 
-/// What cold runners were sent in each span that ends with a call, against what may be put down to chance: N calls of mean
-/// work that the rule allows, 2 x root of N and 2 more.
+/// The calls that cold runners received in each span that ends with a call, against the random limit: the N
+/// calls of mean work that the rule allows, plus 2 * sqrt(N) + 2.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdCalls {
+    /// Number of spans.
     pub spans: u64,
+    /// Spans with more calls than the random limit.
     pub over: u64,
+    /// The largest share of the random limit in any span.
     pub most: f64,
 }
 
+/// What the judge found in a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
     pub taken: u64,
     pub succeeded: u64,
     pub throttled: u64,
     pub errored: u64,
-    /// Owed by a dispatcher when it was killed.
+    /// Unanswered when their dispatcher was killed.
     pub lost_by_kill: u64,
     pub forwards: u64,
+    /// Number of violations by rule.
     pub violations: BTreeMap<Rule, u64>,
+    /// The first violations in full.
     pub kept: Vec<Violation>,
-    /// What the lab itself got wrong; a run with any of these says nothing.
+    /// Faults of the lab itself; a run with any of these proves nothing.
     pub own_faults: Vec<String>,
 }
 
 impl Verdict {
-    pub fn clean(&self) -> bool {
+    /// Whether no rule was broken.
+    pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 }
 
 impl Judge {
-    pub fn new(terms: Terms) -> Judge {
+    /// A judge of a deployment that has not been started yet.
+    pub fn new(parameters: JudgeParameters) -> Judge {
         Judge {
-            terms,
-            cases: HashMap::new(),
+            parameters,
+            invocations: HashMap::new(),
             order: VecDeque::new(),
-            told: HashMap::new(),
+            notified: HashMap::new(),
             listed: BTreeMap::new(),
             cold: BTreeMap::new(),
-            still: BTreeMap::new(),
-            hands: BTreeMap::new(),
+            suspended: BTreeMap::new(),
+            overrides: BTreeMap::new(),
             boots: BTreeMap::new(),
-            first: BTreeMap::new(),
+            first_forwards: BTreeMap::new(),
             verdict: Verdict::default(),
-            behind: 0,
-            cold_sent: 0.0,
-            cold_most: 0.0,
+            observation_delay: 0,
+            cold_work: 0.0,
+            max_cold_share: 0.0,
             cold_calls: ColdCalls::default(),
         }
     }
 
-    fn violate(&mut self, at: Micros, rule: Rule, inv: Inv, what: String) {
+    /// Counts a violation and keeps the first ones with the history of their invocation.
+    fn record_violation(&mut self, at: Micros, rule: Rule, inv: InvocationId, what: String) {
         *self.verdict.violations.entry(rule).or_default() += 1;
-        if self.verdict.kept.len() < KEPT {
-            let lines = self.cases.get(&inv).map(|case| case.history.as_slice()).unwrap_or_default();
+        if self.verdict.kept.len() < MAX_DETAILED_VIOLATIONS {
+            let lines =
+                self.invocations.get(&inv).map(|record| record.history.as_slice()).unwrap_or_default();
             let history = lines.iter().map(|(at, seen)| format!("{at} {seen:?}")).collect();
             self.verdict.kept.push(Violation { rule, at, inv, what, history });
         }
     }
 
-    fn own_fault(&mut self, at: Micros, what: String) {
-        if self.verdict.own_faults.len() < KEPT {
+    /// Records an observation that the judge cannot place.
+    fn record_lab_fault(&mut self, at: Micros, what: String) {
+        if self.verdict.own_faults.len() < MAX_DETAILED_VIOLATIONS {
             self.verdict.own_faults.push(format!("{at}: {what}"));
         }
     }
 
-    /// Takes in one thing seen, in the order of time.
-    pub fn see(&mut self, at: Micros, seen: Seen) {
+    /// Takes in one observation; observations must come in order of time.
+    pub fn observe(&mut self, at: Micros, seen: Observation) {
         let inv = match &seen {
-            Seen::Taken { inv, .. }
-            | Seen::Answered { inv, .. }
-            | Seen::Forged { inv }
-            | Seen::Left { inv }
-            | Seen::Crossed { inv }
-            | Seen::Lost { inv }
-            | Seen::Forwarded { inv, .. }
-            | Seen::TimeTold { inv, .. }
-            | Seen::Ended { inv, .. }
-            | Seen::Withdrawn { inv, .. }
-            | Seen::Ran { inv, .. } => Some(*inv),
+            Observation::Taken { inv, .. }
+            | Observation::Answered { inv, .. }
+            | Observation::Forged { inv }
+            | Observation::Left { inv }
+            | Observation::Crossed { inv }
+            | Observation::Lost { inv }
+            | Observation::Forwarded { inv, .. }
+            | Observation::TimeTold { inv, .. }
+            | Observation::Ended { inv, .. }
+            | Observation::Withdrawn { inv, .. }
+            | Observation::Ran { inv, .. } => Some(*inv),
             _ => None,
         };
-        if let Some(case) = inv.and_then(|inv| self.cases.get_mut(&inv)) {
-            case.history.push((at, seen.clone()));
+        if let Some(record) = inv.and_then(|inv| self.invocations.get_mut(&inv)) {
+            record.history.push((at, seen.clone()));
         }
         match seen {
-            Seen::Taken { inv, dispatcher, operation, expires_at } => {
-                self.take(at, inv, (dispatcher, operation), expires_at, seen);
+            Observation::Taken { inv, dispatcher, operation, expires_at } => {
+                self.record_taken(at, inv, (dispatcher, operation), expires_at, seen);
             }
-            Seen::Answered { inv, how } => self.answered(at, inv, how),
-            Seen::Forged { inv } => {
-                self.violate(at, Rule::OneAnswer, inv, "succeeded with what no runner made for it".into());
+            Observation::Answered { inv, how } => self.record_answer(at, inv, how),
+            Observation::Forged { inv } => {
+                self.record_violation(
+                    at,
+                    Rule::OneAnswer,
+                    inv,
+                    "succeeded with what no runner made for it".into(),
+                );
             }
-            Seen::Left { inv } => {
-                if let Some(case) = self.cases.get_mut(&inv) {
-                    case.excused = true;
-                    case.left_at.get_or_insert(at);
+            Observation::Left { inv } => {
+                if let Some(record) = self.invocations.get_mut(&inv) {
+                    record.excused = true;
+                    record.left_at.get_or_insert(at);
                 }
             }
-            // What was forwarded had been read.
-            Seen::Crossed { inv } => {
-                if let Some(case) = self.cases.get_mut(&inv).filter(|case| case.sent.is_empty()) {
-                    case.excused = true;
-                    case.left_at.get_or_insert(at);
+            // Once something was forwarded, the dispatcher had read the invocation.
+            Observation::Crossed { inv } => {
+                if let Some(record) = self.invocations.get_mut(&inv).filter(|record| record.sent.is_empty()) {
+                    record.excused = true;
+                    record.left_at.get_or_insert(at);
                 }
             }
-            Seen::Lost { inv } => {
-                if let Some(case) = self.cases.get_mut(&inv).filter(|case| case.answered.is_none()) {
-                    self.verdict.lost_by_kill += u64::from(!case.excused);
-                    case.excused = true;
+            Observation::Lost { inv } => {
+                if let Some(record) =
+                    self.invocations.get_mut(&inv).filter(|record| record.answered.is_none())
+                {
+                    self.verdict.lost_by_kill += u64::from(!record.excused);
+                    record.excused = true;
                 }
             }
-            Seen::Forwarded { inv, dispatcher, runner, work, cold } => {
-                self.forwarded(at, inv, (dispatcher, runner), work, cold);
+            Observation::Forwarded { inv, dispatcher, runner, work, cold } => {
+                self.record_forward(at, inv, (dispatcher, runner), work, cold);
             }
-            Seen::TimeTold { inv, told } => self.time_told(at, inv, told),
-            Seen::Ended { inv, runner, how } => self.came_back(at, inv, runner, Some(how)),
-            Seen::Withdrawn { inv, runner } => self.came_back(at, inv, runner, None),
-            Seen::Ran { inv, runner } => self.ran(at, inv, runner),
-            Seen::Listed { runner, wanted, launched } => {
+            Observation::TimeTold { inv, told } => self.check_reported_time(at, inv, told),
+            Observation::Ended { inv, runner, how } => self.record_forward_end(at, inv, runner, Some(how)),
+            Observation::Withdrawn { inv, runner } => self.record_forward_end(at, inv, runner, None),
+            Observation::Ran { inv, runner } => self.record_start(at, inv, runner),
+            Observation::Listed { runner, wanted, launched } => {
                 self.listed.insert(runner, (at, wanted, launched));
                 if wanted && launched.is_some() {
-                    self.cold.insert(runner, Cold::default());
+                    self.cold.insert(runner, ColdRunner::default());
                 }
             }
-            Seen::Told { dispatcher, runner, wanted } => {
-                let told = self.told.entry((dispatcher, runner)).or_insert((None, true));
-                // Told once more of the same does not lengthen the grace.
-                let since = if wanted { None } else { Some(told.0.unwrap_or(at)) };
-                *told = (since, wanted);
+            Observation::Told { dispatcher, runner, wanted } => {
+                let notification = self.notified.entry((dispatcher, runner)).or_insert((None, true));
+                // A repeated notification does not extend the drain grace.
+                let since = if wanted { None } else { Some(notification.0.unwrap_or(at)) };
+                *notification = (since, wanted);
             }
-            Seen::Began { dispatcher } => {
-                self.told.retain(|(d, _), _| *d != dispatcher);
-                self.still.remove(&dispatcher);
-                self.first.remove(&dispatcher);
+            Observation::Began { dispatcher } => {
+                self.notified.retain(|(d, _), _| *d != dispatcher);
+                self.suspended.remove(&dispatcher);
+                self.first_forwards.remove(&dispatcher);
                 let (before, now) = self.boots.entry(dispatcher).or_default();
                 *before = (*before).max(now.take().unwrap_or(0));
             }
-            Seen::Hand { dispatcher, runner, out: Some(true) } => {
-                self.hands.entry((dispatcher, runner)).or_insert(at);
+            Observation::Hand { dispatcher, runner, out: Some(true) } => {
+                self.overrides.entry((dispatcher, runner)).or_insert(at);
             }
-            Seen::Hand { dispatcher, runner, .. } => _ = self.hands.remove(&(dispatcher, runner)),
-            Seen::Boot { dispatcher, boot } => self.booted(at, dispatcher, boot),
-            Seen::Unlisted { dispatcher, asked } => {
-                if self.first.get(&dispatcher).is_some_and(|first| *first < asked) {
+            Observation::Hand { dispatcher, runner, .. } => _ = self.overrides.remove(&(dispatcher, runner)),
+            Observation::Boot { dispatcher, boot } => self.record_boot(at, dispatcher, boot),
+            Observation::Unlisted { dispatcher, asked } => {
+                if self.first_forwards.get(&dispatcher).is_some_and(|first| *first < asked) {
                     let what = format!("d{dispatcher} had forwarded before it had a list");
-                    self.violate(at, Rule::NotBeforeListed, 0, what);
+                    self.record_violation(at, Rule::NotBeforeListed, 0, what);
                 }
             }
-            Seen::Forgets { dispatcher } => {
-                self.hands.retain(|(d, _), _| *d != dispatcher);
+            Observation::Forgets { dispatcher } => {
+                self.overrides.retain(|(d, _), _| *d != dispatcher);
                 self.boots.remove(&dispatcher);
             }
-            Seen::Still { dispatcher, still: true } => {
-                self.still.entry(dispatcher).or_insert(at);
+            Observation::Still { dispatcher, still: true } => {
+                self.suspended.entry(dispatcher).or_insert(at);
             }
-            Seen::Still { dispatcher, still: false } => self.goes_on(at, dispatcher),
+            Observation::Still { dispatcher, still: false } => self.record_resume(at, dispatcher),
         }
     }
 
-    /// How much work an invocation is, from whoever brought it.
-    pub fn note_work(&mut self, inv: Inv, work: f64) {
-        if let Some(case) = self.cases.get_mut(&inv) {
-            case.work = work;
+    /// Records the true work of an invocation, which only its client knows.
+    pub fn note_work(&mut self, inv: InvocationId, work: f64) {
+        if let Some(record) = self.invocations.get_mut(&inv) {
+            record.work = work;
         }
     }
 
-    pub fn work(&self, inv: Inv) -> f64 {
-        self.cases.get(&inv).map_or(0.0, |case| case.work)
+    /// The work of an open invocation in microseconds, 0 if it is unknown.
+    pub fn work(&self, inv: InvocationId) -> f64 {
+        self.invocations.get(&inv).map_or(0.0, |record| record.work)
     }
 
-    pub fn operation(&self, inv: Inv) -> Option<usize> {
-        self.cases.get(&inv).map(|case| case.operation)
+    /// The operation of an open invocation, as its place in the scenario.
+    pub fn operation(&self, inv: InvocationId) -> Option<usize> {
+        self.invocations.get(&inv).map(|record| record.operation)
     }
 
-    /// Who could not act is not to blame for having been late, and knows what was written to it meanwhile only from
-    /// now on. All else holds for it as for anybody: what it does next it does on what it can know now.
-    fn goes_on(&mut self, at: Micros, dispatcher: u32) {
-        let Some(since) = self.still.remove(&dispatcher) else { return };
-        for case in self.cases.values_mut().filter(|case| case.dispatcher == dispatcher) {
-            case.excused |= case.answered.is_none() && case.expires_at < at + GOES_ON;
+    /// A suspended process could not act: invocations that expire before it has caught up are excused, and
+    /// what was written to it meanwhile counts as known from now on. All other rules hold unchanged for what
+    /// it does next.
+    fn record_resume(&mut self, at: Micros, dispatcher: u32) {
+        let Some(since) = self.suspended.remove(&dispatcher) else { return };
+        for record in self.invocations.values_mut().filter(|record| record.dispatcher == dispatcher) {
+            record.excused |= record.answered.is_none() && record.expires_at < at + RESUME_GRACE;
         }
-        for ((_, _), (told, _)) in self.told.iter_mut().filter(|((d, _), _)| *d == dispatcher) {
-            *told = told.map(|told| if told >= since { at } else { told });
+        for ((_, _), (unwanted_since, _)) in self.notified.iter_mut().filter(|((d, _), _)| *d == dispatcher) {
+            *unwanted_since = unwanted_since.map(|then| if then >= since { at } else { then });
         }
     }
 
-    fn booted(&mut self, at: Micros, dispatcher: u32, boot: u64) {
+    /// Checks that a boot number is higher than those of earlier process runs.
+    fn record_boot(&mut self, at: Micros, dispatcher: u32, boot: u64) {
         let (before, now) = self.boots.entry(dispatcher).or_default();
         let (before, known) = (*before, now.replace(boot));
         if boot <= before || known.is_some_and(|known| known > boot) {
             let what = format!("d{dispatcher} has the boot number {boot}, after {}", known.unwrap_or(before));
-            self.violate(at, Rule::BootRises, 0, what);
+            self.record_violation(at, Rule::BootRises, 0, what);
         }
     }
 
-    fn take(
+    /// Opens an invocation, and closes those that ended long enough ago.
+    fn record_taken(
         &mut self,
         at: Micros,
-        inv: Inv,
+        inv: InvocationId,
         (dispatcher, operation): (u32, usize),
         expires_at: Micros,
-        seen: Seen,
+        seen: Observation,
     ) {
         self.verdict.taken += 1;
-        let case = Case {
+        let record = InvocationRecord {
             dispatcher,
             operation,
             expires_at,
@@ -511,182 +518,193 @@
             work: 0.0,
             history: vec![(at, seen)],
         };
-        if self.cases.insert(inv, case).is_some() {
-            self.own_fault(at, format!("invocation {inv:x} was taken twice"));
+        if self.invocations.insert(inv, record).is_some() {
+            self.record_lab_fault(at, format!("invocation {inv:x} was taken twice"));
         }
         self.order.push_back((at, inv));
         while let Some((taken, oldest)) = self.order.front().copied()
-            && taken < at - KEPT_FOR
-            && self.cases.get(&oldest).is_none_or(|case| case.over(at - KEPT_FOR))
+            && taken < at - RETENTION
+            && self.invocations.get(&oldest).is_none_or(|record| record.is_finished(at - RETENTION))
         {
             self.order.pop_front();
             self.close(at, oldest);
         }
     }
 
-    /// Lets go of an invocation, and looks whether it was answered at all.
-    fn close(&mut self, at: Micros, inv: Inv) {
-        let Some(case) = self.cases.get(&inv) else { return };
-        if case.answered.is_none() && !case.excused {
-            self.violate(at, Rule::OneAnswer, inv, "never answered".into());
+    /// Removes an invocation, and records a violation if it was never answered.
+    fn close(&mut self, at: Micros, inv: InvocationId) {
+        let Some(record) = self.invocations.get(&inv) else { return };
+        if record.answered.is_none() && !record.excused {
+            self.record_violation(at, Rule::OneAnswer, inv, "never answered".into());
         }
-        self.cases.remove(&inv);
+        self.invocations.remove(&inv);
     }
 
-    fn answered(&mut self, at: Micros, inv: Inv, how: Final) {
-        let slack = self.terms.answer_slack + self.behind;
-        let Some(case) = self.cases.get_mut(&inv) else {
-            return self.own_fault(at, format!("an answer to {inv:x}, which nobody took"));
+    /// Checks an answer: only one, in time, and throttled only where a repeat is harmless.
+    fn record_answer(&mut self, at: Micros, inv: InvocationId, how: FinalStatus) {
+        let slack = self.parameters.answer_slack + self.observation_delay;
+        let Some(record) = self.invocations.get_mut(&inv) else {
+            return self.record_lab_fault(at, format!("an answer to {inv:x}, which nobody took"));
         };
-        let (before, late) = (case.answered, at > case.expires_at + slack);
-        let op = &self.terms.operations[case.operation];
+        let (before, late) = (record.answered, at > record.expires_at + slack);
+        let op = &self.parameters.operations[record.operation];
         let repeatable = match op.effect {
             Effect::Idempotent => true,
-            Effect::Deduplicated => op.group == Group::All,
+            Effect::Deduplicated => op.group == DeduplicationScope::All,
             Effect::NonIdempotent => false,
         };
-        let harmless = repeatable || case.sent.iter().all(Sent::never_ran);
-        case.answered = Some((at, how));
-        let excused = case.excused;
+        let harmless = repeatable || record.sent.iter().all(SentForward::has_never_run);
+        record.answered = Some((at, how));
+        let excused = record.excused;
         match how {
-            Final::Succeeded => self.verdict.succeeded += 1,
-            Final::Throttled => self.verdict.throttled += 1,
-            Final::Errored => self.verdict.errored += 1,
+            FinalStatus::Succeeded => self.verdict.succeeded += 1,
+            FinalStatus::Throttled => self.verdict.throttled += 1,
+            FinalStatus::Errored => self.verdict.errored += 1,
         }
         if let Some((first, _)) = before {
-            self.violate(at, Rule::OneAnswer, inv, format!("answered twice, first at {first}"));
+            self.record_violation(at, Rule::OneAnswer, inv, format!("answered twice, first at {first}"));
         }
         if late && !excused {
-            self.violate(at, Rule::OneAnswer, inv, "answered after the client timeout".into());
+            self.record_violation(at, Rule::OneAnswer, inv, "answered after the client timeout".into());
         }
-        if how == Final::Throttled && !harmless {
-            self.violate(at, Rule::NoEffectTwice, inv, "throttled, though it may have run".into());
+        if how == FinalStatus::Throttled && !harmless {
+            self.record_violation(at, Rule::NoEffectTwice, inv, "throttled, though it may have run".into());
         }
     }
 
-    /// What a runner is told of the time left, against what the client still waits.
-    fn time_told(&mut self, at: Micros, inv: Inv, told: Micros) {
-        let Some(case) = self.cases.get(&inv) else { return };
-        let left = case.expires_at - at;
-        if told > left + TOLD_SLACK + self.behind {
-            let what = format!("its runner was told {told} us with {left} us left");
-            self.violate(at, Rule::DeadlineTold, inv, what);
+    /// Checks the remaining time stated to a runner against what the client will still wait.
+    fn check_reported_time(&mut self, at: Micros, inv: InvocationId, stated: Micros) {
+        let Some(record) = self.invocations.get(&inv) else { return };
+        let left = record.expires_at - at;
+        if stated > left + REPORTED_TIME_SLACK + self.observation_delay {
+            let what = format!("its runner was told {stated} us with {left} us left");
+            self.record_violation(at, Rule::DeadlineTold, inv, what);
         }
     }
 
-    fn forwarded(
+    /// Checks a forward against all rules that concern the sending of one.
+    fn record_forward(
         &mut self,
         at: Micros,
-        inv: Inv,
+        inv: InvocationId,
         (dispatcher, runner): (u32, u32),
         work: f64,
         cold: Option<f64>,
     ) {
         self.verdict.forwards += 1;
-        let slack = self.terms.slack + self.behind;
-        let Some(case) = self.cases.get_mut(&inv) else {
-            return self.own_fault(at, format!("a forward of {inv:x}, which nobody took"));
+        let slack = self.parameters.slack + self.observation_delay;
+        let Some(record) = self.invocations.get_mut(&inv) else {
+            return self.record_lab_fault(at, format!("a forward of {inv:x}, which nobody took"));
         };
-        let mut wrong: Vec<(Rule, String)> = Vec::new();
-        if let Some((answered, _)) = case.answered.filter(|(answered, _)| at > answered + slack) {
-            wrong.push((Rule::OneAnswer, format!("forwarded after its answer at {answered}")));
+        let mut breaches: Vec<(Rule, String)> = Vec::new();
+        if let Some((answered, _)) = record.answered.filter(|(answered, _)| at > answered + slack) {
+            breaches.push((Rule::OneAnswer, format!("forwarded after its answer at {answered}")));
         }
-        if let Some(left) = case.left_at.filter(|left| at > left + LEFT_MOST + self.behind) {
-            wrong.push((Rule::OneAnswer, format!("forwarded {} us after its client had left", at - left)));
+        if let Some(left) =
+            record.left_at.filter(|left| at > left + CLIENT_LEFT_GRACE + self.observation_delay)
+        {
+            breaches.push((Rule::OneAnswer, format!("forwarded {} us after its client had left", at - left)));
         }
-        if case.sent.iter().any(Sent::out) {
-            wrong.push((Rule::NoEffectTwice, "two forwards out at once".into()));
+        if record.sent.iter().any(SentForward::is_in_flight) {
+            breaches.push((Rule::NoEffectTwice, "two forwards out at once".into()));
         }
-        let op = &self.terms.operations[case.operation];
-        let place = |runner: u32| self.terms.places.get(runner as usize).copied().unwrap_or((usize::MAX, -1));
-        let first = case.sent.iter().find(|sent| !sent.never_ran());
+        let op = &self.parameters.operations[record.operation];
+        let location =
+            |runner: u32| self.parameters.locations.get(runner as usize).copied().unwrap_or((usize::MAX, -1));
+        let first = record.sent.iter().find(|sent| !sent.has_never_run());
         match (op.effect, first) {
             (_, None) | (Effect::Idempotent, _) => {}
             (Effect::NonIdempotent, Some(first)) => {
                 let what = format!("forwarded again, though it may have run at r{}", first.runner);
-                wrong.push((Rule::NoEffectTwice, what));
+                breaches.push((Rule::NoEffectTwice, what));
             }
             (Effect::Deduplicated, Some(first)) => {
-                let (there, here) = (place(first.runner), place(runner));
-                let inside = match op.group {
-                    Group::All => true,
-                    Group::Zone => there.0 == here.0,
-                    Group::Cell => there.1 == here.1,
+                let (there, here) = (location(first.runner), location(runner));
+                let is_in_scope = match op.group {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => there.0 == here.0,
+                    DeduplicationScope::Cell => there.1 == here.1,
                 };
-                if !inside {
+                if !is_in_scope {
                     let what = format!("forwarded again outside the group of r{}", first.runner);
-                    wrong.push((Rule::NoEffectTwice, what));
+                    breaches.push((Rule::NoEffectTwice, what));
                 }
                 if at > first.at + op.memory_span.0 + slack {
                     let what = format!("forwarded again, {} us after the first", at - first.at);
-                    wrong.push((Rule::NoEffectTwice, what));
+                    breaches.push((Rule::NoEffectTwice, what));
                 }
             }
         }
-        case.sent.push(Sent { runner, at, back: None, withdrawn: false });
+        record.sent.push(SentForward { runner, at, back: None, withdrawn: false });
 
-        // Told, or treated as told: a change counts for everybody after a while.
-        let told = self.told.get(&(dispatcher, runner)).copied();
+        // Notified, or treated as notified: a change counts for every dispatcher after the notification
+        // deadline.
+        let notification = self.notified.get(&(dispatcher, runner)).copied();
         let listed = self.listed.get(&runner).copied();
-        let treated = listed.filter(|(_, wanted, _)| !wanted).map(|(at, ..)| at + self.terms.ask_within);
-        let since = [told.and_then(|(since, _)| since), treated].into_iter().flatten().min();
-        let knows = since.filter(|since| at > since + self.terms.drain_grace + slack);
+        let deadline =
+            listed.filter(|(_, wanted, _)| !wanted).map(|(at, ..)| at + self.parameters.ask_within);
+        let since = [notification.and_then(|(since, _)| since), deadline].into_iter().flatten().min();
+        let knows = since.filter(|since| at > since + self.parameters.drain_grace + slack);
         if let Some(since) = knows {
             let what = format!("forwarded to r{runner} {} us after it was told to leave it", at - since);
-            wrong.push((Rule::NothingToDraining, what));
+            breaches.push((Rule::NothingToDraining, what));
         }
-        self.first.entry(dispatcher).or_insert(at);
-        let out = self.hands.get(&(dispatcher, runner)).copied();
+        self.first_forwards.entry(dispatcher).or_insert(at);
+        let out = self.overrides.get(&(dispatcher, runner)).copied();
         if let Some(since) = out.filter(|since| at > since + slack) {
             let what = format!("d{dispatcher} forwarded to r{runner}, out by hand for {} us", at - since);
-            wrong.push((Rule::HandHolds, what));
+            breaches.push((Rule::HandHolds, what));
         }
         if let Some(capacity) = cold {
-            let told_of_start = told.is_some_and(|(_, wanted)| wanted);
+            let knows_start = notification.is_some_and(|(_, wanted)| wanted);
             let cold = self.cold.entry(runner).or_default();
-            let span = self.terms.tip_after;
-            while cold.spent.front().is_some_and(|(sent, ..)| *sent <= at - span) {
-                cold.spent.pop_front();
+            let span = self.parameters.tip_after;
+            while cold.sends.front().is_some_and(|(sent, ..)| *sent <= at - span) {
+                cold.sends.pop_front();
             }
-            cold.spent.push_back((at, work, told_of_start));
-            let all: f64 = cold.spent.iter().map(|(_, work, _)| work).sum();
-            let knowing: f64 = cold.spent.iter().filter(|(.., told)| *told).map(|(_, work, _)| work).sum();
-            let budget = self.terms.overload_factor * capacity * span as f64;
-            self.cold_sent += work;
-            self.cold_most = self.cold_most.max(all / budget);
-            let allowed = budget / self.terms.mean_work;
-            let (calls, by_chance) = (cold.spent.len() as f64, allowed + 2.0 * allowed.sqrt() + 2.0);
+            cold.sends.push_back((at, work, knows_start));
+            let all: f64 = cold.sends.iter().map(|(_, work, _)| work).sum();
+            let knowing_work: f64 =
+                cold.sends.iter().filter(|(.., knows)| *knows).map(|(_, work, _)| work).sum();
+            let budget = self.parameters.overload_factor * capacity * span as f64;
+            self.cold_work += work;
+            self.max_cold_share = self.max_cold_share.max(all / budget);
+            let allowed = budget / self.parameters.mean_work;
+            let (calls, random_limit) = (cold.sends.len() as f64, allowed + 2.0 * allowed.sqrt() + 2.0);
             let counted = &mut self.cold_calls;
             counted.spans += 1;
-            counted.over += u64::from(calls > by_chance);
-            counted.most = counted.most.max(calls / by_chance);
-            let blamed = knowing * 3.0 >= all * 2.0;
-            if calls > by_chance && blamed && !cold.broken {
+            counted.over += u64::from(calls > random_limit);
+            counted.most = counted.most.max(calls / random_limit);
+            // Dispatchers are at fault only if those that knew of the start sent two thirds of the work.
+            let is_at_fault = knowing_work * 3.0 >= all * 2.0;
+            if calls > random_limit && is_at_fault && !cold.broken {
                 cold.broken = true;
                 let what =
                     format!("r{runner} was sent {calls} calls in a span in which it bears {allowed:.1}");
-                wrong.push((Rule::ColdBudget, what));
+                breaches.push((Rule::ColdBudget, what));
             }
-            let budget = budget * BY_CHANCE;
-            if all > budget && blamed && cold.spent.len() > 3 && !cold.broken {
+            let budget = budget * COLD_WORK_TOLERANCE;
+            if all > budget && is_at_fault && cold.sends.len() > 3 && !cold.broken {
                 cold.broken = true;
                 let what = format!("r{runner} was sent {all:.0} us of work in a span worth {budget:.0}");
-                wrong.push((Rule::ColdBudget, what));
+                breaches.push((Rule::ColdBudget, what));
             }
         }
-        for (rule, what) in wrong {
-            self.violate(at, rule, inv, what);
+        for (rule, what) in breaches {
+            self.record_violation(at, rule, inv, what);
         }
     }
 
-    fn came_back(&mut self, at: Micros, inv: Inv, runner: u32, how: Option<Back>) {
-        let Some(case) = self.cases.get_mut(&inv) else { return };
-        let Some(sent) = case.sent.iter_mut().rev().find(|sent| sent.runner == runner) else {
-            // Whoever likes may give up what was never there.
+    /// Records the end of a forward, or its cancellation where `how` is none.
+    fn record_forward_end(&mut self, at: Micros, inv: InvocationId, runner: u32, how: Option<ForwardEnd>) {
+        let Some(record) = self.invocations.get_mut(&inv) else { return };
+        let Some(sent) = record.sent.iter_mut().rev().find(|sent| sent.runner == runner) else {
+            // A forward that was never sent may be cancelled.
             if how.is_none() {
                 return;
             }
-            return self.own_fault(at, format!("an ending of {inv:x} at r{runner}, which was never sent it"));
+            return self
+                .record_lab_fault(at, format!("an ending of {inv:x} at r{runner}, which was never sent it"));
         };
         match how {
             None => sent.withdrawn = true,
@@ -695,17 +713,23 @@
         }
     }
 
-    fn ran(&mut self, at: Micros, inv: Inv, runner: u32) {
-        let Some(case) = self.cases.get_mut(&inv) else { return };
-        case.ran += 1;
-        if case.ran > 1 && self.terms.operations[case.operation].effect != Effect::Idempotent {
-            self.violate(at, Rule::NoEffectTwice, inv, format!("its effect came twice, now at r{runner}"));
+    /// Checks that an effect that must not take place twice has not done so.
+    fn record_start(&mut self, at: Micros, inv: InvocationId, runner: u32) {
+        let Some(record) = self.invocations.get_mut(&inv) else { return };
+        record.ran += 1;
+        if record.ran > 1 && self.parameters.operations[record.operation].effect != Effect::Idempotent {
+            self.record_violation(
+                at,
+                Rule::NoEffectTwice,
+                inv,
+                format!("its effect came twice, now at r{runner}"),
+            );
         }
     }
 
-    /// The run is over: whatever is still owed now was never answered.
+    /// Ends the run: every invocation still open and unanswered is recorded as never answered.
     pub fn finish(&mut self, at: Micros) {
-        let mut open: Vec<Inv> = self.cases.keys().copied().collect();
+        let mut open: Vec<InvocationId> = self.invocations.keys().copied().collect();
         open.sort_unstable();
         for inv in open {
             self.close(at, inv);
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -10,7 +10,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
-use topazsail_lab::experiment::{self, Who};
+use topazsail_lab::experiment::{self, SystemUnderTest};
 use topazsail_lab::policy::Policy;
 use topazsail_lab::report;
 use topazsail_lab::scenario::Scenario;
@@ -186,9 +186,10 @@
 
 /// Plays a scenario in virtual time; with `time`, also prints the time that the decision module took.
 fn play_policy(scenario: &Scenario, policy: Policy, seed: u64, time: bool) -> Result<Outcome, String> {
-    let run = virtual_clock::play(scenario, policy, seed, Options { time, ..Options::default() })?;
+    let run =
+        virtual_clock::play(scenario, policy, seed, Options { measure_time: time, ..Options::default() })?;
     if time {
-        let [roster_time, other_time] = run.spent.map(|spent| spent.as_secs_f64() * 1e6);
+        let [roster_time, other_time] = run.decision_time.map(|spent| spent.as_secs_f64() * 1e6);
         let invocations = run.outcome.counts.asked.max(1) as f64;
         let (calls, per_invocation) = (run.decisions, other_time / invocations);
         println!(
@@ -263,14 +264,16 @@
         Command::Run { scenario, clock, seed, program, policy, time, json: to, report: folder } => {
             let scenario = Scenario::load(&scenario)?;
             let who = match clock {
-                ClockName::Virtual => Who::Policy(policy.parse::<Policy>()?),
-                ClockName::Sockets => Who::Program(program.unwrap_or_else(|| own_program(&scenario))),
+                ClockName::Virtual => SystemUnderTest::Policy(policy.parse::<Policy>()?),
+                ClockName::Sockets => {
+                    SystemUnderTest::Program(program.unwrap_or_else(|| own_program(&scenario)))
+                }
             };
             let seed = seed.unwrap_or(scenario.seed);
             let bar = bar(&scenario.name);
             let played = match &who {
-                Who::Policy(policy) => play_policy(&scenario, *policy, seed, time),
-                Who::Program(_) => {
+                SystemUnderTest::Policy(policy) => play_policy(&scenario, *policy, seed, time),
+                SystemUnderTest::Program(_) => {
                     who.play(&scenario, seed, &|share| bar.set_position((share * 1000.0) as u64))
                 }
             };
@@ -288,7 +291,7 @@
             let steps = experiment::vary(&scenario, field, &values)?;
             let bar = bar(field);
             let progress = |share: f64| bar.set_position((share * 1000.0) as u64);
-            let steps = experiment::sweep(steps, &Who::parse(&who)?, seeds.max(1), &progress);
+            let steps = experiment::sweep(steps, &SystemUnderTest::parse(&who)?, seeds.max(1), &progress);
             bar.finish_and_clear();
             let steps = steps?;
             print!("{}", report::sweep_text(field, &steps));
@@ -302,7 +305,7 @@
             let scenario = Scenario::load(&scenario)?;
             let bar = bar(&scenario.name);
             let progress = |share: f64| bar.set_position((share * 1000.0) as u64);
-            let (ours, other) = (Who::parse(&who)?, Who::parse(&against)?);
+            let (ours, other) = (SystemUnderTest::parse(&who)?, SystemUnderTest::parse(&against)?);
             let comparison = experiment::compare(&scenario, &ours, &other, pairs.max(2), &progress);
             bar.finish_and_clear();
             let comparison = comparison?;
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -1,7 +1,7 @@
-//! Who decides, in virtual time: the module of decisions itself, or a baseline to measure it against.
+//! The policies that decide in virtual time: the decision module itself, or a baseline to compare it with.
 //!
-//! Baselines take the same events and return the same actions. They keep the rules on repeats, and nothing
-//! else: that is what they are for. Those with true state see what no real dispatcher can.
+//! Baselines take the same events and return the same actions. They obey the rules on repeats and nothing
+//! else, by intent. Those with true state see what no real dispatcher can see.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -13,23 +13,26 @@
     Settings,
 };
 
-use crate::load::chance;
+use crate::load::seeded_generator;
 use crate::runner::Runner;
 
+/// The policy of a run in virtual time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The module that topazsail serves with.
+    /// The decision module of topazsail.
     Topazsail,
     Random,
     RoundRobin,
-    /// The least of so many draws by the latest load report that this dispatcher has had.
+    /// Of this many drawn runners the one with the lowest load, by the latest load report that this
+    /// dispatcher has received.
     LeastReported(usize),
-    /// The least of so many draws by true counts.
+    /// Of this many drawn runners the one with the lowest load, by true counts.
     LeastTrue(usize),
-    /// The least of all runners by true counts.
+    /// The runner with the lowest load of all, by true counts.
     LeastOfAll,
 }
 
+/// The names of all policies, for help and error texts.
 pub const POLICIES: &str =
     "topazsail, random, round-robin, least-of-D, true-of-D (D from 1 to 9), least-of-all";
 
@@ -55,56 +58,62 @@
     }
 }
 
-pub trait Decide {
-    /// As [`RoutingPolicy::decide`]; `truth` is for those baselines that are told it.
+/// Decides for one dispatcher: the decision module or a baseline.
+pub trait DecisionMaker {
+    /// As [`RoutingPolicy::decide`]; `truth` has the true state of the runners, for the baselines that use
+    /// it.
     fn decide(&mut self, now: Micros, happened: Event, truth: &[Runner]) -> Vec<Action>;
 }
 
-impl Decide for RoutingPolicy {
+impl DecisionMaker for RoutingPolicy {
     fn decide(&mut self, now: Micros, happened: Event, _: &[Runner]) -> Vec<Action> {
         RoutingPolicy::decide(self, now, vec![happened])
     }
 }
 
-pub fn decider(policy: Policy, settings: Settings, seed: u64) -> Box<dyn Decide> {
+/// Creates the policy of one dispatcher.
+pub fn new_decider(policy: Policy, settings: Settings, seed: u64) -> Box<dyn DecisionMaker> {
     match policy {
         Policy::Topazsail => Box::new(RoutingPolicy::new(settings, seed)),
         _ => Box::new(Baseline {
             policy,
             settings,
-            chance: chance(seed, 4),
+            rng: seeded_generator(seed, 4),
             listed: Vec::new(),
             reported: HashMap::new(),
-            turn: 0,
-            invs: HashMap::new(),
+            next_turn: 0,
+            invocations: HashMap::new(),
             subscribed: false,
         }),
     }
 }
 
-struct Held {
+/// An unanswered invocation.
+struct OpenInvocation {
     operation: usize,
     forwards: u32,
     may_have_run: bool,
 }
 
+/// A baseline policy of one dispatcher.
 struct Baseline {
     policy: Policy,
     settings: Settings,
-    chance: Pcg32,
+    rng: Pcg32,
     listed: Vec<(u32, Id)>,
     reported: HashMap<u32, f64>,
-    turn: usize,
-    invs: HashMap<Id, Held>,
+    next_turn: usize,
+    invocations: HashMap<Id, OpenInvocation>,
     subscribed: bool,
 }
 
-/// A runner's number, as it stands in its id.
-pub fn number(id: &str) -> u32 {
+/// A runner's number, taken from its id; `u32::MAX` if the id has none.
+pub fn runner_number(id: &str) -> u32 {
     id[1..].parse().unwrap_or(u32::MAX)
 }
 
 impl Baseline {
+    /// Chooses a runner; none if the roster is empty.
     fn choose(&mut self, truth: &[Runner]) -> Option<Id> {
         if self.listed.is_empty() {
             return None;
@@ -113,24 +122,24 @@
         let count =
             |(r, _): &(u32, Id)| truth[*r as usize].jobs() as f64 / f64::from(truth[*r as usize].slots);
         let nth = match self.policy {
-            Policy::Topazsail | Policy::Random => self.chance.random_range(0..all),
+            Policy::Topazsail | Policy::Random => self.rng.random_range(0..all),
             Policy::RoundRobin => {
-                self.turn += 1;
-                self.turn % all
+                self.next_turn += 1;
+                self.next_turn % all
             }
             Policy::LeastOfAll => {
-                // Ties by chance, or the first of the list would have them all.
-                let first = self.chance.random_range(0..all);
+                // Ties are broken at random, or the first of the list would win them all.
+                let first = self.rng.random_range(0..all);
                 let order = (0..all).map(|step| (first + step) % all);
                 order.min_by(|a, b| count(&self.listed[*a]).total_cmp(&count(&self.listed[*b])))?
             }
             Policy::LeastReported(draws) => {
-                let drawn: Vec<usize> = (0..draws).map(|_| self.chance.random_range(0..all)).collect();
-                let told = |nth: &usize| self.reported.get(&self.listed[*nth].0).copied().unwrap_or(0.0);
-                drawn.into_iter().min_by(|a, b| told(a).total_cmp(&told(b)))?
+                let drawn: Vec<usize> = (0..draws).map(|_| self.rng.random_range(0..all)).collect();
+                let reported = |nth: &usize| self.reported.get(&self.listed[*nth].0).copied().unwrap_or(0.0);
+                drawn.into_iter().min_by(|a, b| reported(a).total_cmp(&reported(b)))?
             }
             Policy::LeastTrue(draws) => {
-                let drawn: Vec<usize> = (0..draws).map(|_| self.chance.random_range(0..all)).collect();
+                let drawn: Vec<usize> = (0..draws).map(|_| self.rng.random_range(0..all)).collect();
                 drawn
                     .into_iter()
                     .min_by(|a, b| count(&self.listed[*a]).total_cmp(&count(&self.listed[*b])))?
@@ -140,22 +149,24 @@
     }
 
     fn forward(&mut self, inv: Id, truth: &[Runner]) -> Vec<Action> {
-        let tgt = self.choose(truth);
-        let Some(held) = self.invs.get_mut(&inv) else { return Vec::new() };
-        match tgt {
-            Some(tgt) if held.forwards < self.settings.max_forwards => {
-                held.forwards += 1;
-                vec![Action::Forward { invocation: inv, runner: tgt, latest: None }]
+        let runner = self.choose(truth);
+        let Some(open) = self.invocations.get_mut(&inv) else { return Vec::new() };
+        match runner {
+            Some(runner) if open.forwards < self.settings.max_forwards => {
+                open.forwards += 1;
+                vec![Action::Forward { invocation: inv, runner, latest: None }]
             }
-            _ => self.give_up(inv),
+            _ => self.answer_failure(inv),
         }
     }
 
-    fn give_up(&mut self, inv: Id) -> Vec<Action> {
-        let Some(held) = self.invs.remove(&inv) else { return Vec::new() };
-        let effect = self.settings.operations[held.operation].effect;
+    /// Answers an invocation without a further forward: throttles it where a repeat is harmless, else returns
+    /// an error.
+    fn answer_failure(&mut self, inv: Id) -> Vec<Action> {
+        let Some(open) = self.invocations.remove(&inv) else { return Vec::new() };
+        let effect = self.settings.operations[open.operation].effect;
         let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated(DeduplicationScope::All));
-        match harmless || !held.may_have_run {
+        match harmless || !open.may_have_run {
             true => vec![Action::Throttle {
                 invocation: inv,
                 retry_after: self.settings.max_retry_after.map(|most| most / 4),
@@ -165,57 +176,58 @@
     }
 }
 
-impl Decide for Baseline {
+impl DecisionMaker for Baseline {
     fn decide(&mut self, _: Micros, happened: Event, truth: &[Runner]) -> Vec<Action> {
         match happened {
             Event::Arrival(arrival) => {
-                let held = Held { operation: arrival.operation, forwards: 0, may_have_run: false };
-                self.invs.insert(arrival.invocation.clone(), held);
+                let open = OpenInvocation { operation: arrival.operation, forwards: 0, may_have_run: false };
+                self.invocations.insert(arrival.invocation.clone(), open);
                 self.forward(arrival.invocation, truth)
             }
             Event::Outcome(outcome) => {
                 if let Some(in_flight) = outcome.report.get(2) {
-                    self.reported.insert(number(&outcome.runner), *in_flight);
+                    self.reported.insert(runner_number(&outcome.runner), *in_flight);
                 }
                 if outcome.answered {
-                    self.invs.remove(&outcome.invocation);
+                    self.invocations.remove(&outcome.invocation);
                     return Vec::new();
                 }
                 let never = matches!(
                     outcome.result,
                     ForwardResult::Overloaded | ForwardResult::Unreachable | ForwardResult::Void
                 );
-                let Some(held) = self.invs.get_mut(&outcome.invocation) else { return Vec::new() };
-                held.may_have_run |= !never;
-                let effect = self.settings.operations[held.operation].effect;
-                // Groups and spans are left alone: what may have run goes again only where any runner will do.
-                let again = !held.may_have_run || effect == Effect::Idempotent;
+                let Some(open) = self.invocations.get_mut(&outcome.invocation) else { return Vec::new() };
+                open.may_have_run |= !never;
+                let effect = self.settings.operations[open.operation].effect;
+                // Deduplication scopes and windows are ignored: what may have run is repeated only where any
+                // runner will do.
+                let again = !open.may_have_run || effect == Effect::Idempotent;
                 if again && outcome.result != ForwardResult::TimedOut {
                     self.forward(outcome.invocation, truth)
                 } else {
-                    self.give_up(outcome.invocation)
+                    self.answer_failure(outcome.invocation)
                 }
             }
             Event::ClientLeft { invocation: inv } => {
-                self.invs.remove(&inv);
+                self.invocations.remove(&inv);
                 Vec::new()
             }
             Event::Roster(roster) => {
-                let whole = roster.listing == Listing::All || roster.listing == Listing::Remembered;
-                if whole {
+                let is_whole = roster.listing == Listing::All || roster.listing == Listing::Remembered;
+                if is_whole {
                     self.listed.clear();
                 }
                 for entry in roster.entries {
-                    let r = number(&entry.runner);
-                    if !whole {
+                    let r = runner_number(&entry.runner);
+                    if !is_whole {
                         self.listed.retain(|(known, _)| *known != r);
                     }
                     if entry.readiness == Readiness::Up {
                         self.listed.push((r, entry.runner));
                     }
                 }
-                let ask = !std::mem::replace(&mut self.subscribed, roster.listing != Listing::Refused);
-                if ask { vec![Action::Subscribe] } else { Vec::new() }
+                let subscribe = !std::mem::replace(&mut self.subscribed, roster.listing != Listing::Refused);
+                if subscribe { vec![Action::Subscribe] } else { Vec::new() }
             }
             _ => Vec::new(),
         }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,6 +1,6 @@
-//! Reports for people: one page of HTML with its plots inside, and a few lines for a terminal.
+//! Reports for people: one HTML page with its plots included, and a few lines for a terminal.
 //!
-//! It owns how figures look. It must never compute one that the JSON does not hold, and escapes all text.
+//! This module formats figures. It computes none that the JSON does not hold, and escapes all text.
 
 use std::fs;
 use std::ops::Range;
@@ -11,8 +11,9 @@
 
 use crate::experiment::{Comparison, Step};
 use crate::ramp;
-use crate::tally::{Band, Outcome};
+use crate::tally::{FaultBand, Outcome};
 
+/// Size of a plot in pixels.
 const SIZE: (u32, u32) = (920, 260);
 const PALETTE: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
@@ -32,7 +33,7 @@
 
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// One plot as SVG text: axes from 0 to `top`, names under the axis where it has some, and what `draw` adds.
+/// One plot as SVG text: axes from 0 to `top`, names under the x axis if it has some, and what `draw` adds.
 fn canvas(
     title: &str,
     unit: &str,
@@ -44,14 +45,14 @@
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(fault)?;
+        area.fill(&WHITE).map_err(plot_error)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(56)
             .build_cartesian_2d(x, 0.0..top)
-            .map_err(fault)?;
+            .map_err(plot_error)?;
         let name = |x: &f64| match names {
             Some(names) => names.get(*x as usize).map_or(String::new(), |(name, _)| name.clone()),
             None => format!("{x}"),
@@ -61,43 +62,54 @@
         if let Some(names) = names {
             mesh.disable_x_mesh().x_labels(names.len().min(24));
         }
-        mesh.draw().map_err(fault)?;
+        mesh.draw().map_err(plot_error)?;
         draw(&mut chart)?;
-        area.present().map_err(fault)?;
+        area.present().map_err(plot_error)?;
     }
     Ok(svg)
 }
 
-fn fault(error: impl std::fmt::Display) -> String {
+fn plot_error(error: impl std::fmt::Display) -> String {
     format!("plot: {error}")
 }
 
-/// Lines, with faults as bands behind them.
-fn plot(title: &str, unit: &str, x: Range<f64>, lines: &[Line], bands: &[Band]) -> Result<String, String> {
+/// A plot of lines, with faults as bands behind them.
+fn plot(
+    title: &str,
+    unit: &str,
+    x: Range<f64>,
+    lines: &[Line],
+    bands: &[FaultBand],
+) -> Result<String, String> {
     let most = lines.iter().flat_map(|(_, points)| points).map(|(_, y)| *y).fold(0.0, f64::max);
     let top = if most > 0.0 { most * 1.08 } else { 1.0 };
     canvas(title, unit, x, top, None, |chart| {
         let shade = RGBColor(240, 170, 60).mix(0.18);
-        let band = |band: &Band| {
+        let band = |band: &FaultBand| {
             Rectangle::new([(band.from, 0.0), (band.to.max(band.from + 0.05), top)], shade.filled())
         };
-        chart.draw_series(bands.iter().map(band)).map_err(fault)?;
+        chart.draw_series(bands.iter().map(band)).map_err(plot_error)?;
         for (nth, (name, points)) in lines.iter().enumerate() {
             let colour = PALETTE[nth % PALETTE.len()];
             chart
                 .draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))
-                .map_err(fault)?
+                .map_err(plot_error)?
                 .label(name.clone())
                 .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour.stroke_width(2)));
         }
         if lines.len() > 1 {
             let mut labels = chart.configure_series_labels();
-            labels.background_style(WHITE.mix(0.8)).border_style(BLACK.mix(0.3)).draw().map_err(fault)?;
+            labels
+                .background_style(WHITE.mix(0.8))
+                .border_style(BLACK.mix(0.3))
+                .draw()
+                .map_err(plot_error)?;
         }
         Ok(())
     })
 }
 
+/// A bar chart of named values.
 fn bars(title: &str, unit: &str, values: &[(String, f64)]) -> Result<String, String> {
     let top = values.iter().map(|(_, value)| *value).fold(0.0, f64::max).max(1e-9) * 1.08;
     canvas(title, unit, 0.0..values.len() as f64, top, Some(values), |chart| {
@@ -105,7 +117,7 @@
             let x = nth as f64;
             Rectangle::new([(x + 0.1, 0.0), (x + 0.9, *value)], PALETTE[0].mix(0.7).filled())
         });
-        chart.draw_series(boxes).map_err(fault).map(|_| ())
+        chart.draw_series(boxes).map_err(plot_error).map(|_| ())
     })
 }
 
@@ -221,8 +233,8 @@
 }
 
 /// The page of a comparison.
-pub fn comparison_page(found: &Comparison) -> Result<String, String> {
-    let rows: Vec<Vec<String>> = found
+pub fn comparison_page(comparison: &Comparison) -> Result<String, String> {
+    let rows: Vec<Vec<String>> = comparison
         .pairs
         .iter()
         .map(|pair| {
@@ -236,27 +248,28 @@
             ]
         })
         .collect();
-    let body = format!("<pre>{}</pre>", escaped(&comparison_text(found)))
+    let body = format!("<pre>{}</pre>", escaped(&comparison_text(comparison)))
         + &table(&["seed", "goodput, ours", "other", "p99 ms, ours", "other", "rules broken"], &rows);
-    Ok(page(&format!("{}: {} against {}", found.scenario, found.ours, found.against), &body))
+    Ok(page(&format!("{}: {} against {}", comparison.scenario, comparison.ours, comparison.against), &body))
 }
 
-pub fn comparison_text(found: &Comparison) -> String {
+/// A few lines on a comparison.
+pub fn comparison_text(comparison: &Comparison) -> String {
     let mut text = format!(
         "{}: {} against {}, {} pairs, {} void\n",
-        found.scenario,
-        found.ours,
-        found.against,
-        found.pairs.len(),
-        found.void
+        comparison.scenario,
+        comparison.ours,
+        comparison.against,
+        comparison.pairs.len(),
+        comparison.void
     );
-    for (name, difference) in [("goodput", found.goodput), ("p99 ms", found.p99)] {
+    for (name, difference) in [("goodput", comparison.goodput), ("p99 ms", comparison.p99)] {
         text += &match difference {
             Some(d) => format!(
                 "  {name}: {:+.4} ± {:.4} (95%){}\n",
                 d.mean,
                 d.half_width,
-                if d.shows() { "" } else { ", within noise" }
+                if d.is_significant() { "" } else { ", within noise" }
             ),
             None => format!("  {name}: too few pairs\n"),
         };
@@ -282,6 +295,7 @@
     Ok(page(&format!("{}: {field}", name.unwrap_or_default()), &body))
 }
 
+/// A table of a sweep, one line for each value.
 pub fn sweep_text(field: &str, steps: &[Step]) -> String {
     let mut text = format!("{field:>16}  goodput    p50 ms    p99 ms  throttled  broken  void\n");
     for step in steps {
@@ -299,7 +313,7 @@
     text
 }
 
-/// A few lines on one run.
+/// A few lines on one run, for a terminal.
 pub fn run_text(outcome: &Outcome) -> String {
     let counts = &outcome.counts;
     let mut text = format!(
@@ -328,16 +342,16 @@
         outcome.traffic.probes,
         outcome.traffic.connections,
     );
-    if let Some(found) = ramp::against(&outcome.windows) {
+    if let Some(comparison) = ramp::compare_with_ramp(&outcome.windows) {
         text += &format!(
             "  cold from {} s to {} s: {:.2} of the ramp's {:.2} ({:.3}; {:.2} by value), at 0.95 of it {}\n",
-            found.from,
-            found.until,
-            found.had,
-            found.ramp,
-            found.had / found.ramp,
-            found.best,
-            found.caught_up.map_or_else(|| "never".to_owned(), |after| format!("after {after} s")),
+            comparison.from,
+            comparison.until,
+            comparison.achieved,
+            comparison.ramp,
+            comparison.achieved / comparison.ramp,
+            comparison.best,
+            comparison.caught_up.map_or_else(|| "never".to_owned(), |after| format!("after {after} s")),
         );
     }
     if let Some(cold) = &outcome.cold {
@@ -382,19 +396,19 @@
     text
 }
 
-/// Writes a file whole or not at all.
+/// Writes a file atomically: whole or not at all.
 pub fn write(path: &Path, text: &str) -> Result<(), String> {
-    let fault = |error: std::io::Error| format!("{}: {error}", path.display());
+    let io_error = |error: std::io::Error| format!("{}: {error}", path.display());
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    fs::create_dir_all(folder).map_err(fault)?;
-    let mut file = tempfile::NamedTempFile::new_in(folder).map_err(fault)?;
-    std::io::Write::write_all(&mut file, text.as_bytes()).map_err(fault)?;
-    file.as_file().sync_all().map_err(fault)?;
-    file.persist(path).map_err(|error| fault(error.error))?;
+    fs::create_dir_all(folder).map_err(io_error)?;
+    let mut file = tempfile::NamedTempFile::new_in(folder).map_err(io_error)?;
+    std::io::Write::write_all(&mut file, text.as_bytes()).map_err(io_error)?;
+    file.as_file().sync_all().map_err(io_error)?;
+    file.persist(path).map_err(|error| io_error(error.error))?;
     Ok(())
 }
 
-/// Writes a page into a folder that is made if it is not there; where it is.
+/// Writes a page into a folder, which is created if needed. Returns the path of the page.
 pub fn write_page(folder: &Path, name: &str, html: &str) -> Result<PathBuf, String> {
     fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let name: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -10,7 +10,7 @@
 use topazsail_faults::{Call, ClockStep, Effect, Endpoint, Errno, Plan, Rule};
 
 use crate::fault_days::draw_ms;
-use crate::load::chance;
+use crate::load::seeded_generator;
 use crate::scenario::Scenario;
 
 /// Length of a soak day.
@@ -197,7 +197,7 @@
 ///
 /// Returns an error if the drawn scenario is not valid, which is a defect of this module.
 pub fn day(seed: u64) -> Result<Day, String> {
-    let mut rng = chance(seed, 20);
+    let mut rng = seeded_generator(seed, 20);
     let dispatchers = rng.random_range(3..=6);
     let store = rng.random_range(0..2) == 0;
     let is_crowded = rng.random_range(0..4) == 0;
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -36,14 +36,14 @@
 
 use self::http::{Connection, IdleState, Message, request, response};
 use self::process::Process;
-use crate::disks::{Folder, Found, Wrong};
-use crate::judge::{Back, Final, Judge, Seen, Terms};
-use crate::load::{self, Ask, Bring, chance, returns};
-use crate::runner::{Life, Load, News, Taken};
-use crate::scenario::{Effect, Group, Kept, Scenario, Told};
-use crate::tally::{About, End, Outcome, Tally};
-use crate::virtual_clock::runners as runner_results;
-use crate::world::{Change, State, World};
+use crate::disks::{DiskFault, DiskState, DispatcherDirectory};
+use crate::judge::{FinalStatus, ForwardEnd, Judge, JudgeParameters, Observation};
+use crate::load::{self, ArrivalGenerator, ClientRequest, retry_time, seeded_generator};
+use crate::runner::{JobEvent, LoadReport, OfferResult, ProcessState};
+use crate::scenario::{DeduplicationScope, DispatcherParameters, Effect, Scenario, StoreParameters};
+use crate::tally::{Outcome, RequestResult, RunDetails, Tally};
+use crate::virtual_clock::runner_outcomes as runner_results;
+use crate::world::{Change, ListingState, World};
 
 /// Tolerance in microseconds on the judge's time limits for the transport through sockets. The platform's own
 /// checks allow as much.
@@ -90,9 +90,9 @@
     judge: Judge,
     tally: Tally,
     /// Discovery's state of each runner.
-    states: Vec<State>,
+    states: Vec<ListingState>,
     /// Every change of discovery's states in order: generation, runner and new state.
-    changes: Vec<(u64, usize, State)>,
+    changes: Vec<(u64, usize, ListingState)>,
     /// Discovery's current generation.
     generation: u64,
     /// When discovery has finished its current call.
@@ -139,7 +139,7 @@
     /// Each dispatcher's address for operators; empty without a store.
     admin_addresses: Vec<SocketAddr>,
     /// Each dispatcher's disk; empty without a store.
-    folders: Vec<Folder>,
+    folders: Vec<DispatcherDirectory>,
     /// When each dispatcher was last killed.
     killed_at: Vec<Micros>,
     /// Where each dispatcher receives its peers' datagrams; empty without peers.
@@ -164,9 +164,9 @@
     }
 
     /// Passes an observation on a connection to the judge, with how late the lab may have been to make it.
-    fn record(&mut self, now: Micros, seen: Seen) {
-        self.judge.behind = self.observation_delay(now);
-        self.judge.see(now, seen);
+    fn record(&mut self, now: Micros, seen: Observation) {
+        self.judge.observation_delay = self.observation_delay(now);
+        self.judge.observe(now, seen);
     }
 }
 
@@ -195,7 +195,7 @@
     }
 
     /// Passes an observation to the judge.
-    fn record(&self, seen: Seen) {
+    fn record(&self, seen: Observation) {
         let now = self.now();
         self.shared.borrow_mut().record(now, seen);
     }
@@ -237,7 +237,7 @@
 }
 
 /// Formats a load report as runners send it.
-fn load_json(load: Load) -> serde_json::Value {
+fn load_json(load: LoadReport) -> serde_json::Value {
     json!({"x0": load.free, "backlog": load.waiting, "outstanding": load.in_flight})
 }
 
@@ -339,7 +339,7 @@
         reserved.push(listener);
         admin_addresses.push(address);
         let path = folder.join(format!("d{d}-store"));
-        let created = Folder::new(path, seed ^ (d as u64) << 32);
+        let created = DispatcherDirectory::new(path, seed ^ (d as u64) << 32);
         folders
             .push(created.map_err(|error| format!("cannot create the disk's directory of d{d}: {error}"))?);
     }
@@ -360,11 +360,11 @@
     drop(reserved_peers);
     // Released only after all ports were chosen: a port that is free again could be chosen twice.
     drop(reserved);
-    let terms = Terms::of(scenario, world.places(), RULE_SLACK, ANSWER_SLACK);
+    let terms = JudgeParameters::of(scenario, world.places(), RULE_SLACK, ANSWER_SLACK);
     let shared = Shared {
         judge: Judge::new(terms),
         tally: Tally::new(scenario),
-        states: vec![State::Up; runner_count],
+        states: vec![ListingState::Up; runner_count],
         changes: Vec::new(),
         generation: 1,
         discovery_busy: Micros::MIN,
@@ -382,7 +382,7 @@
             (0..dispatcher_count).map(|_| Vec::new()).collect(),
         ],
         deduplication_marks: BTreeMap::new(),
-        delay_random: chance(seed, 5),
+        delay_random: seeded_generator(seed, 5),
         open_invocations: 0,
         bad_client_rate: 0.0,
         lateness_checks: (0, 0, 0),
@@ -395,9 +395,9 @@
         killed_at: vec![0; dispatcher_count],
         peers,
         relays,
-        relay_random: chance(seed, 11),
+        relay_random: seeded_generator(seed, 11),
         operator_calls: [0; 2],
-        disk_random: chance(seed, 8),
+        disk_random: seeded_generator(seed, 8),
         scenario: scenario.clone(),
         seed,
         world,
@@ -459,13 +459,13 @@
     {
         shared.notes.push(format!("operators' calls: {done} answered yes, {refused} not"));
     }
-    let about = About {
+    let about = RunDetails {
         clock: "sockets".to_owned(),
         program: program.display().to_string(),
         seed,
         runners: runner_results(scenario, &shared.world, &shared.tally.forwards),
         faults: std::mem::take(&mut shared.world.bands),
-        cold: (shared.judge.cold_sent, shared.judge.cold_most),
+        cold: (shared.judge.cold_work, shared.judge.max_cold_share),
         cold_calls: shared.judge.cold_calls,
         verdict: std::mem::take(&mut shared.judge.verdict),
         void: std::mem::take(&mut shared.void),
@@ -488,14 +488,14 @@
     let roster = roster_json(lab, d, None);
     let shared = &mut *lab.shared.borrow_mut();
     let index = d as usize;
-    let parameters = Told {
+    let parameters = DispatcherParameters {
         number: d,
         zone: shared.scenario.zones.names[index % shared.world.zones].clone(),
-        seed: chance(shared.seed, 1 << 41 | u64::from(d) << 8 | shared.epochs[index]).random(),
+        seed: seeded_generator(shared.seed, 1 << 41 | u64::from(d) << 8 | shared.epochs[index]).random(),
         listen: shared.listen[index].to_string(),
         discovery: shared.discoveries[index].to_string(),
         known: roster,
-        kept: shared.folders.get(index).map(|folder| Kept {
+        store: shared.folders.get(index).map(|folder| StoreParameters {
             folder: folder.path().display().to_string(),
             admin: shared.admin_addresses[index].to_string(),
             peers: shared.peers.get(index).map(|at| {
@@ -508,7 +508,7 @@
     process.start()?;
     shared.epochs[index] += 1;
     let now = lab.now();
-    shared.judge.see(now, Seen::Began { dispatcher: d });
+    shared.judge.observe(now, Observation::Began { dispatcher: d });
     Ok(())
 }
 
@@ -625,38 +625,38 @@
                 update_routing(lab, d, false, notice);
             }
         }
-        Change::Begin(d) => {
+        Change::StartDispatcher(d) => {
             start_dispatcher(lab, &mut processes[d as usize])?;
             update_routing(lab, d, true, RETURN_NOTICE_DELAY);
         }
-        Change::Still(d, still) => {
+        Change::Suspend(d, still) => {
             let process = &processes[d as usize];
             process.signal(if still { libc::SIGSTOP } else { libc::SIGCONT });
             if process.is_running() {
                 let now = lab.now();
                 let shared = &mut *lab.shared.borrow_mut();
-                shared.judge.see(now, Seen::Still { dispatcher: d, still });
+                shared.judge.observe(now, Observation::Still { dispatcher: d, still });
                 shared.suspended[d as usize] = still;
             }
             let notice = lab.shared.borrow().scenario.clients.front_notice.0;
             update_routing(lab, d, !still, if still { notice } else { RETURN_NOTICE_DELAY });
         }
-        Change::Wrong(d, wrong, slow, on) => {
+        Change::DiskFault(d, wrong, slow, on) => {
             let shared = &mut *lab.shared.borrow_mut();
             let folder = &mut shared.folders[d as usize];
             match wrong {
-                Wrong::Full => folder.ailment.full = on,
-                Wrong::ReadOnly => folder.ailment.read_only = on,
-                Wrong::SyncFails => folder.ailment.sync_fails = on,
-                Wrong::Slow => folder.ailment.slow = if on { slow } else { 0 },
+                DiskFault::Full => folder.condition.full = on,
+                DiskFault::ReadOnly => folder.condition.read_only = on,
+                DiskFault::SyncFails => folder.condition.sync_fails = on,
+                DiskFault::Slow => folder.condition.slow = if on { slow } else { 0 },
             }
-            folder.tell().map_err(|error| format!("disk of d{d}: {error}"))?;
+            folder.write_control_file().map_err(|error| format!("disk of d{d}: {error}"))?;
         }
-        Change::Save(d) => {
+        Change::SaveDisk(d) => {
             let shared = &mut *lab.shared.borrow_mut();
             shared.folders[d as usize].save().map_err(|error| format!("disk of d{d}: {error}"))?;
         }
-        Change::Find(d, found, power, all) => {
+        Change::PrepareDisk(d, found, power, all) => {
             prepare_disk(lab, d, (found, power, all), processes[d as usize].is_running())?;
         }
         Change::Reload => {
@@ -673,15 +673,15 @@
     }
     for (r, inv) in follows.lost {
         let owner = lab.shared.borrow_mut().owners.remove(&(r, inv));
-        if let Some(d) = owner.filter(|_| lab.shared.borrow().world.runners[r].life == Life::Down) {
+        if let Some(d) = owner.filter(|_| lab.shared.borrow().world.runners[r].state == ProcessState::Down) {
             let lab = lab.clone();
             spawn_local(async move {
                 sleep(Duration::from_micros(LOST_JOB_REPORT_DELAY as u64)).await;
-                call_back(&lab, r, d, inv, "lost", None, Some(Back::MayHaveRun)).await;
+                call_back(&lab, r, d, inv, "lost", None, Some(ForwardEnd::MayHaveRun)).await;
             });
         }
     }
-    for (r, inv, news) in follows.news {
+    for (r, inv, news) in follows.job_events {
         report_job_event(lab, r, inv, news);
     }
     for (r, state, after) in follows.listed {
@@ -701,7 +701,7 @@
 fn prepare_disk(
     lab: &Lab,
     d: u32,
-    (found, power, all): (Found, bool, bool),
+    (found, power, all): (DiskState, bool, bool),
     is_running: bool,
 ) -> Result<(), String> {
     let unix_now = lab.zero.get().1 + lab.now();
@@ -712,20 +712,20 @@
         return Ok(());
     }
     let (index, count) = (d as usize, shared.folders.len());
-    let ailment = &mut shared.folders[index].ailment;
+    let ailment = &mut shared.folders[index].condition;
     ailment.seed = ailment.seed.wrapping_add(1);
     if power {
         // The machine has been starting since the loss of power.
         (ailment.life, ailment.up_since) = (ailment.life + 1, unix_now - (now - shared.killed_at[index]));
     }
     let other = Some(&shared.folders[(index + 1) % count]).filter(|_| count > 1);
-    let changed = shared.folders[index].find(found, other, &mut shared.disk_random);
-    let written = changed.and_then(|()| shared.folders[index].tell());
+    let changed = shared.folders[index].prepare(found, other, &mut shared.disk_random);
+    let written = changed.and_then(|()| shared.folders[index].write_control_file());
     // State that a disk lost is excused only where no peer can supply it.
     let store = shared.scenario.store.as_ref();
     let excused = store.is_some_and(|store| store.excused && (all || !store.peers));
-    if found != Found::Kept && excused {
-        shared.judge.see(now, Seen::Forgets { dispatcher: d });
+    if found != DiskState::Kept && excused {
+        shared.judge.observe(now, Observation::Forgets { dispatcher: d });
     }
     written.map_err(|error| format!("disk of d{d}: {error}"))
 }
@@ -750,16 +750,16 @@
 // Discovery.
 
 /// Changes discovery's state of a runner and notifies the watches.
-fn publish_change(lab: &Lab, r: usize, state: State) {
+fn publish_change(lab: &Lab, r: usize, state: ListingState) {
     let now = lab.now();
     let shared = &mut *lab.shared.borrow_mut();
     let runner = &shared.world.runners[r];
     // A state that is outdated because the runner was started again is ignored.
-    if state != State::Up && runner.life == Life::Up && !runner.draining {
+    if state != ListingState::Up && runner.state == ProcessState::Up && !runner.draining {
         return;
     }
-    let (wanted, launched) = (state == State::Up, runner.launched);
-    shared.judge.see(now, Seen::Listed { runner: r as u32, wanted, launched });
+    let (wanted, launched) = (state == ListingState::Up, runner.launched);
+    shared.judge.observe(now, Observation::Listed { runner: r as u32, wanted, launched });
     shared.states[r] = state;
     shared.generation += 1;
     shared.changes.push((shared.generation, r, state));
@@ -770,16 +770,21 @@
 fn roster_json(lab: &Lab, d: u32, since: Option<u64>) -> serde_json::Value {
     let shared = lab.shared.borrow();
     let addresses = &shared.addresses[d as usize];
-    let entry = |(r, state): (usize, State)| {
+    let entry = |(r, state): (usize, ListingState)| {
         shared.world.entry(&shared.scenario, r, state, lab.zero.get().1, &addresses[r].to_string())
     };
     let instances: Vec<serde_json::Value> = match since {
-        None => {
-            shared.states.iter().copied().enumerate().filter(|(_, s)| *s != State::Gone).map(entry).collect()
-        }
+        None => shared
+            .states
+            .iter()
+            .copied()
+            .enumerate()
+            .filter(|(_, s)| *s != ListingState::Gone)
+            .map(entry)
+            .collect(),
         Some(since) => {
             // The latest state of each runner.
-            let changed: BTreeMap<usize, State> = shared
+            let changed: BTreeMap<usize, ListingState> = shared
                 .changes
                 .iter()
                 .filter(|(at, ..)| *at > since)
@@ -798,15 +803,15 @@
     let shared = &mut *lab.shared.borrow_mut();
     let mut named = vec![false; shared.states.len()];
     for instance in roster["instances"].as_array().into_iter().flatten() {
-        let runner = crate::policy::number(instance["instanceId"].as_str().unwrap_or("r"));
+        let runner = crate::policy::runner_number(instance["instanceId"].as_str().unwrap_or("r"));
         let wanted = instance["lifecycle"] == "up";
         if let Some(named) = named.get_mut(runner as usize) {
             *named = true;
         }
-        shared.judge.see(now, Seen::Told { dispatcher: d, runner, wanted });
+        shared.judge.observe(now, Observation::Told { dispatcher: d, runner, wanted });
     }
     for runner in (0..named.len()).filter(|r| whole && !named[*r]) {
-        shared.judge.see(now, Seen::Told { dispatcher: d, runner: runner as u32, wanted: false });
+        shared.judge.observe(now, Observation::Told { dispatcher: d, runner: runner as u32, wanted: false });
     }
 }
 
@@ -892,7 +897,7 @@
     let address = lab.shared.borrow().addresses[d as usize][r];
     let mut changed = lab.changed.subscribe();
     loop {
-        let down = lab.shared.borrow().world.runners[r].life == Life::Down;
+        let down = lab.shared.borrow().world.runners[r].state == ProcessState::Down;
         if down {
             listener = None;
         } else if listener.is_none() {
@@ -931,7 +936,7 @@
         let shared = &mut *lab.shared.borrow_mut();
         let runner = &mut shared.world.runners[r];
         // Accepted just as the process ended: as on a real machine, the connection is reset.
-        if runner.life == Life::Down || !runner.connect(now) {
+        if runner.state == ProcessState::Down || !runner.connect(now) {
             return connection.reset();
         }
         shared.tally.traffic.connections += 1;
@@ -952,9 +957,9 @@
     if let Some(inv) = pending {
         // A forward without its 202: it was lost with the runner's process, or the dispatcher withdrew it.
         let how = if process_ended {
-            Seen::Ended { inv, runner: r as u32, how: Back::MayHaveRun }
+            Observation::Ended { inv, runner: r as u32, how: ForwardEnd::MayHaveRun }
         } else {
-            Seen::Withdrawn { inv, runner: r as u32 }
+            Observation::Withdrawn { inv, runner: r as u32 }
         };
         lab.record(how);
         if !process_ended {
@@ -1007,7 +1012,9 @@
             record_forward(lab, d, r, inv);
             let deadline = message.header("x-deadline-ms").and_then(|text| text.parse::<Micros>().ok());
             if let Some(deadline) = deadline {
-                lab.shared.borrow_mut().record(lab.now(), Seen::TimeTold { inv, told: deadline * 1000 });
+                lab.shared
+                    .borrow_mut()
+                    .record(lab.now(), Observation::TimeTold { inv, told: deadline * 1000 });
             }
         }
         // A dispatcher that closes its connection meanwhile has withdrawn the forward.
@@ -1015,7 +1022,7 @@
             lab.traverse_link(near, far).await;
             lab.wait_while(|shared| {
                 let runner = &shared.world.runners[r];
-                runner.frozen || runner.life == Life::Silent
+                runner.frozen || runner.state == ProcessState::Silent
             })
             .await;
         };
@@ -1033,7 +1040,7 @@
                 let inv = target.strip_prefix("/jobs/").and_then(|id| u64::from_str_radix(id, 16).ok());
                 match inv {
                     Some(inv) => {
-                        lab.record(Seen::Withdrawn { inv, runner: r as u32 });
+                        lab.record(Observation::Withdrawn { inv, runner: r as u32 });
                         let known = cancel_job(lab, r, inv);
                         (response(if known { 200 } else { 404 }, "", ""), None)
                     }
@@ -1050,7 +1057,7 @@
         };
         lab.traverse_link(far, near).await;
         if let (Some(inv), Some(how)) = (*pending, reply.1) {
-            lab.record(Seen::Ended { inv, runner: r as u32, how });
+            lab.record(Observation::Ended { inv, runner: r as u32, how });
         }
         connection.send(&reply.0).await?;
         *pending = None;
@@ -1069,14 +1076,14 @@
     let cold = (runner.warmth(now) < 1.0).then(|| runner.capacity(now));
     let work = shared.judge.work(inv);
     let far = runner.zone != d as usize % shared.world.zones;
-    shared.record(now, Seen::Forwarded { inv, dispatcher: d, runner: r as u32, work, cold });
+    shared.record(now, Observation::Forwarded { inv, dispatcher: d, runner: r as u32, work, cold });
     shared.tally.traffic.forwards += 1;
     shared.tally.traffic.crossings += u64::from(far);
     shared.tally.forwards[r] += 1;
 }
 
 /// Offers a forwarded job to the runner. Returns the response, and how the forward ended if it did.
-fn accept_job(lab: &Lab, d: u32, r: usize, inv: u64, message: &Message) -> (Vec<u8>, Option<Back>) {
+fn accept_job(lab: &Lab, d: u32, r: usize, inv: u64, message: &Message) -> (Vec<u8>, Option<ForwardEnd>) {
     let now = lab.now();
     // The amount of work is in the body.
     let body: serde_json::Value = serde_json::from_slice(&message.body).unwrap_or_default();
@@ -1090,9 +1097,9 @@
         let taken = runner.offer(now, inv, operation, work, &mut news);
         let load = load_json(runner.report(now));
         match taken {
-            Taken::Yes => drop(shared.owners.insert((r, inv), d)),
-            Taken::Full => shared.tally.traffic.turned_away += 1,
-            Taken::Failed => {}
+            OfferResult::Accepted => drop(shared.owners.insert((r, inv), d)),
+            OfferResult::Full => shared.tally.traffic.turned_away += 1,
+            OfferResult::Failed => {}
         }
         (taken, load)
     };
@@ -1101,11 +1108,13 @@
     }
     lab.runner_changed[r].notify_one();
     match taken {
-        Taken::Yes => (response(202, "", ""), None),
-        Taken::Full => {
-            (response(503, &format!("X-Not-Run: 1\r\nX-Load: {load}\r\n"), ""), Some(Back::NeverRan))
+        OfferResult::Accepted => (response(202, "", ""), None),
+        OfferResult::Full => {
+            (response(503, &format!("X-Not-Run: 1\r\nX-Load: {load}\r\n"), ""), Some(ForwardEnd::NeverRan))
+        }
+        OfferResult::Failed => {
+            (response(500, &format!("X-Load: {load}\r\n"), ""), Some(ForwardEnd::MayHaveRun))
         }
-        Taken::Failed => (response(500, &format!("X-Load: {load}\r\n"), ""), Some(Back::MayHaveRun)),
     }
 }
 
@@ -1137,23 +1146,23 @@
 }
 
 /// Reports an event of a job: its start to the judge, everything else to its dispatcher by call-back.
-fn report_job_event(lab: &Lab, r: usize, inv: u64, news: News) {
-    if news == News::Started {
+fn report_job_event(lab: &Lab, r: usize, inv: u64, news: JobEvent) {
+    if news == JobEvent::Started {
         return record_run(lab, r, inv);
     }
     let now = lab.now();
     let shared = &mut *lab.shared.borrow_mut();
     let load = load_json(shared.world.runners[r].report(now));
     let owner = match news {
-        News::Progress(_) => shared.owners.get(&(r, inv)).copied(),
+        JobEvent::Progress(_) => shared.owners.get(&(r, inv)).copied(),
         _ => shared.owners.remove(&(r, inv)),
     };
     let Some(d) = owner else { return };
     let (state, share, outcome) = match news {
-        News::Progress(share) => ("running", Some(share), None),
-        News::Done => ("done", None, Some(Back::Succeeded)),
-        News::Returned => ("returned", None, Some(Back::NeverRan)),
-        News::Started | News::Failed => ("failed", None, Some(Back::MayHaveRun)),
+        JobEvent::Progress(share) => ("running", Some(share), None),
+        JobEvent::Done => ("done", None, Some(ForwardEnd::Succeeded)),
+        JobEvent::Returned => ("returned", None, Some(ForwardEnd::NeverRan)),
+        JobEvent::Started | JobEvent::Failed => ("failed", None, Some(ForwardEnd::MayHaveRun)),
     };
     let details = match share {
         Some(share) => json!({"share": share}),
@@ -1173,9 +1182,9 @@
     let runner = &shared.world.runners[r];
     let is_new = op.effect != Effect::Deduplicated || {
         let scope = match op.group {
-            Group::All => -1,
-            Group::Zone => runner.zone as i64,
-            Group::Cell => runner.cell,
+            DeduplicationScope::All => -1,
+            DeduplicationScope::Zone => runner.zone as i64,
+            DeduplicationScope::Cell => runner.cell,
         };
         let key = (inv >> ATTEMPT_BITS, scope);
         let is_new = shared.deduplication_marks.get(&key).is_none_or(|at| now > at + op.memory_span.0);
@@ -1185,7 +1194,7 @@
         is_new
     };
     if is_new {
-        shared.judge.see(now, Seen::Ran { inv, runner: r as u32 });
+        shared.judge.observe(now, Observation::Ran { inv, runner: r as u32 });
     }
 }
 
@@ -1198,7 +1207,7 @@
     inv: u64,
     state: &str,
     details: Option<serde_json::Value>,
-    outcome: Option<Back>,
+    outcome: Option<ForwardEnd>,
 ) {
     let mut body = json!({"id": format!("{inv:x}"), "from": format!("r{r}"), "state": state});
     if let (Some(body), Some(serde_json::Value::Object(details))) = (body.as_object_mut(), details) {
@@ -1218,7 +1227,7 @@
         };
         if let Ok(mut connection) = connection {
             if let Some(how) = outcome.filter(|_| !std::mem::replace(&mut recorded, true)) {
-                lab.record(Seen::Ended { inv, runner: r as u32, how });
+                lab.record(Observation::Ended { inv, runner: r as u32, how });
             }
             let exchange = async {
                 connection.send(&message).await?;
@@ -1245,9 +1254,9 @@
 
 /// Starts each client request at its time, independent of the results of earlier ones (open loop).
 async fn generate_load(lab: Lab) {
-    let asks: Vec<Ask> = {
+    let asks: Vec<ClientRequest> = {
         let shared = lab.shared.borrow();
-        Bring::new(&shared.scenario, shared.world.capacity(), shared.seed).collect()
+        ArrivalGenerator::new(&shared.scenario, shared.world.capacity(), shared.seed).collect()
     };
     lab.shared.borrow_mut().open_invocations = asks.len() as u64;
     for (number, ask) in asks.into_iter().enumerate() {
@@ -1258,14 +1267,14 @@
             let now = lab.now();
             let shared = &mut *lab.shared.borrow_mut();
             // Measured from the scheduled time, so that delays of the lab's own count as waiting.
-            shared.tally.end(&ask, end, now - ask.at);
+            shared.tally.record_end(&ask, end, now - ask.at);
             shared.open_invocations -= 1;
         });
     }
 }
 
 /// Runs one client request with its retries. Returns how it ended.
-async fn run_client(lab: &Lab, number: u64, ask: &Ask) -> End {
+async fn run_client(lab: &Lab, number: u64, ask: &ClientRequest) -> RequestResult {
     let gives_up_at = ask.at + lab.shared.borrow().scenario.operation[ask.operation].client_timeout.0;
     let mut attempts = 0;
     loop {
@@ -1273,14 +1282,14 @@
         let inv = number << ATTEMPT_BITS | attempts;
         let result = attempt(lab, inv, ask, gives_up_at).await;
         let end = match result {
-            load::Seen::Succeeded => return End::Succeeded,
-            load::Seen::Throttled(_) => End::Throttled,
-            load::Seen::Errored => End::Errored,
-            load::Seen::Untaken | load::Seen::Nothing => End::Nothing,
+            load::AttemptResult::Succeeded => return RequestResult::Succeeded,
+            load::AttemptResult::Throttled(_) => RequestResult::Throttled,
+            load::AttemptResult::Errored => RequestResult::Errored,
+            load::AttemptResult::Untaken | load::AttemptResult::Nothing => RequestResult::Nothing,
         };
         let (now, retry_at) = (lab.now(), {
             let shared = lab.shared.borrow();
-            returns(&shared.scenario, shared.seed, (number, ask), attempts as u32, result, lab.now())
+            retry_time(&shared.scenario, shared.seed, (number, ask), attempts as u32, result, lab.now())
         });
         match retry_at.filter(|_| now < gives_up_at) {
             Some(at) => lab.sleep_until(at).await,
@@ -1298,7 +1307,7 @@
         match (connection.idle_state(), connection.last_answered) {
             (IdleState::Quiet, _) => return Some(connection),
             (IdleState::UnexpectedData, Some(inv)) => {
-                shared.judge.see(now, Seen::Answered { inv, how: Final::Errored })
+                shared.judge.observe(now, Observation::Answered { inv, how: FinalStatus::Errored })
             }
             _ => {}
         }
@@ -1307,17 +1316,17 @@
 }
 
 /// Sends one attempt of a client request. Returns the result as the client sees it.
-async fn attempt(lab: &Lab, inv: u64, ask: &Ask, gives_up_at: Micros) -> load::Seen {
+async fn attempt(lab: &Lab, inv: u64, ask: &ClientRequest, gives_up_at: Micros) -> load::AttemptResult {
     let (d, epoch, address, path, extra) = {
         let shared = &mut *lab.shared.borrow_mut();
         shared.tally.traffic.tries += 1;
         let all = shared.listen.len();
-        let start = chance(shared.seed ^ 0x5eed, inv).random_range(0..all);
+        let start = seeded_generator(shared.seed ^ 0x5eed, inv).random_range(0..all);
         let is_usable =
             |d: &usize| shared.routable[*d] || shared.terminating[*d] && !shared.idle[0][*d].is_empty();
         let order = || (0..all).map(|step| (start + step) % all).filter(is_usable);
         let near = order().find(|d| d % shared.world.zones == ask.zone);
-        let Some(d) = near.or_else(|| order().next()) else { return load::Seen::Untaken };
+        let Some(d) = near.or_else(|| order().next()) else { return load::AttemptResult::Untaken };
         let op = &shared.scenario.operation[ask.operation];
         let mut extra = String::new();
         if op.effect == Effect::Deduplicated {
@@ -1336,8 +1345,8 @@
     for use_new_connection in [false, true] {
         if use_new_connection && taken && !lab.shared.borrow().routable[d] {
             // The dispatcher closed the idle connection and takes no new ones: the client retries elsewhere.
-            lab.record(Seen::Crossed { inv });
-            return load::Seen::Untaken;
+            lab.record(Observation::Crossed { inv });
+            return load::AttemptResult::Untaken;
         }
         let reused = if use_new_connection { None } else { reusable_connection(lab, 0, d) };
         let was_reused = reused.is_some();
@@ -1349,20 +1358,24 @@
             if taken {
                 break;
             }
-            return load::Seen::Untaken;
+            return load::AttemptResult::Untaken;
         };
         let left = (gives_up_at - lab.now()).max(0);
         let head = format!("X-Request-Id: {inv:x}\r\nX-Deadline-Ms: {}\r\n{extra}", left / 1000);
         // A process that has ended cannot take the request, even if the kernel accepted the connection.
         if lab.shared.borrow().epochs[d].is_multiple_of(2) {
-            return load::Seen::Untaken;
+            return load::AttemptResult::Untaken;
         }
         if !std::mem::replace(&mut taken, true) {
             let now = lab.now();
-            let seen =
-                Seen::Taken { inv, dispatcher: d as u32, operation: ask.operation, expires_at: gives_up_at };
+            let seen = Observation::Taken {
+                inv,
+                dispatcher: d as u32,
+                operation: ask.operation,
+                expires_at: gives_up_at,
+            };
             let shared = &mut *lab.shared.borrow_mut();
-            shared.judge.see(now, seen);
+            shared.judge.observe(now, seen);
             shared.judge.note_work(inv, ask.work);
         }
         let exchange = async {
@@ -1375,10 +1388,10 @@
         match timeout(abandon_after.unwrap_or(response_timeout), exchange).await {
             Err(_) if abandon_after.is_some() => {
                 drop(connection);
-                lab.record(Seen::Left { inv });
-                return load::Seen::Nothing;
+                lab.record(Observation::Left { inv });
+                return load::AttemptResult::Nothing;
             }
-            Err(_) => return load::Seen::Nothing,
+            Err(_) => return load::AttemptResult::Nothing,
             Ok(Ok(Some(message))) => return handle_response(lab, inv, d, connection, &message),
             // A reused connection was closed before the request was read: it is sent again on a new one.
             Ok(Ok(None) | Err(_)) if was_reused && lab.shared.borrow().epochs[d] == epoch => {}
@@ -1387,22 +1400,22 @@
     }
     // Either the dispatcher was killed, or it broke the rule that every request is answered.
     if lab.shared.borrow().epochs[d] != epoch {
-        lab.record(Seen::Lost { inv });
+        lab.record(Observation::Lost { inv });
     } else {
         // The socket may close shortly before the lab records the kill.
         sleep(Duration::from_millis(60)).await;
         if lab.shared.borrow().epochs[d] != epoch {
-            lab.record(Seen::Lost { inv });
+            lab.record(Observation::Lost { inv });
         }
     }
-    load::Seen::Nothing
+    load::AttemptResult::Nothing
 }
 
 /// Returns after how long the client closes its connection without waiting for the answer; `None` if it
 /// waits.
 fn abandon_delay(lab: &Lab, inv: u64, left: Micros) -> Option<Duration> {
     let shared = lab.shared.borrow();
-    let mut rng = chance(shared.seed ^ 0x1ea7, inv);
+    let mut rng = seeded_generator(shared.seed ^ 0x1ea7, inv);
     let abandons = rng.random::<f64>() < shared.scenario.clients.leaves;
     abandons.then(|| Duration::from_micros((left as f64 * rng.random_range(0.01..0.4)) as u64))
 }
@@ -1414,7 +1427,7 @@
     d: usize,
     mut connection: Connection,
     message: &Message,
-) -> load::Seen {
+) -> load::AttemptResult {
     let retry_after = message.header("retry-after").and_then(|text| text.parse::<f64>().ok());
     let retry_after = retry_after.map(|seconds| (seconds.clamp(0.0, 3600.0) * 1e6) as Micros);
     if message.keeps_alive() {
@@ -1422,20 +1435,20 @@
         lab.shared.borrow_mut().idle[0][d].push(connection);
     }
     let (how, seen) = match message.status {
-        200 => (Final::Succeeded, load::Seen::Succeeded),
-        429 | 503 => (Final::Throttled, load::Seen::Throttled(retry_after)),
-        _ => (Final::Errored, load::Seen::Errored),
+        200 => (FinalStatus::Succeeded, load::AttemptResult::Succeeded),
+        429 | 503 => (FinalStatus::Throttled, load::AttemptResult::Throttled(retry_after)),
+        _ => (FinalStatus::Errored, load::AttemptResult::Errored),
     };
-    if how == Final::Succeeded && message.body != format!("result of {inv:x}").as_bytes() {
-        lab.record(Seen::Forged { inv });
+    if how == FinalStatus::Succeeded && message.body != format!("result of {inv:x}").as_bytes() {
+        lab.record(Observation::Forged { inv });
     }
-    lab.record(Seen::Answered { inv, how });
+    lab.record(Observation::Answered { inv, how });
     seen
 }
 
 /// Sends malformed requests at the scenario's current rate.
 async fn bad_clients(lab: Lab) {
-    let mut rng = chance(lab.shared.borrow().seed, 7);
+    let mut rng = seeded_generator(lab.shared.borrow().seed, 7);
     loop {
         let (rate, all) = {
             let shared = lab.shared.borrow();
--- a/lab/src/sockets/operators.rs
+++ b/lab/src/sockets/operators.rs
@@ -14,8 +14,8 @@
 use tokio::time::{sleep, timeout};
 
 use super::Lab;
-use crate::judge::Seen;
-use crate::load::chance;
+use crate::judge::Observation;
+use crate::load::seeded_generator;
 
 /// How long an operator waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
@@ -56,7 +56,7 @@
             shared.epochs.len(),
         )
     };
-    let mut rng = chance(seed, 9);
+    let mut rng = seeded_generator(seed, 9);
     // Runners that are out of service.
     let mut out: BTreeSet<u32> = BTreeSet::new();
     if interval <= 0 {
@@ -84,7 +84,7 @@
         for d in 0..dispatcher_count as u32 {
             let (lab, line) = (lab.clone(), line.clone());
             calls.spawn_local(async move {
-                let unknown = Seen::Hand { dispatcher: d, runner, out: None };
+                let unknown = Observation::Hand { dispatcher: d, runner, out: None };
                 if !takes_out {
                     lab.record(unknown.clone());
                 }
@@ -92,7 +92,7 @@
                     admin_call(&lab, d, &line).await.is_some_and(|answer| answer.starts_with("YES"));
                 lab.shared.borrow_mut().operator_calls[usize::from(accepted)] += 1;
                 lab.record(if accepted {
-                    Seen::Hand { dispatcher: d, runner, out: Some(takes_out) }
+                    Observation::Hand { dispatcher: d, runner, out: Some(takes_out) }
                 } else {
                     unknown
                 });
@@ -119,11 +119,11 @@
         let answer = if up { admin_call(&lab, d, "status").await } else { None };
         if let Some(answer) = &answer {
             if let Some(boot) = field(answer, "boot").and_then(|boot| boot.parse().ok()) {
-                lab.record(Seen::Boot { dispatcher: d, boot });
+                lab.record(Observation::Boot { dispatcher: d, boot });
             }
             let stage = field(answer, "stage").unwrap_or_default();
             if matches!(stage, "finding" | "numbered") {
-                lab.record(Seen::Unlisted { dispatcher: d, asked });
+                lab.record(Observation::Unlisted { dispatcher: d, asked });
             }
             if stage == "serving" {
                 serving_epoch = epoch;
--- a/lab/src/sockets/relay.rs
+++ b/lab/src/sockets/relay.rs
@@ -63,7 +63,10 @@
                 continue;
             }
             let path = (from as u32, to as u32);
-            (shared.world.carry(&shared.scenario, path, now, &mut shared.relay_random), shared.peers[to])
+            (
+                shared.world.datagram_delays(&shared.scenario, path, now, &mut shared.relay_random),
+                shared.peers[to],
+            )
         };
         for delay in delays {
             if delay < MIN_DELAY {
--- a/lab/src/start.rs
+++ b/lab/src/start.rs
@@ -1,8 +1,8 @@
-//! A dispatcher's start in virtual time, where its scenario has a store: the stages of recovery and what is taken while
-//! the fleet is cold, by the very cores that the program uses.
+//! A dispatcher's start in virtual time, where its scenario has a store: the stages of recovery, and the
+//! admission limits while the fleet is cold. It uses the same recovery module as the program.
 //!
-//! The disk itself is not played here: it is read at once and holds what was kept. It must never decide anything that
-//! the cores do not.
+//! The disk is not played here: it is read at once and holds what was stored. No decision is made here that
+//! the recovery module does not make.
 
 use std::collections::BTreeMap;
 
@@ -13,53 +13,62 @@
 use topazsail_recovery::{Event, Recovery, Stage};
 use topazsail_store::LoadSummary;
 
-/// Advice to those who come before there is service, or for whom there is no room: spread over this.
-const SPREAD: Micros = 1_000_000;
+/// Spread of the Retry-After for invocations that come before the dispatcher serves or that exceed the
+/// limits, in microseconds.
+const RETRY_SPREAD: Micros = 1_000_000;
 
-pub struct Start {
+/// The stages of one dispatcher's start.
+pub struct Startup {
     recovery: Recovery,
     limits: AdmissionLimits,
-    /// Listed runners and when each started, as this dispatcher has been told.
+    /// Listed runners and when each started, as this dispatcher knows them.
     listed: BTreeMap<u32, Option<Micros>>,
-    /// Runners that the remembered list had.
-    began_with: usize,
-    cold_from: f64,
-    warm_within: Micros,
-    come_back_most: Option<Micros>,
-    drawn: Pcg32,
+    /// Number of runners in the stored roster.
+    remembered_count: usize,
+    cold_capacity_share: f64,
+    warm_up_span: Micros,
+    max_retry_after: Option<Micros>,
+    rng: Pcg32,
 }
 
-impl Start {
-    pub fn new(settings: &Settings, peers: bool, began_with: usize, drawn: Pcg32, now: Micros) -> Start {
-        let worth = |op: &topazsail::Operation| OperationValue {
+impl Startup {
+    /// The start of a process at `now`, with `remembered_count` runners in its stored roster.
+    pub fn new(
+        settings: &Settings,
+        peers: bool,
+        remembered_count: usize,
+        rng: Pcg32,
+        now: Micros,
+    ) -> Startup {
+        let operation_value = |op: &topazsail::Operation| OperationValue {
             value: op.billed_value,
             latency_objective: op.latency_objective,
         };
         let mut recovery = Recovery::new(peers, now);
         recovery.handle(now, Event::StoreOpened { summary: &LoadSummary::default(), boot: Some(1) });
-        Start {
+        Startup {
             recovery,
-            limits: AdmissionLimits::new(settings.operations.iter().map(worth), now),
+            limits: AdmissionLimits::new(settings.operations.iter().map(operation_value), now),
             listed: BTreeMap::new(),
-            began_with,
-            cold_from: settings.cold_capacity_share,
-            warm_within: settings.warm_up_span,
-            come_back_most: settings.max_retry_after,
-            drawn,
+            remembered_count,
+            cold_capacity_share: settings.cold_capacity_share,
+            warm_up_span: settings.warm_up_span,
+            max_retry_after: settings.max_retry_after,
+            rng,
         }
     }
 
-    /// Discovery has told a whole list, or one change.
-    pub fn list(
+    /// Handles a whole list from discovery, or one change of it.
+    pub fn update_roster(
         &mut self,
-        told: impl Iterator<Item = (u32, bool, Option<Micros>)>,
-        whole: bool,
+        runners: impl Iterator<Item = (u32, bool, Option<Micros>)>,
+        is_whole: bool,
         now: Micros,
     ) {
-        if whole {
+        if is_whole {
             self.listed.clear();
         }
-        for (runner, wanted, launched) in told {
+        for (runner, wanted, launched) in runners {
             if wanted {
                 self.listed.insert(runner, launched)
             } else {
@@ -69,58 +78,61 @@
         self.recovery.handle(now, Event::RosterReceived);
     }
 
-    /// Of so many others so many have answered.
-    pub fn agree(&mut self, (all, agree): (usize, usize), now: Micros) {
+    /// Passes on how many of all peers have answered.
+    pub fn peers_agreed(&mut self, (all, agree): (usize, usize), now: Micros) {
         self.recovery.handle(now, Event::PeerAgreement { all, agree });
     }
 
-    pub fn asks(&self) -> bool {
+    /// Whether the answers of peers still matter for the stage.
+    pub fn is_waiting_for_peers(&self) -> bool {
         self.recovery.stage() < Stage::Asked
     }
 
     /// Listed runners that are cold.
-    pub fn cold(&self, now: Micros) -> Vec<u32> {
-        let cold = |launched: &Option<Micros>| launched.is_some_and(|at| now < at + self.warm_within);
+    pub fn cold_runners(&self, now: Micros) -> Vec<u32> {
+        let cold = |launched: &Option<Micros>| launched.is_some_and(|at| now < at + self.warm_up_span);
         self.listed.iter().filter(|(_, launched)| cold(launched)).map(|(r, _)| *r).collect()
     }
 
-    pub fn refused(&mut self, now: Micros) {
+    /// Notes that discovery has refused a call.
+    pub fn discovery_refused(&mut self, now: Micros) {
         self.recovery.handle(now, Event::DiscoveryFailed);
     }
 
     fn warmth(&self, now: Micros) -> f64 {
-        let span = (self.cold_from, self.warm_within);
+        let span = (self.cold_capacity_share, self.warm_up_span);
         let warm: f64 = self.listed.values().map(|launched| limits::warmth(*launched, span, now)).sum();
-        warm / self.listed.len().max(self.began_with).max(1) as f64
+        warm / self.listed.len().max(self.remembered_count).max(1) as f64
     }
 
-    /// Whether one that comes now is taken; else when its client is told to come back.
-    pub fn takes(&mut self, operation: usize, now: Micros) -> Result<(), Option<Micros>> {
+    /// Admits an invocation, or returns the retry advice for its client in microseconds.
+    pub fn admit(&mut self, operation: usize, now: Micros) -> Result<(), Option<Micros>> {
         if self.recovery.stage() == Stage::Serving {
             return Ok(());
         }
         self.recovery.tick(now);
-        let (drawn, spread): (f64, Micros) = (self.drawn.random(), self.drawn.random_range(0..SPREAD));
-        let come_back =
-            self.come_back_most.map(|most| (self.recovery.time_to_service(now) + spread).min(most));
+        let (drawn, spread): (f64, Micros) = (self.rng.random(), self.rng.random_range(0..RETRY_SPREAD));
+        let retry_after =
+            self.max_retry_after.map(|most| (self.recovery.time_to_service(now) + spread).min(most));
         if !self.recovery.may_forward() {
-            return Err(come_back);
+            return Err(retry_after);
         }
         self.recovery.handle(now, Event::Warmth(self.warmth(now)));
         let limited = self.recovery.stage() == Stage::Limited;
-        if limited && !self.limits.admit(operation, drawn, now) { Err(come_back) } else { Ok(()) }
+        if limited && !self.limits.admit(operation, drawn, now) { Err(retry_after) } else { Ok(()) }
     }
 
-    /// Something that was taken found no room.
-    pub fn short(&mut self, now: Micros) {
+    /// Notes that an admitted invocation was throttled for lack of capacity.
+    pub fn note_throttled(&mut self, now: Micros) {
         if self.recovery.stage() == Stage::Limited {
             self.limits.record_shortage(self.warmth(now), now);
         }
     }
 
-    pub fn succeeded(&mut self, operation: usize, took: Micros) {
+    /// Records the duration of a successful invocation in microseconds, for the admission limits.
+    pub fn succeeded(&mut self, operation: usize, duration: Micros) {
         if self.recovery.stage() == Stage::Limited {
-            self.limits.record_success(operation, took);
+            self.limits.record_success(operation, duration);
         }
     }
 }
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -1,7 +1,7 @@
-//! What a run came to: counts, billed value in time, latencies from when work was due, load by runner.
+//! The results of a run: counts, goodput by billed value, latencies from when work was due, load by runner.
 //!
-//! It owns the figures and their form as JSON. It does no I/O; a run with the same seed in virtual time gives
-//! the same bytes, so it must never hold anything that depends on the wall clock there.
+//! It computes the figures and defines their JSON format. It does no I/O. In virtual time a run with the same
+//! seed gives the same bytes, so nothing here depends on the wall clock there.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Serialize};
 use topazsail::Micros;
 
-use crate::load::Ask;
+use crate::load::ClientRequest;
 use crate::ramp::ramp;
 use crate::scenario::Scenario;
 
-/// How an ask ended for its client, over all its tries.
+/// How a request ended for its client, after all attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestResult {
     Succeeded,
     Throttled,
     Errored,
@@ -23,6 +23,7 @@
     Nothing,
 }
 
+/// Requests by result.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Counts {
     pub asked: u64,
@@ -30,23 +31,24 @@
     pub late: u64,
     pub throttled: u64,
     pub errored: u64,
+    /// Requests without any answer.
     pub nothing: u64,
 }
 
 impl Counts {
-    fn note(&mut self, end: End, in_time: bool) {
+    fn add(&mut self, end: RequestResult, in_time: bool) {
         self.asked += 1;
         match end {
-            End::Succeeded if in_time => self.in_time += 1,
-            End::Succeeded => self.late += 1,
-            End::Throttled => self.throttled += 1,
-            End::Errored => self.errored += 1,
-            End::Nothing => self.nothing += 1,
+            RequestResult::Succeeded if in_time => self.in_time += 1,
+            RequestResult::Succeeded => self.late += 1,
+            RequestResult::Throttled => self.throttled += 1,
+            RequestResult::Errored => self.errored += 1,
+            RequestResult::Nothing => self.nothing += 1,
         }
     }
 }
 
-/// Milliseconds from when the work was due to the last byte of its success.
+/// Latency in milliseconds, from when the work was due to the last byte of its success.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Latency {
     pub p50: f64,
@@ -64,85 +66,96 @@
     }
 }
 
+/// The results of one operation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct OfOperation {
+pub struct OperationOutcome {
     pub name: String,
     pub counts: Counts,
     pub goodput: f64,
     pub latency: Latency,
 }
 
-/// One stretch of a run, by when the work was due.
+/// One second of a run, by when the work was due.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Window {
-    /// Seconds from the start.
+    /// Start of the window, in seconds from the start of the run.
     pub at: f64,
     pub counts: Counts,
     pub goodput: f64,
     pub p50: f64,
     pub p99: f64,
-    /// What the runners' warmth alone allows, as goodput (`ramp`).
+    /// The goodput that the runners' warmth alone allows (`ramp`).
     #[serde(default)]
     pub ramp: f64,
-    /// The same with what is worth most for its work first.
+    /// The same if the work with the most value for its length comes first.
     #[serde(default)]
     pub best: f64,
 }
 
+/// The load of one runner.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct OfRunner {
+pub struct RunnerOutcome {
     pub name: String,
     pub zone: String,
     pub kind: String,
     pub forwards: u64,
-    /// Work done over what it could have done, warm and well, in the length of the run.
+    /// Work done, as a share of what the runner could have done in the length of the run when warm and
+    /// without faults.
     pub used: f64,
 }
 
-/// A fault as it was played, for the report's bands.
+/// A fault as it was played, in seconds from the start, for the bands of the report.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Band {
+pub struct FaultBand {
     pub what: String,
     pub from: f64,
     pub to: f64,
 }
 
+/// Counts of attempts, forwards and messages.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Traffic {
+    /// Attempts of clients.
     pub tries: u64,
     pub forwards: u64,
+    /// Forwards to another zone.
     pub crossings: u64,
     pub probes: u64,
     pub cancels: u64,
     pub connections: u64,
+    /// Forwards that runners rejected as full.
     pub turned_away: u64,
-    /// Between dispatchers.
+    /// Datagrams between dispatchers, and their bytes.
     #[serde(default)]
     pub datagrams: u64,
     #[serde(default)]
     pub datagram_bytes: u64,
-    /// Calls at discovery, and the most of them in any second.
+    /// Calls at discovery.
     #[serde(default)]
     pub calls: u64,
+    /// The most calls at discovery in any second.
     #[serde(default)]
     pub calls_most: u64,
 }
 
-/// What all dispatchers together sent to cold runners, of what the rule on them allows: in the mean of all of it, and
-/// at most in any span that the rule looks at.
+/// What all dispatchers together sent to cold runners, against what the rule on them allows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct OfCold {
+pub struct ColdUsage {
     pub used: f64,
+    /// The largest share of a budget used in any span that the rule covers.
     pub most: f64,
-    /// Spans that ended with a call, those of them with more calls than chance explains, and the most of that in any.
+    /// Spans that end with a call to a cold runner.
     #[serde(default)]
     pub spans: u64,
+    /// Spans with more calls than the random limit.
     #[serde(default)]
     pub over: u64,
+    /// The largest share of the random limit in any span.
     #[serde(default)]
     pub most_by_chance: f64,
 }
 
+/// The results of a run, as written to JSON.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Outcome {
     pub scenario: String,
@@ -152,29 +165,30 @@
     pub seconds: f64,
     #[serde(default)]
     pub dispatchers: u32,
-    /// Billed value answered in time (in part where late) over the value asked for. Simulated runners.
+    /// Billed value answered in time (in part where late) over the value requested. Runners are simulated.
     pub goodput: f64,
     pub counts: Counts,
     pub latency: Latency,
-    pub operations: Vec<OfOperation>,
+    pub operations: Vec<OperationOutcome>,
     pub traffic: Traffic,
     pub windows: Vec<Window>,
-    pub runners: Vec<OfRunner>,
+    pub runners: Vec<RunnerOutcome>,
     #[serde(default)]
-    pub cold: Option<OfCold>,
-    pub faults: Vec<Band>,
+    pub cold: Option<ColdUsage>,
+    pub faults: Vec<FaultBand>,
     pub verdict: serde_json::Value,
-    /// Rules broken, by name: empty where all were kept.
+    /// Violations by rule; empty if all rules were kept.
     pub broken: BTreeMap<String, u64>,
-    /// Why the run says nothing, where it does not: the lab itself was late, or lost count.
+    /// Why the run is void, if it is: the lab itself was late, or lost count.
     pub void: Vec<String>,
-    /// Only on sockets: CPU microseconds for an invocation, peak memory in MB, by dispatcher.
+    /// CPU time and peak memory by dispatcher; on sockets only.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub processes: Vec<Process>,
     #[serde(default)]
     pub notes: Vec<String>,
 }
 
+/// Resource usage of one dispatcher's process: CPU time in milliseconds, peak memory in MB, and starts.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Process {
     pub name: String,
@@ -183,27 +197,34 @@
     pub starts: u32,
 }
 
+/// Length of a window, in microseconds.
 const WINDOW: Micros = 1_000_000;
 
-struct Stretch {
+/// The figures of one window.
+struct WindowTally {
     counts: Counts,
-    asked: f64,
-    got: f64,
+    asked_value: f64,
+    achieved_value: f64,
     latency: Histogram<u64>,
 }
 
+/// Collects the figures of a run.
 pub struct Tally {
+    /// By operation: counts, requested value, achieved value and latencies.
     operations: Vec<(Counts, f64, f64, Histogram<u64>)>,
     all: Histogram<u64>,
-    stretches: Vec<Stretch>,
+    windows: Vec<WindowTally>,
+    /// By operation: latency objective and client timeout in microseconds, billed value and its share when
+    /// late.
     objectives: Vec<(Micros, Micros, f64, f64)>,
     pub traffic: Traffic,
+    /// Forwards by runner.
     pub forwards: Vec<u64>,
-    /// When discovery was called within the last second.
+    /// Times of the calls at discovery within the last second.
     calls: VecDeque<Micros>,
 }
 
-/// Three digits up to an hour, in units of a hundredth of a millisecond.
+/// A histogram with three significant digits, in hundredths of a millisecond; it grows as needed.
 fn histogram() -> Histogram<u64> {
     let mut histogram = Histogram::new(3).expect("three digits are allowed");
     histogram.auto(true);
@@ -211,14 +232,20 @@
 }
 
 impl Tally {
+    /// An empty tally for a scenario.
     pub fn new(scenario: &Scenario) -> Tally {
         let ops = &scenario.operation;
-        let stretches = (scenario.length.0 + WINDOW - 1) / WINDOW;
-        let stretch = || Stretch { counts: Counts::default(), asked: 0.0, got: 0.0, latency: histogram() };
+        let windows = (scenario.length.0 + WINDOW - 1) / WINDOW;
+        let window = || WindowTally {
+            counts: Counts::default(),
+            asked_value: 0.0,
+            achieved_value: 0.0,
+            latency: histogram(),
+        };
         Tally {
             operations: ops.iter().map(|_| (Counts::default(), 0.0, 0.0, histogram())).collect(),
             all: histogram(),
-            stretches: (0..stretches).map(|_| stretch()).collect(),
+            windows: (0..windows).map(|_| window()).collect(),
             objectives: ops
                 .iter()
                 .map(|op| (op.latency_objective.0, op.client_timeout.0, op.billed_value, op.late_share))
@@ -229,36 +256,36 @@
         }
     }
 
-    /// An ask has ended, so long after it was due.
-    pub fn end(&mut self, ask: &Ask, end: End, after: Micros) {
-        let (objective, timeout, value, late) = self.objectives[ask.operation];
+    /// Records the end of a request, `after` microseconds after it was due.
+    pub fn record_end(&mut self, request: &ClientRequest, end: RequestResult, after: Micros) {
+        let (objective, timeout, value, late) = self.objectives[request.operation];
         let in_time = after <= objective;
-        let got = match end {
-            End::Succeeded if in_time => value,
-            End::Succeeded if after <= timeout => value * late,
+        let achieved = match end {
+            RequestResult::Succeeded if in_time => value,
+            RequestResult::Succeeded if after <= timeout => value * late,
             _ => 0.0,
         };
         let hundredths = (after.max(0) / 10) as u64;
-        let of = &mut self.operations[ask.operation];
-        of.0.note(end, in_time);
+        let of = &mut self.operations[request.operation];
+        of.0.add(end, in_time);
         of.1 += value;
-        of.2 += got;
-        if end == End::Succeeded {
+        of.2 += achieved;
+        if end == RequestResult::Succeeded {
             let _ = of.3.record(hundredths);
             let _ = self.all.record(hundredths);
         }
-        let nth = ((ask.at / WINDOW) as usize).min(self.stretches.len() - 1);
-        let stretch = &mut self.stretches[nth];
-        stretch.counts.note(end, in_time);
-        stretch.asked += value;
-        stretch.got += got;
-        if end == End::Succeeded {
-            let _ = stretch.latency.record(hundredths);
+        let nth = ((request.at / WINDOW) as usize).min(self.windows.len() - 1);
+        let window = &mut self.windows[nth];
+        window.counts.add(end, in_time);
+        window.asked_value += value;
+        window.achieved_value += achieved;
+        if end == RequestResult::Succeeded {
+            let _ = window.latency.record(hundredths);
         }
     }
 
-    /// A call has reached discovery.
-    pub fn called(&mut self, at: Micros) {
+    /// Records a call at discovery.
+    pub fn record_discovery_call(&mut self, at: Micros) {
         self.traffic.calls += 1;
         self.calls.push_back(at);
         while self.calls.front().is_some_and(|first| *first <= at - WINDOW) {
@@ -267,78 +294,82 @@
         self.traffic.calls_most = self.traffic.calls_most.max(self.calls.len() as u64);
     }
 
-    pub fn outcome(self, scenario: &Scenario, about: About) -> Outcome {
-        let ratio = |got: f64, asked: f64| if asked > 0.0 { round(got / asked) } else { 1.0 };
-        let (mut counts, mut asked, mut got) = (Counts::default(), 0.0, 0.0);
+    /// Computes the results of the run.
+    pub fn outcome(self, scenario: &Scenario, details: RunDetails) -> Outcome {
+        let ratio =
+            |achieved: f64, requested: f64| if requested > 0.0 { round(achieved / requested) } else { 1.0 };
+        let (mut counts, mut requested, mut achieved) = (Counts::default(), 0.0, 0.0);
         let mut operations = Vec::new();
-        for ((of, value, had, histogram), op) in self.operations.iter().zip(&scenario.operation) {
+        for ((of, value, operation_achieved, histogram), op) in
+            self.operations.iter().zip(&scenario.operation)
+        {
             counts.asked += of.asked;
             counts.in_time += of.in_time;
             counts.late += of.late;
             counts.throttled += of.throttled;
             counts.errored += of.errored;
             counts.nothing += of.nothing;
-            asked += value;
-            got += had;
-            operations.push(OfOperation {
+            requested += value;
+            achieved += operation_achieved;
+            operations.push(OperationOutcome {
                 name: op.name.clone(),
                 counts: of.clone(),
-                goodput: ratio(*had, *value),
+                goodput: ratio(*operation_achieved, *value),
                 latency: Latency::of(histogram),
             });
         }
-        let (ramp, budget) = ramp(scenario, about.seed);
-        let window = |(nth, stretch): (usize, Stretch)| {
-            let latency = Latency::of(&stretch.latency);
+        let (ramp, budget) = ramp(scenario, details.seed);
+        let window = |(nth, window): (usize, WindowTally)| {
+            let latency = Latency::of(&window.latency);
             Window {
                 at: (nth as Micros * WINDOW) as f64 / 1e6,
-                goodput: ratio(stretch.got, stretch.asked),
-                counts: stretch.counts,
+                goodput: ratio(window.achieved_value, window.asked_value),
+                counts: window.counts,
                 p50: latency.p50,
                 p99: latency.p99,
                 ramp: ramp[nth].0,
                 best: ramp[nth].1,
             }
         };
-        let verdict = &about.verdict;
+        let verdict = &details.verdict;
         Outcome {
             scenario: scenario.name.clone(),
-            clock: about.clock,
-            program: about.program,
-            seed: about.seed,
+            clock: details.clock,
+            program: details.program,
+            seed: details.seed,
             seconds: scenario.length.0 as f64 / 1e6,
             dispatchers: scenario.dispatchers,
-            goodput: ratio(got, asked),
+            goodput: ratio(achieved, requested),
             counts,
             latency: Latency::of(&self.all),
             operations,
             traffic: self.traffic,
-            windows: self.stretches.into_iter().enumerate().map(window).collect(),
-            runners: about.runners,
-            cold: (budget > 0.0).then(|| OfCold {
-                used: round(about.cold.0 / budget),
-                most: round(about.cold.1),
-                spans: about.cold_calls.spans,
-                over: about.cold_calls.over,
-                most_by_chance: round(about.cold_calls.most),
+            windows: self.windows.into_iter().enumerate().map(window).collect(),
+            runners: details.runners,
+            cold: (budget > 0.0).then(|| ColdUsage {
+                used: round(details.cold.0 / budget),
+                most: round(details.cold.1),
+                spans: details.cold_calls.spans,
+                over: details.cold_calls.over,
+                most_by_chance: round(details.cold_calls.most),
             }),
-            faults: about.faults,
+            faults: details.faults,
             broken: verdict.violations.iter().map(|(rule, count)| (rule.to_string(), *count)).collect(),
             verdict: serde_json::to_value(verdict).unwrap_or_default(),
-            void: about.void.into_iter().chain(verdict.own_faults.clone()).collect(),
-            processes: about.processes,
-            notes: about.notes,
+            void: details.void.into_iter().chain(verdict.own_faults.clone()).collect(),
+            processes: details.processes,
+            notes: details.notes,
         }
     }
 }
 
-/// What a clock tells of its run besides the tally.
-pub struct About {
+/// What a clock adds to the tally of its run.
+pub struct RunDetails {
     pub clock: String,
     pub program: String,
     pub seed: u64,
-    pub runners: Vec<OfRunner>,
-    pub faults: Vec<Band>,
+    pub runners: Vec<RunnerOutcome>,
+    pub faults: Vec<FaultBand>,
     pub verdict: crate::judge::Verdict,
     /// Work that was sent to cold runners, and the largest share of a budget that was used.
     pub cold: (f64, f64),
@@ -348,7 +379,7 @@
     pub notes: Vec<String>,
 }
 
-/// To a ten-thousandth.
+/// Rounds to a ten-thousandth.
 pub fn round(value: f64) -> f64 {
     (value * 1e4).round() / 1e4
 }
--- a/lab/tests/ramp.rs
+++ b/lab/tests/ramp.rs
@@ -4,16 +4,16 @@
 use std::path::Path;
 
 use topazsail_lab::policy::Policy;
-use topazsail_lab::ramp::{Against, against};
+use topazsail_lab::ramp::{RampComparison, compare_with_ramp};
 use topazsail_lab::scenario::Scenario;
 use topazsail_lab::virtual_clock::{Options, play};
 
-fn played(name: &str, seed: u64) -> Against {
+fn played(name: &str, seed: u64) -> RampComparison {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("scenarios/{name}.toml"));
     let scenario = Scenario::load(&path).unwrap();
     let outcome = play(&scenario, Policy::Topazsail, seed, Options::default()).unwrap().outcome;
     assert!(outcome.broken.is_empty(), "{name} {seed}: {:?}", outcome.broken);
-    against(&outcome.windows).unwrap()
+    compare_with_ramp(&outcome.windows).unwrap()
 }
 
 #[test]
@@ -21,8 +21,8 @@
     let (mut with_store, mut without_store, mut ramp) = (0.0, 0.0, 0.0);
     for seed in 1..7 {
         let found = played("power-loss-kept", seed);
-        (with_store, ramp) = (with_store + found.had, ramp + found.ramp);
-        without_store += played("power-loss", seed).had;
+        (with_store, ramp) = (with_store + found.achieved, ramp + found.ramp);
+        without_store += played("power-loss", seed).achieved;
     }
     assert!(with_store >= 0.95 * ramp, "{with_store} of {ramp}");
     assert!(with_store > without_store + 0.05 * ramp, "{with_store} against {without_store}");
--- a/lab/tests/theory.rs
+++ b/lab/tests/theory.rs
@@ -2,9 +2,9 @@
 //! same bytes.
 
 use rand_distr::{Distribution, Exp};
-use topazsail_lab::load::chance;
+use topazsail_lab::load::seeded_generator;
 use topazsail_lab::policy::Policy;
-use topazsail_lab::runner::{News, Runner};
+use topazsail_lab::runner::{JobEvent, Runner};
 use topazsail_lab::scenario::Scenario;
 use topazsail_lab::virtual_clock::{Options, play};
 
@@ -34,8 +34,8 @@
     let service = 10_000.0;
     for (slots, load) in [(1, 0.7), (3, 0.5), (3, 0.7), (3, 0.9), (8, 0.85)] {
         let scenario = Scenario::parse("t", &text(slots)).unwrap();
-        let mut runner = Runner::new(&scenario.pool[0], 0, (0, 0), &scenario.limits, chance(1, 1));
-        let mut rng = chance(u64::from(slots), 9);
+        let mut runner = Runner::new(&scenario.pool[0], 0, (0, 0), &scenario.limits, seeded_generator(1, 1));
+        let mut rng = seeded_generator(u64::from(slots), 9);
         let (gap, work) =
             (Exp::new(load * f64::from(slots) / service).unwrap(), Exp::new(1.0 / service).unwrap());
         let (mut at, mut events, mut queued_at) = (0.0, Vec::new(), std::collections::VecDeque::new());
@@ -44,9 +44,11 @@
             at += gap.sample(&mut rng);
             let now = at as i64;
             let mut record_starts =
-                |now: i64, events: &mut Vec<(u64, News)>, queued_at: &mut std::collections::VecDeque<f64>| {
+                |now: i64,
+                 events: &mut Vec<(u64, JobEvent)>,
+                 queued_at: &mut std::collections::VecDeque<f64>| {
                     for (_, event) in events.drain(..) {
-                        if event == News::Started {
+                        if event == JobEvent::Started {
                             // The queue is first in, first out.
                             waited += now as f64 - queued_at.pop_front().unwrap();
                             started += 1;
@@ -84,7 +86,13 @@
     );
     let scenario = Scenario::parse("t", &text).unwrap();
     for d in 1..=3 {
-        let run = play(&scenario, Policy::LeastTrue(d), 2, Options { sample: 100_000, time: false }).unwrap();
+        let run = play(
+            &scenario,
+            Policy::LeastTrue(d),
+            2,
+            Options { sample_interval: 100_000, measure_time: false },
+        )
+        .unwrap();
         // A run's random work deviates a little from the requested load, and a tail such as load^40 amplifies
         // the deviation. The theoretical value is therefore computed for the load of this run.
         let actual_load = run.tails[1];
