--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -19,7 +19,7 @@
 /// An input line that cannot be parsed, or a failed read.
 #[derive(Debug)]
 pub struct MalformedInput {
-    /// Line number, from 1; 0 for an I/O error.
+    /// Line number, from 1; 0 if unknown.
     line: u64,
     reason: String,
 }
@@ -40,7 +40,7 @@
 
 /// A message from the simulator.
 pub enum Message {
-    /// Starts an instance.
+    /// Starts an instance: the policy of one simulated dispatcher.
     Create { instance_id: u64, seed: u64, settings: Settings, operations: Vec<String> },
     /// Ends an instance.
     Kill { instance_id: u64 },
@@ -337,7 +337,7 @@
         };
         let count: u64 = fields.number_or("entries", 0)?;
         fields.finish()?;
-        // The count is not trusted: no memory is reserved by it.
+        // The count is not trusted: no memory is reserved for that many entries.
         let mut entries = Vec::new();
         for _ in 0..count {
             if !self.advance()? {
--- a/lab/src/fault_days.rs
+++ b/lab/src/fault_days.rs
@@ -1,4 +1,5 @@
-//! Random scenarios in which many things fail at once: power, processes, disks, links, discovery.
+//! Random scenarios, called days, in which many things fail at once: power, processes, disks, links,
+//! discovery.
 //!
 //! This module does no I/O. The same seed gives the same scenario on every machine, and it is validated like
 //! one from a file. Every seed must give a scenario that can be played.
@@ -85,7 +86,7 @@
     ["brisbane", "townsville", "rockhampton"][rng.random_range(0..3)]
 }
 
-/// Draws an additional fault besides the loss of power; faults of links only with peers.
+/// Draws a fault that is added to the power loss; link faults are drawn only if the dispatchers have peers.
 fn extra_fault(rng: &mut Pcg32, length: u32, peers: bool) -> String {
     let at = draw_ms(rng, 500, length - 2_500);
     let lasts = draw_ms(rng, 300, 2_000);
@@ -118,8 +119,8 @@
     }
 }
 
-/// Returns the scenario of a seed: a loss of power of the whole site, possibly a second one, and up to two
-/// more faults.
+/// Returns the scenario of a seed: a power loss of the whole site, possibly a second one there or in one
+/// zone, and up to two more faults.
 ///
 /// # Errors
 ///
--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -1,9 +1,9 @@
-//! The judge: checks the deployment rules against what was observed on the wires.
+//! The judge: checks the four deployment rules by what was observed on the wires alone.
 //!
 //! It holds the rules and the history of each open invocation. It shares no types and no code with the
 //! dispatcher except the ids on the wire, and uses no statement of the dispatcher about its own actions. It
-//! does no I/O and reads no clock. It never takes a dispatcher's intent for what happened. An observation
-//! that it cannot place, such as the end of a forward that nobody sent, is recorded as a fault of the lab.
+//! does no I/O and reads no clock. An observation that does not fit the earlier ones, such as the end of a
+//! forward that nobody sent, is recorded as a fault of the lab.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fmt;
@@ -62,7 +62,7 @@
     Withdrawn { inv: InvocationId, runner: u32 },
     /// A runner has started the invocation and its effect is new there.
     Ran { inv: InvocationId, runner: u32 },
-    /// Discovery lists the runner in this state from now on.
+    /// Discovery lists the runner in this state from now on; `wanted` if that is up.
     Listed { runner: u32, wanted: bool, launched: Option<Micros> },
     /// Discovery has written a runner's state to a dispatcher.
     Told { dispatcher: u32, runner: u32, wanted: bool },
@@ -73,7 +73,7 @@
     Hand { dispatcher: u32, runner: u32, out: Option<bool> },
     /// A dispatcher has reported its boot number.
     Boot { dispatcher: u32, boot: u64 },
-    /// In reply to a request sent at `asked`, a dispatcher has said that it has no roster to forward by.
+    /// In reply to a request sent at `asked`, a dispatcher has reported that it has no roster yet.
     Unlisted { dispatcher: u32, asked: Micros },
     /// A dispatcher's disk was emptied or replaced by another state: the dispatcher cannot know what it
     /// stored.
@@ -206,6 +206,7 @@
     /// When the client closed its connection.
     left_at: Option<Micros>,
     sent: Vec<SentForward>,
+    /// How many times its effect took place.
     ran: u32,
     work: f64,
     history: Vec<(Micros, Observation)>,
@@ -221,7 +222,7 @@
 }
 
 /// The forwards sent to a cold runner within the last span: time, work, and whether the dispatcher knew of
-/// the runner's start. `broken` limits it to one violation.
+/// the runner's start. Once `broken` is set, no further violation is recorded for this start.
 #[derive(Default)]
 struct ColdRunner {
     sends: VecDeque<(Micros, f64, bool)>,
@@ -234,9 +235,9 @@
 const RETENTION: Micros = 5_000_000;
 /// How long a process may take to catch up after it resumes, in microseconds.
 const RESUME_GRACE: Micros = 100_000;
-/// Factor by which the work sent to a cold runner may exceed its budget at random: the length of a job is not
-/// known when it is sent. For the number of calls the random excess is computed: N calls of mean work may
-/// become N + 2 * sqrt(N) + 2.
+/// Factor by which the work sent to a cold runner may exceed its budget by chance: the length of a job is not
+/// known when it is sent. The number of calls has a limit of its own: N + 2 * sqrt(N) + 2 where the budget is
+/// N calls of mean work.
 const COLD_WORK_TOLERANCE: f64 = 1.15;
 
 /// How long after a client closes its connection a forward may still start for it, in microseconds; given by
@@ -255,6 +256,7 @@
     /// By dispatcher and runner: since when the dispatcher has known that the runner is not wanted, and
     /// whether the runner was wanted in the latest notification.
     notified: HashMap<(u32, u32), (Option<Micros>, bool)>,
+    /// By runner: when discovery last changed its state, whether it is wanted, and when it was launched.
     listed: BTreeMap<u32, (Micros, bool, Option<Micros>)>,
     cold: BTreeMap<u32, ColdRunner>,
     /// Suspended dispatchers, and since when.
@@ -348,7 +350,7 @@
         }
     }
 
-    /// Records an observation that the judge cannot place.
+    /// Records a fault of the lab: an observation that does not fit the earlier ones.
     fn record_lab_fault(&mut self, at: Micros, what: String) {
         if self.verdict.own_faults.len() < MAX_DETAILED_VIOLATIONS {
             self.verdict.own_faults.push(format!("{at}: {what}"));
@@ -468,14 +470,14 @@
         self.invocations.get(&inv).map_or(0.0, |record| record.work)
     }
 
-    /// The operation of an open invocation, as its place in the scenario.
+    /// The operation of an open invocation, as its index in the scenario.
     pub fn operation(&self, inv: InvocationId) -> Option<usize> {
         self.invocations.get(&inv).map(|record| record.operation)
     }
 
-    /// A suspended process could not act: invocations that expire before it has caught up are excused, and
-    /// what was written to it meanwhile counts as known from now on. All other rules hold unchanged for what
-    /// it does next.
+    /// Records that a suspended process has resumed. It could not act: invocations that expire before it has
+    /// caught up are excused, and what was written to it meanwhile counts as known from now on. All other
+    /// rules hold unchanged for what it does next.
     fn record_resume(&mut self, at: Micros, dispatcher: u32) {
         let Some(since) = self.suspended.remove(&dispatcher) else { return };
         for record in self.invocations.values_mut().filter(|record| record.dispatcher == dispatcher) {
@@ -675,7 +677,8 @@
             counted.spans += 1;
             counted.over += u64::from(calls > random_limit);
             counted.most = counted.most.max(calls / random_limit);
-            // Dispatchers are at fault only if those that knew of the start sent two thirds of the work.
+            // Dispatchers are at fault only if those that knew of the start sent at least two thirds of the
+            // work.
             let is_at_fault = knowing_work * 3.0 >= all * 2.0;
             if calls > random_limit && is_at_fault && !cold.broken {
                 cold.broken = true;
@@ -695,7 +698,7 @@
         }
     }
 
-    /// Records the end of a forward, or its cancellation where `how` is none.
+    /// Records the end of a forward, or its cancellation if `how` is `None`.
     fn record_forward_end(&mut self, at: Micros, inv: InvocationId, runner: u32, how: Option<ForwardEnd>) {
         let Some(record) = self.invocations.get_mut(&inv) else { return };
         let Some(sent) = record.sent.iter_mut().rev().find(|sent| sent.runner == runner) else {
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -33,13 +33,17 @@
 /// Generates the requests of all clients in order of time.
 pub struct ArrivalGenerator {
     operations: Vec<Operation>,
+    /// Cumulative shares of the operations, up to 1.
     shares: Vec<f64>,
+    /// Distribution of the work, by operation, if it is log-normal.
     works: Vec<Option<LogNormal<f64>>>,
+    /// Distribution of the keys, by operation, for those that have keys.
     keys: Vec<Option<Zipf<f64>>>,
     clients: Clients,
     zones: usize,
     /// Mean time between arrivals at the highest rate, in microseconds.
     mean_gap: f64,
+    /// The highest rate, as a multiple of the mean.
     peak: f64,
     at: f64,
     end: Micros,
@@ -140,6 +144,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     Succeeded,
+    /// Throttled, with the advised wait if there was one.
     Throttled(Option<Micros>),
     Errored,
     /// No dispatcher accepted it.
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -239,7 +239,7 @@
     pub count: u32,
     #[serde(deserialize_with = "count")]
     pub slots: u32,
-    /// Queue places; what exceeds them is rejected unread.
+    /// Queue places; a forward that exceeds them is rejected and certainly does not run.
     pub queue: u32,
     #[serde(default = "Pool::speed", deserialize_with = "factor")]
     pub speed: f64,
@@ -440,7 +440,7 @@
     }
 }
 
-/// What the installation allows, and the parameters of the deployment rules.
+/// What the installation allows, and the parameters of the four deployment rules.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
--- a/lab/src/sockets/operators.rs
+++ b/lab/src/sockets/operators.rs
@@ -19,7 +19,7 @@
 
 /// How long an operator waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Upper limit of an answer.
+/// Upper limit of the length of an answer.
 const MAX_ANSWER_BYTES: u64 = 64 << 10;
 /// Interval of status polls until the dispatcher serves.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -84,6 +84,7 @@
         for d in 0..dispatcher_count as u32 {
             let (lab, line) = (lab.clone(), line.clone());
             calls.spawn_local(async move {
+                // Once the override is being cleared, the dispatcher may already forward to the runner again.
                 let unknown = Observation::Hand { dispatcher: d, runner, out: None };
                 if !takes_out {
                     lab.record(unknown.clone());
@@ -111,9 +112,10 @@
 /// roster yet.
 pub async fn poll_status(lab: Lab, d: u32) {
     let index = d as usize;
-    // The epoch of the last process that reported to be serving.
+    // The epoch of the last process that reported the stage `serving`.
     let mut serving_epoch = 0;
     loop {
+        // Epochs are odd while the process runs.
         let epoch = lab.shared.borrow().epochs[index];
         let (asked, up) = (lab.now(), !epoch.is_multiple_of(2));
         let answer = if up { admin_call(&lab, d, "status").await } else { None };
@@ -122,6 +124,7 @@
                 lab.record(Observation::Boot { dispatcher: d, boot });
             }
             let stage = field(answer, "stage").unwrap_or_default();
+            // Forwarding is not allowed yet in these stages.
             if matches!(stage, "finding" | "numbered") {
                 lab.record(Observation::Unlisted { dispatcher: d, asked });
             }
--- a/lab/src/talk.rs
+++ b/lab/src/talk.rs
@@ -1,7 +1,7 @@
 //! The peer messages of one dispatcher in virtual time, where its scenario has peers. It uses the same
-//! protocol module as the program; the datagrams are carried by the world's links.
+//! protocol module as the real dispatcher; the datagrams are carried by the emulated links.
 //!
-//! No decision is made here that the protocol module does not make.
+//! All decisions are the protocol module's.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 pub struct PeerMessages {
     /// The protocol module.
     pub core: Peers,
-    /// Until then what its previous process run sent to cold runners may still count against their budgets.
+    /// Until this time, what its previous process run sent to cold runners may count against their budgets.
     paused_until: Micros,
 }
 
@@ -55,12 +55,13 @@
         PeerMessages { core, paused_until }
     }
 
-    /// The datagrams that result from the actions.
+    /// Carries out actions and returns the datagrams to be sent.
     fn collect_datagrams(&mut self, actions: Vec<Action>) -> Vec<Datagram> {
         let mut sent = Vec::new();
         for action in actions {
             match action {
                 Action::Send { to, bytes } => sent.push((number(to), bytes)),
+                // Another process run has this boot number: take the next one.
                 Action::PeerEvent(PeerEvent::BootTaken(heard)) => self.core.set_boot(heard + 1),
                 Action::PeerEvent(PeerEvent::StateChanged { .. } | PeerEvent::AdminOverride(_)) => {}
             }
@@ -74,7 +75,7 @@
         self.collect_datagrams(actions)
     }
 
-    /// Handles a datagram of another dispatcher.
+    /// Handles a datagram from another dispatcher.
     pub fn receive(&mut self, from: u32, bytes: &[u8], now: Micros) -> Vec<Datagram> {
         let actions = self.core.receive(now, address(from), bytes);
         self.collect_datagrams(actions)
--- a/node/src/lifecycle/store_report.rs
+++ b/node/src/lifecycle/store_report.rs
@@ -19,7 +19,7 @@
     pub is_intact: bool,
 }
 
-/// The value of a record as JSON; only its length if the table is not known.
+/// The value of a record as JSON; only its length if it decodes as no known type.
 fn value(record: &Record) -> Value {
     if let Some(roster) = stored_types::decode::<StoredRoster>(record) {
         let list: Value = serde_json::from_str(&roster.json).unwrap_or_default();
--- a/node/src/net/log.rs
+++ b/node/src/net/log.rs
@@ -24,8 +24,8 @@
     static LINE_COUNTS: RefCell<BTreeMap<&'static str, LineCount>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Whether one more line of this code may be written, and how many lines of it were held back in the second
-/// that has just ended (0 while a second is still running).
+/// Counts a line of this code. Returns whether it may be written and, if it is the first of a new second, how
+/// many lines were held back in the second before (0 otherwise).
 pub fn admit(code: &'static str) -> (bool, u32) {
     LINE_COUNTS.with_borrow_mut(|counts| {
         let now = Instant::now();
--- a/peers/src/peers/tests.rs
+++ b/peers/src/peers/tests.rs
@@ -441,7 +441,8 @@
         assert!(max_sent <= 1.0 + 1e-9, "{max_sent} at {loss} of a thousand lost, seed {seed}");
         assert!(max_sent > 0.5, "{max_sent}: the budget was hardly used");
     }
-    // With all links up. docs/peers.md states what one and two fifths of lost datagrams cost.
+    // With all links up. docs/peers.md states what the loss of one fifth and of two fifths of datagrams
+    // costs.
     for (loss, used) in used {
         let least = [0.9, 0.85, 0.6][loss as usize / 200];
         assert!(used > least, "{used} used at {loss} of a thousand lost");
--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -18,7 +18,8 @@
 //!
 //! Throughout, `r` is a runner's index in `RoutingPolicy::runners`. Loads are counted in jobs and spans of
 //! time in microseconds unless a comment says otherwise. "Own" means of this dispatcher, "other jobs" are
-//! those that other dispatchers sent.
+//! those that other dispatchers sent. A runner is cold from its start until it has its full capacity. The
+//! homes of a key are the runners that invocations with this key prefer.
 
 mod slow_start;
 
@@ -43,7 +44,8 @@
 /// How long candidates may take to answer a probe, in microseconds; those that have not answered by then are
 /// skipped.
 const PROBE_TIMEOUT: Micros = 30_000;
-/// Every invocation is answered at least this long, in microseconds, before its client timeout.
+/// Margin, in microseconds, before a client timeout or the end of a deduplication window: an invocation that
+/// is still waiting is given up, and so answered, by its start, and no retry is sent in it.
 const ANSWER_MARGIN: Micros = 60_000;
 /// In mean forward times: a candidate whose report is older than this is probed before the choice.
 const STALE_REPORT_AGE: f64 = 0.1;
@@ -205,8 +207,8 @@
         let objectives_differ = differs(&|a, b| a.latency_objective == b.latency_objective);
         let highest_value = in_use.iter().map(|o| o.billed_value).fold(0.0, f64::max);
         let shortest_objective = in_use.iter().map(|o| o.latency_objective).min().unwrap_or(0);
-        // Value takes precedence over objectives: when either alone made an operation high-priority, with two
-        // operations both were.
+        // Objectives count only if all values are equal: if either alone gave high priority, both of two
+        // operations could have it.
         let is_high = |o: &Operation| match values_differ {
             true => o.billed_value >= highest_value,
             false => objectives_differ && o.latency_objective <= shortest_objective,
@@ -356,7 +358,7 @@
     fn update_roster(&mut self, roster: Roster) {
         match roster.listing {
             Listing::Refused => {
-                // A restarted fleet subscribes all at once, and the registry fails requests that wait too
+                // A restarted fleet subscribes all at once, and discovery fails requests that wait too
                 // long: retries are spread out at random around a mean that grows up to a quarter of the span
                 // after which dispatchers count as notified of changes (docs/design.md).
                 self.is_subscribed = false;
@@ -409,7 +411,7 @@
         runner.size =
             if self.settings.roster_reports_load() { runner.size.max(entry.size) } else { entry.size };
         if runner.launched != entry.launched {
-            // Restarted under its own id: earlier reports, successes and failures say nothing about it now.
+            // Restarted under the same id: earlier reports, successes and failures say nothing about it now.
             runner.launched = entry.launched;
             runner.reported_at = None;
             (runner.successes, runner.failures) = (0.0, 0.0);
@@ -664,7 +666,7 @@
             dedup_constraint.map(|constraint| constraint.since + op.deduplication_window - ANSWER_MARGIN);
         self.actions.push(Action::Forward { invocation: id.clone(), runner: runner.id.clone(), latest });
         if self.settings.roster_reports_load() && self.settings.can_probe_load() && runner.slots.is_none() {
-            // The list gives load as a share of slots, but not the number of slots.
+            // The roster gives load as a share of slots, but not the number of slots.
             self.probe(r);
         }
         self.set_invocation_timer(id, Some(self.now + silence_timeout));
@@ -732,7 +734,7 @@
             self.free_slot_share.record(f64::from(u8::from(is_prompt)), 0.2, self.now);
         }
         self.set_invocation_timer(id, Some(self.now + silence_timeout));
-        // Bounded, so that the waits of one slow runner say little about the others.
+        // Bounded, so that one slow runner has little influence on the averages.
         let wait = (self.now - sent_at).min(self.shortest_objective * 3 / 2) as f64;
         if dialled {
             self.dial_wait_excess.record(wait - self.mean_start_wait.value, 0.1, self.now);
@@ -873,7 +875,7 @@
             CandidatePool::Homes => true,
             CandidatePool::ConnectedOwnZone => enough && is_free,
             CandidatePool::Connected => enough && is_good_enough,
-            // Averages that come late do not show when the own zone alone runs short.
+            // The roster's loads are late averages: they do not show when the own zone alone runs short.
             CandidatePool::OwnZone => is_free && !self.settings.roster_reports_load(),
             CandidatePool::All => is_free,
             CandidatePool::Cold => is_good_enough,
@@ -882,7 +884,7 @@
 
     /// Whether a runner has a free slot. Jobs are whole but reports are noisy: 2.97 of 3 slots taken is a
     /// full runner, and with a plain count below slots every second full runner would look free, to all
-    /// dispatchers at once. Loads from the list are averages, so any fraction counts there.
+    /// dispatchers at once. Loads from the roster are averages, so any fraction counts there.
     fn has_free_slot(&self, r: usize) -> bool {
         let min_free = if self.settings.roster_reports_load() { f64::MIN_POSITIVE } else { 0.5 };
         self.slots(r) - self.job_count(r) >= min_free
@@ -969,8 +971,8 @@
     }
 
     /// Picks an index at random. Where sizes move with load, or load is unknown, picks are weighted by
-    /// capacity: if all dispatchers took the least loaded of the late list, they would all choose the same
-    /// runner.
+    /// capacity: if all dispatchers took the least loaded of the late roster, they would all choose the
+    /// same runner.
     fn pick_index(&mut self, runners: &[usize]) -> usize {
         if !self.settings.roster_reports_load() && !self.settings.load_is_unknown() {
             return self.rng.below(runners.len() as u64) as usize;
@@ -980,8 +982,8 @@
     }
 
     /// Probes candidates with stale reports before the choice, where probes indicate load: among many
-    /// dispatchers, a runner's own forwards say next to nothing about its load. Returns true while answers
-    /// may still arrive.
+    /// dispatchers, the own forwards in flight to a runner say next to nothing about its load. Returns true
+    /// while answers may still arrive.
     fn probe_candidates(&mut self, invocation: &mut InvocationState) -> bool {
         if !self.probes_indicate_load() {
             return false;
@@ -1105,7 +1107,8 @@
     }
 
     /// Whether a runner has room for an invocation. Where probes keep counts fresh, work waits in this queue
-    /// rather than in the few queue places of a runner. Loads from the list are too old to exclude a runner.
+    /// rather than in the few queue places of a runner. Loads from the roster are too old to exclude a
+    /// runner.
     fn has_room(&self, r: usize, invocation: &InvocationState) -> bool {
         if self.settings.roster_reports_load() {
             return true;
@@ -1147,8 +1150,8 @@
         f64::from(runner.in_flight) + other_jobs.max(0.0)
     }
 
-    /// A plausible job count. Where loads come from the list, they are averages that are off by about their
-    /// square root, and all dispatchers see the same late list: if they used its figures as they are, they
+    /// A plausible job count. Where loads come from the roster, they are averages that are off by about their
+    /// square root, and all dispatchers see the same late roster: if they used its figures as they are, they
     /// would all choose the same runner. So normal noise is added.
     fn estimate_jobs(&mut self, r: usize) -> f64 {
         let count = self.job_count(r);
@@ -1315,7 +1318,7 @@
                 runner.ejection_count = 0;
                 self.slot_freed = true;
                 let forward_time = &mut self.forward_times[operation];
-                // Bounded, so that the times of one slow runner say little about the others.
+                // Bounded, so that one slow runner has little influence on the average.
                 forward_time.record((outcome.elapsed as f64).min(4.0 * forward_time.value), 0.05, now);
                 self.update_mean_forward_time();
             }
@@ -1409,8 +1412,8 @@
         else {
             return;
         };
-        // Where load is unknown, another runner is no better choice than the first, and a cancel that stops
-        // nothing makes two jobs of one; no setting says whether a cancel stops the job.
+        // Where load is unknown, another runner is no better choice than the first, and if a cancel does not
+        // stop the job, the invocation runs twice; no setting says whether it does.
         let not_started = self.settings.reports_start && !current.started && !self.settings.load_is_unknown();
         if not_started && self.now >= invocation.start_deadline && self.settings.may_cancel {
             // Not started, and late in any case: continuing would take a slot from work that can still meet
--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -13,7 +13,7 @@
 
 use crate::Micros;
 
-/// The machine and its boot: after a power loss the boot id is another one, and the uptime starts at zero.
+/// The machine and its boot: after a power loss the boot id is different, and the uptime starts at zero.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Machine {
     /// Changes with each boot of the machine; empty if unknown.
--- a/store/src/stored_types.rs
+++ b/store/src/stored_types.rs
@@ -1,7 +1,7 @@
 //! The types of a dispatcher's records, and how long each is considered fresh.
 //!
 //! Each type has its own format version. A value of an unknown format is left alone and never decoded as
-//! something else.
+//! something else: [`decode`] returns none for it, and `topazsail store` reports only its length.
 
 use std::collections::BTreeMap;
 
