--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -141,11 +141,11 @@
     /// How long after its notification a dispatcher may still forward to a draining runner.
     pub drain_grace: Micros,
     /// After this time a roster change counts as known to every dispatcher.
-    pub ask_within: Micros,
-    /// A cold runner's budget is this factor times the work that it can do in `tip_after`.
+    pub notification_deadline: Micros,
+    /// A cold runner's budget is this factor times the work that it can do in `overload_window`.
     pub overload_factor: f64,
     /// The span over which a cold runner's budget applies.
-    pub tip_after: Micros,
+    pub overload_window: Micros,
     /// The mean work of an invocation, in microseconds.
     pub mean_work: f64,
     /// By how much an observation may come later than the event: the delay on the wire that the lab cannot
@@ -167,9 +167,9 @@
             operations: scenario.operation.clone(),
             locations,
             drain_grace: scenario.limits.drain_grace.0,
-            ask_within: scenario.limits.ask_within.0,
+            notification_deadline: scenario.limits.ask_within.0,
             overload_factor: scenario.limits.overload_factor,
-            tip_after: scenario.limits.tip_after.0,
+            overload_window: scenario.limits.tip_after.0,
             mean_work: scenario.mean_work(),
             slack,
             answer_slack,
@@ -181,17 +181,17 @@
 struct SentForward {
     runner: u32,
     at: Micros,
-    back: Option<ForwardEnd>,
+    end: Option<ForwardEnd>,
     withdrawn: bool,
 }
 
 impl SentForward {
     fn is_in_flight(&self) -> bool {
-        self.back.is_none() && !self.withdrawn
+        self.end.is_none() && !self.withdrawn
     }
 
     fn has_never_run(&self) -> bool {
-        self.back == Some(ForwardEnd::NeverRan)
+        self.end == Some(ForwardEnd::NeverRan)
     }
 }
 
@@ -637,14 +637,15 @@
                 }
             }
         }
-        record.sent.push(SentForward { runner, at, back: None, withdrawn: false });
+        record.sent.push(SentForward { runner, at, end: None, withdrawn: false });
 
         // Notified, or treated as notified: a change counts for every dispatcher after the notification
         // deadline.
         let notification = self.notified.get(&(dispatcher, runner)).copied();
         let listed = self.listed.get(&runner).copied();
-        let deadline =
-            listed.filter(|(_, wanted, _)| !wanted).map(|(at, ..)| at + self.parameters.ask_within);
+        let deadline = listed
+            .filter(|(_, wanted, _)| !wanted)
+            .map(|(at, ..)| at + self.parameters.notification_deadline);
         let since = [notification.and_then(|(since, _)| since), deadline].into_iter().flatten().min();
         let knows = since.filter(|since| at > since + self.parameters.drain_grace + slack);
         if let Some(since) = knows {
@@ -660,7 +661,7 @@
         if let Some(capacity) = cold {
             let knows_start = notification.is_some_and(|(_, wanted)| wanted);
             let cold = self.cold.entry(runner).or_default();
-            let span = self.parameters.tip_after;
+            let span = self.parameters.overload_window;
             while cold.sends.front().is_some_and(|(sent, ..)| *sent <= at - span) {
                 cold.sends.pop_front();
             }
@@ -711,7 +712,7 @@
         };
         match how {
             None => sent.withdrawn = true,
-            Some(_) if sent.back.is_none() => sent.back = how,
+            Some(_) if sent.end.is_none() => sent.end = how,
             Some(_) => {}
         }
     }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -148,9 +148,9 @@
     Throttled(Option<Micros>),
     Errored,
     /// No dispatcher accepted it.
-    Untaken,
+    NotAccepted,
     /// It was accepted, and then its connection ended or no answer came in time.
-    Nothing,
+    NoAnswer,
 }
 
 /// When a client retries, if it does. It uses its own generator, so that answers under one policy shift no
@@ -170,8 +170,8 @@
         && now < request.at + op.memory_span.0.saturating_sub(100_000);
     let repeat_is_harmless = match seen {
         AttemptResult::Succeeded => false,
-        AttemptResult::Throttled(_) | AttemptResult::Untaken => true,
-        AttemptResult::Errored | AttemptResult::Nothing => {
+        AttemptResult::Throttled(_) | AttemptResult::NotAccepted => true,
+        AttemptResult::Errored | AttemptResult::NoAnswer => {
             op.effect == Effect::Idempotent || is_within_window
         }
     };
--- a/lab/src/talk.rs
+++ b/lab/src/peer_messages.rs
@@ -70,7 +70,7 @@
     }
 
     /// Sends the periodic messages.
-    pub fn round(&mut self, now: Micros) -> Vec<Datagram> {
+    pub fn tick(&mut self, now: Micros) -> Vec<Datagram> {
         let actions = self.core.tick(now);
         self.collect_datagrams(actions)
     }
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -1285,7 +1285,7 @@
             load::AttemptResult::Succeeded => return RequestResult::Succeeded,
             load::AttemptResult::Throttled(_) => RequestResult::Throttled,
             load::AttemptResult::Errored => RequestResult::Errored,
-            load::AttemptResult::Untaken | load::AttemptResult::Nothing => RequestResult::Nothing,
+            load::AttemptResult::NotAccepted | load::AttemptResult::NoAnswer => RequestResult::Nothing,
         };
         let (now, retry_at) = (lab.now(), {
             let shared = lab.shared.borrow();
@@ -1326,7 +1326,7 @@
             |d: &usize| shared.routable[*d] || shared.terminating[*d] && !shared.idle[0][*d].is_empty();
         let order = || (0..all).map(|step| (start + step) % all).filter(is_usable);
         let near = order().find(|d| d % shared.world.zones == ask.zone);
-        let Some(d) = near.or_else(|| order().next()) else { return load::AttemptResult::Untaken };
+        let Some(d) = near.or_else(|| order().next()) else { return load::AttemptResult::NotAccepted };
         let op = &shared.scenario.operation[ask.operation];
         let mut extra = String::new();
         if op.effect == Effect::Deduplicated {
@@ -1346,7 +1346,7 @@
         if use_new_connection && taken && !lab.shared.borrow().routable[d] {
             // The dispatcher closed the idle connection and takes no new ones: the client retries elsewhere.
             lab.record(Observation::Crossed { inv });
-            return load::AttemptResult::Untaken;
+            return load::AttemptResult::NotAccepted;
         }
         let reused = if use_new_connection { None } else { reusable_connection(lab, 0, d) };
         let was_reused = reused.is_some();
@@ -1358,13 +1358,13 @@
             if taken {
                 break;
             }
-            return load::AttemptResult::Untaken;
+            return load::AttemptResult::NotAccepted;
         };
         let left = (gives_up_at - lab.now()).max(0);
         let head = format!("X-Request-Id: {inv:x}\r\nX-Deadline-Ms: {}\r\n{extra}", left / 1000);
         // A process that has ended cannot take the request, even if the kernel accepted the connection.
         if lab.shared.borrow().epochs[d].is_multiple_of(2) {
-            return load::AttemptResult::Untaken;
+            return load::AttemptResult::NotAccepted;
         }
         if !std::mem::replace(&mut taken, true) {
             let now = lab.now();
@@ -1389,9 +1389,9 @@
             Err(_) if abandon_after.is_some() => {
                 drop(connection);
                 lab.record(Observation::Left { inv });
-                return load::AttemptResult::Nothing;
+                return load::AttemptResult::NoAnswer;
             }
-            Err(_) => return load::AttemptResult::Nothing,
+            Err(_) => return load::AttemptResult::NoAnswer,
             Ok(Ok(Some(message))) => return handle_response(lab, inv, d, connection, &message),
             // A reused connection was closed before the request was read: it is sent again on a new one.
             Ok(Ok(None) | Err(_)) if was_reused && lab.shared.borrow().epochs[d] == epoch => {}
@@ -1408,7 +1408,7 @@
             lab.record(Observation::Lost { inv });
         }
     }
-    load::AttemptResult::Nothing
+    load::AttemptResult::NoAnswer
 }
 
 /// Returns after how long the client closes its connection without waiting for the answer; `None` if it
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -21,11 +21,11 @@
 
 use crate::judge::{FinalStatus, ForwardEnd, Judge, JudgeParameters, Observation};
 use crate::load::{self, ArrivalGenerator, ClientRequest, retry_time, seeded_generator};
+use crate::peer_messages::{Datagram, PeerMessages};
 use crate::policy::{DecisionMaker, Policy, new_decider, runner_number};
 use crate::runner::{JobEvent, LoadReport, OfferResult, ProcessState};
 use crate::scenario::{DispatcherParameters, Scenario};
-use crate::start::Startup;
-use crate::talk::{Datagram, PeerMessages};
+use crate::startup::Startup;
 use crate::tally::{Outcome, RequestResult, RunDetails, RunnerOutcome, Tally, round};
 use crate::world::{Change, ListingState, World};
 
@@ -547,7 +547,7 @@
         let now = self.now;
         let Some(dispatcher) = self.running_dispatcher(incarnation) else { return };
         let Some(peers) = &mut dispatcher.peers else { return };
-        let datagrams = peers.round(now);
+        let datagrams = peers.tick(now);
         let due = peers.core.next_tick();
         self.push(due, ClockEvent::PeerRound(incarnation));
         self.update_slow_start_shares(incarnation.d);
@@ -623,7 +623,9 @@
         let delay = self.client_delay();
         match chosen {
             Some(d) => self.push(self.now + delay, ClockEvent::RequestArrived(inv, d as u32)),
-            None => self.push(self.now + delay, ClockEvent::ResultArrived(inv, load::AttemptResult::Untaken)),
+            None => {
+                self.push(self.now + delay, ClockEvent::ResultArrived(inv, load::AttemptResult::NotAccepted))
+            }
         }
     }
 
@@ -664,7 +666,8 @@
         let Some(open) = self.requests.get(&(inv >> ATTEMPT_BITS)) else { return };
         if !self.dispatchers[d as usize].alive {
             let delay = self.client_delay();
-            return self.push(self.now + delay, ClockEvent::ResultArrived(inv, load::AttemptResult::Untaken));
+            return self
+                .push(self.now + delay, ClockEvent::ResultArrived(inv, load::AttemptResult::NotAccepted));
         }
         let operation = open.request.operation;
         let client_deadline = open.request.at + self.scenario.operation[operation].client_timeout.0;
@@ -1297,7 +1300,7 @@
         for event in dispatcher.suspended_events.take().unwrap_or_default() {
             if let ClockEvent::RequestArrived(inv, _) = event {
                 let delay = self.client_delay();
-                self.push(self.now + delay, ClockEvent::ResultArrived(inv, load::AttemptResult::Nothing));
+                self.push(self.now + delay, ClockEvent::ResultArrived(inv, load::AttemptResult::NoAnswer));
             }
         }
         let dispatcher = &mut self.dispatchers[d as usize];
@@ -1312,7 +1315,7 @@
         for inv in unanswered {
             self.judge.observe(self.now, Observation::Lost { inv });
             let delay = self.client_delay();
-            self.push(self.now + delay, ClockEvent::ResultArrived(inv, load::AttemptResult::Nothing));
+            self.push(self.now + delay, ClockEvent::ResultArrived(inv, load::AttemptResult::NoAnswer));
         }
         let notice = self.scenario.clients.front_notice.0;
         let incarnation = self.incarnation(d);
--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -1265,8 +1265,8 @@
 
     /// Updates slots and load from a runner's load report, if it has values.
     fn apply_report(&mut self, r: usize, values: &[f64]) {
-        let of = [ReportField::InFlight, ReportField::FreeSlots, ReportField::Waiting];
-        let [inflight, free, waiting] = of.map(|field| self.settings.field(values, field));
+        let fields = [ReportField::InFlight, ReportField::FreeSlots, ReportField::Waiting];
+        let [inflight, free, waiting] = fields.map(|field| self.settings.field(values, field));
         let runner = &mut self.runners[r];
         runner.sent_work.retain(|(at, _)| *at >= self.now - self.settings.overload_window);
         let Some(inflight) = inflight else { return };
@@ -1423,12 +1423,12 @@
         let op = &self.settings.operations[invocation.operation];
         let since =
             invocation.retry_constraint.as_ref().map_or(current.sent_at, |constraint| constraint.since);
-        let may_go = match op.effect {
+        let may_move = match op.effect {
             Effect::Idempotent => true,
             Effect::Deduplicated(_) => self.now < since + op.deduplication_window - 2 * ANSWER_MARGIN,
             Effect::NonIdempotent => false,
         };
-        if !(may_go
+        if !(may_move
             && self.settings.may_cancel
             && invocation.forwards < self.forward_limits[invocation.operation])
         {
