--- a/node/tests/helper/mod.rs
+++ b/node/tests/helper/mod.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
-use std::sync::mpsc::{self, Receiver};
+use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, Instant};
 use std::{env, fs};
 
@@ -118,6 +118,32 @@
     watch
 }
 
+/// Interval of discovery's heartbeats: every 2 s by the protocol, half of that here so that a slow machine does
+/// not delay one for too long.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Sends heartbeats on a watch until it is dropped.
+pub struct Heartbeats {
+    _stop: Sender<()>,
+}
+
+/// Sends heartbeats on this watch from now on, as discovery does. The roster's lease lapses after 6 s without
+/// one, and the program then forwards nothing: a test whose steps can take that long on a busy machine, and
+/// that expects forwards after them, needs heartbeats.
+pub fn send_heartbeats(watch: &Connection) -> Heartbeats {
+    let mut stream = watch.0.get_ref().try_clone().unwrap();
+    let (stop, stopped) = mpsc::channel();
+    std::thread::spawn(move || {
+        while stopped.recv_timeout(HEARTBEAT_INTERVAL) == Err(RecvTimeoutError::Timeout) {
+            // The program closes the watch when it ends.
+            if stream.write_all(b"1\r\n\n\r\n").is_err() {
+                return;
+            }
+        }
+    });
+    Heartbeats { _stop: stop }
+}
+
 /// Returns an address with a free port. The IP address is 127.`octet`.x.y with x and y from the process id;
 /// each test of a process uses octets of its own.
 ///
--- a/node/tests/loopback.rs
+++ b/node/tests/loopback.rs
@@ -223,6 +223,7 @@
     let mut first = start(&folder, listen, Some(admins[0]));
     let mut watch = accept_watch(&discovery);
     watch.list_runner(&runner, 1.0);
+    let _heartbeats = send_heartbeats(&watch);
     let forwarded = Arc::new(Mutex::new(Vec::new()));
     let recorded = forwarded.clone();
     thread::spawn(move || complete_at_once(runner, listen, recorded));
@@ -253,7 +254,8 @@
     let silent: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(admins[0]).unwrap()).collect();
     assert_eq!(admin_command(admins[0], "status"), "YES\n");
     let _second = start(&folder, listen, Some(admins[1]));
-    let _watch = accept_watch_since(&discovery, 1);
+    let second_watch = accept_watch_since(&discovery, 1);
+    let _second_heartbeats = send_heartbeats(&second_watch);
     assert_eq!(admin_command(admins[1], "status"), "YES\n");
     send_signal(&first, "TERM");
     assert_eq!(first.0.wait().unwrap().code(), Some(0));
