--- a/src/random.rs
+++ b/src/random.rs
@@ -58,18 +58,19 @@
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, fold)
 }
 
-/// Maps a hash to a number from 0 up to, but not including, 1, uniform over all hashes.
-fn unit_interval(mut h: u64) -> f64 {
-    h = (h ^ (h >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
-    h = (h ^ (h >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
-    ((h ^ (h >> 33)) >> 11) as f64 / (1u64 << 53) as f64
+/// Maps a hash to a number from 0 up to, but not including, 1, uniform over all hashes. The bits are mixed by
+/// the 64-bit finalizer of MurmurHash3.
+fn unit_interval(mut hash: u64) -> f64 {
+    hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
+    hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
+    ((hash ^ (hash >> 33)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// Weighted rendezvous hashing, the same at every dispatcher: the first `length` candidates for a key, in
 /// order. A candidate is its hash, 1 / weight and the index that is returned.
 pub fn rendezvous_rank(key: u64, candidates: &[(u64, f64, usize)], length: usize) -> Vec<usize> {
-    let rank = |(hash, inverse_weight, r): &(u64, f64, usize)| {
-        (-unit_interval(key ^ hash).ln() * inverse_weight, *r)
+    let rank = |(hash, inverse_weight, index): &(u64, f64, usize)| {
+        (-unit_interval(key ^ hash).ln() * inverse_weight, *index)
     };
     let mut ranks: Vec<(f64, usize)> = candidates.iter().map(rank).collect();
     if length < ranks.len() {
@@ -77,5 +78,5 @@
         ranks.truncate(length);
     }
     ranks.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-    ranks.into_iter().map(|(_, r)| r).collect()
+    ranks.into_iter().map(|(_, index)| index).collect()
 }
--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -44,16 +44,17 @@
 /// How long candidates may take to answer a probe, in microseconds; those that have not answered by then are
 /// skipped.
 const PROBE_TIMEOUT: Micros = 30_000;
-/// Margin, in microseconds, before a client timeout or the end of a deduplication window: an invocation that
-/// is still waiting is given up, and so answered, by its start, and no retry is sent in it.
+/// Margin, in microseconds, before a client timeout or the end of a deduplication window. An invocation that
+/// still waits when the margin begins is given up and so answered; no retry is sent within the margin.
 const ANSWER_MARGIN: Micros = 60_000;
-/// In mean forward times: a candidate whose report is older than this is probed before the choice.
+/// A candidate whose report is older than this is probed before the choice; in multiples of the mean forward
+/// time.
 const STALE_REPORT_AGE: f64 = 0.1;
 /// A forward younger than this, in microseconds, may be missing from a runner's report.
 const REPORT_LAG: Micros = 50_000;
-/// In mean forward times: how long high-priority, low-priority and late invocations wait for room before
-/// runners are sampled again. Other dispatchers' queues are not visible from here: the ones that sample more
-/// often get the slots that become free, so the interval rises as the priority falls.
+/// How long high-priority, low-priority and late invocations wait for room before runners are sampled again;
+/// in multiples of the mean forward time. Other dispatchers' queues are not visible from here: the ones that
+/// sample more often get the slots that become free, so the interval rises as the priority falls.
 const RESAMPLE_INTERVALS: [f64; 3] = [0.06, 0.12, 1.0];
 /// Queue tier of invocations that can no longer meet their objective; 0 is high and 1 is low priority.
 const LATE_TIER: u8 = 2;
@@ -71,10 +72,11 @@
 /// Smallest share of low-priority work that is admitted, in general and where load is unknown. Without any,
 /// nothing would show that slots are free again; it is larger where only the starts of that work show it.
 const MIN_ADMISSION_SHARES: (f64, f64) = (0.05, 0.5);
-/// In mean forward times: decay time of a runner's usual load and of the extra wait for a new connection.
+/// Decay time of a runner's usual load and of the extra wait for a new connection; in multiples of the mean
+/// forward time.
 const USUAL_LOAD_DECAY: f64 = 60.0;
-/// In shortest objectives: the extra wait for a new connection from which open connections are preferred, and
-/// the time from which a failed dial counts as slow.
+/// The extra wait for a new connection above which open connections are preferred, and the time above which a
+/// failed dial counts as slow; as a share of the shortest latency objective.
 const SLOW_DIAL_RATIO: f64 = 0.25;
 /// Bound, in log-odds, on the confidence that reports come late or that they do not.
 const MAX_LATENESS_LOG_ODDS: f64 = 2.5;
@@ -130,6 +132,7 @@
     failed_subscriptions: u32,
     /// Every runner that was ever listed; an index stays valid for good.
     runners: Vec<RunnerState>,
+    /// Index into `runners`, by the runner's id.
     by_id: HashMap<Id, usize>,
     /// Runners that the roster lists as up, in ascending order.
     listed: Vec<usize>,
@@ -149,6 +152,7 @@
     /// The fewest slots known of any runner, assumed for runners that have not reported theirs; 0 if none
     /// has.
     min_slots: f64,
+    /// Invocations that are queued or in flight.
     invocations: HashMap<Id, InvocationState>,
     /// Invocations that wait for a forward, the first to be served first.
     queue: BTreeMap<QueuePosition, Id>,
@@ -371,7 +375,9 @@
                 return;
             }
             Listing::Changes | Listing::Local => {}
-            Listing::All | Listing::Remembered => self.runners.iter_mut().for_each(|r| r.listed = false),
+            Listing::All | Listing::Remembered => {
+                self.runners.iter_mut().for_each(|runner| runner.listed = false)
+            }
         }
         if matches!(roster.listing, Listing::All | Listing::Changes) {
             self.is_subscribed = true;
@@ -729,7 +735,8 @@
         current.started = true;
         let (sent_at, dialled) = (current.sent_at, current.dialled);
         if self.settings.roster_reports_load() || self.settings.load_is_unknown() {
-            // Where load is unknown, a job that starts within an objective has found a slot soon enough.
+            // Where load is unknown, a job that starts within the shortest objective counts as having found
+            // a free slot.
             let is_prompt = !self.settings.load_is_unknown() || self.now - sent_at <= self.shortest_objective;
             self.free_slot_share.record(f64::from(u8::from(is_prompt)), 0.2, self.now);
         }
@@ -867,24 +874,25 @@
     /// from high-priority work.
     fn is_acceptable(&self, pool: CandidatePool, r: usize, invocation: &InvocationState) -> bool {
         let is_free = self.has_free_slot(r);
-        let is_good_enough = is_free
+        let is_free_or_may_wait = is_free
             || !self.probes_indicate_load()
             || invocation.queue_position.is_some_and(|position| position.0 == 0);
-        let enough = invocation.candidates.len() >= self.sample_size(invocation);
+        let has_full_sample = invocation.candidates.len() >= self.sample_size(invocation);
         match pool {
             CandidatePool::Homes => true,
-            CandidatePool::ConnectedOwnZone => enough && is_free,
-            CandidatePool::Connected => enough && is_good_enough,
+            CandidatePool::ConnectedOwnZone => has_full_sample && is_free,
+            CandidatePool::Connected => has_full_sample && is_free_or_may_wait,
             // The roster's loads are late averages: they do not show when the own zone alone runs short.
             CandidatePool::OwnZone => is_free && !self.settings.roster_reports_load(),
             CandidatePool::All => is_free,
-            CandidatePool::Cold => is_good_enough,
+            CandidatePool::Cold => is_free_or_may_wait,
         }
     }
 
     /// Whether a runner has a free slot. Jobs are whole but reports are noisy: 2.97 of 3 slots taken is a
-    /// full runner, and with a plain count below slots every second full runner would look free, to all
-    /// dispatchers at once. Loads from the roster are averages, so any fraction counts there.
+    /// full runner. If any count below the number of slots meant a free slot, every second full runner would
+    /// look free, to all dispatchers at once. Loads from the roster are averages, so any fraction counts
+    /// there.
     fn has_free_slot(&self, r: usize) -> bool {
         let min_free = if self.settings.roster_reports_load() { f64::MIN_POSITIVE } else { 0.5 };
         self.slots(r) - self.job_count(r) >= min_free
@@ -1266,12 +1274,12 @@
     /// Updates slots and load from a runner's load report, if it has values.
     fn apply_report(&mut self, r: usize, values: &[f64]) {
         let fields = [ReportField::InFlight, ReportField::FreeSlots, ReportField::Waiting];
-        let [inflight, free, waiting] = fields.map(|field| self.settings.field(values, field));
+        let [in_flight, free, waiting] = fields.map(|field| self.settings.field(values, field));
         let runner = &mut self.runners[r];
         runner.sent_work.retain(|(at, _)| *at >= self.now - self.settings.overload_window);
-        let Some(inflight) = inflight else { return };
+        let Some(in_flight) = in_flight else { return };
         if let Some(free) = free.filter(|free| *free > 0.5 || waiting.is_some()) {
-            let reported_slots = (free + inflight - waiting.unwrap_or(0.0)).round().max(1.0);
+            let reported_slots = (free + in_flight - waiting.unwrap_or(0.0)).round().max(1.0);
             let slots = runner.slots.map_or(reported_slots, |slots| slots + 0.2 * (reported_slots - slots));
             runner.slots = Some(slots);
             self.min_slots = if self.min_slots > 0.0 { self.min_slots.min(slots) } else { slots };
@@ -1279,11 +1287,11 @@
         if self.settings.roster_reports_load() {
             return;
         }
-        let expected_own = self.record_load(r, inflight);
+        let expected_own = self.record_load(r, in_flight);
         if expected_own > 0.0 {
-            // A fresh report counts at least the own forwards that have been there for long; one that does
+            // A fresh report counts at least the own forwards that are older than `REPORT_LAG`; one that does
             // not is late.
-            self.add_lateness_evidence(if inflight + 0.5 < expected_own { 2.3 } else { -0.1 });
+            self.add_lateness_evidence(if in_flight + 0.5 < expected_own { 2.3 } else { -0.1 });
         }
     }
 
@@ -1296,7 +1304,7 @@
     }
 
     /// Adds evidence, as a log-likelihood ratio, that reports come late (positive) or are prompt (negative).
-    /// The bound keeps either belief reversible.
+    /// The log-odds are bounded, so that evidence to the contrary can still reverse them.
     fn add_lateness_evidence(&mut self, evidence: f64) {
         self.late_reports_log_odds =
             (self.late_reports_log_odds + evidence).clamp(-MAX_LATENESS_LOG_ODDS, MAX_LATENESS_LOG_ODDS);
@@ -1434,19 +1442,19 @@
         {
             return self.set_start_timer(id);
         }
-        let (r, started, allowed) =
+        let (r, started, silence_timeout) =
             (current.runner_index, current.started, self.silence_timeout(current.started));
         if !self.has_retry_budget(invocation.operation) {
-            return self.set_invocation_timer(id, Some(self.now + allowed / 4));
+            return self.set_invocation_timer(id, Some(self.now + silence_timeout / 4));
         }
         if not_started {
             return self.cancel(id);
         }
-        if self.is_silent(r, started) && self.now - current.last_activity >= allowed {
+        if self.is_silent(r, started) && self.now - current.last_activity >= silence_timeout {
             self.cancel(id);
             self.eject(r, "silent");
         } else {
-            self.set_invocation_timer(id, Some(self.now + allowed / 4));
+            self.set_invocation_timer(id, Some(self.now + silence_timeout / 4));
         }
     }
 
--- a/src/routing_policy/slow_start.rs
+++ b/src/routing_policy/slow_start.rs
@@ -16,12 +16,12 @@
 pub type SlowStartShare = (Id, f64, Micros);
 
 impl RoutingPolicy {
-    /// The sent work that counts against the budgets of cold runners, now or later.
+    /// The work sent to cold runners within the overload window, which counts against their budgets.
     pub fn slow_start_usage(&self, now: Micros) -> Vec<SlowStartUsage> {
-        let counts = |at: Micros| at >= now - self.settings.overload_window;
+        let is_in_window = |at: Micros| at >= now - self.settings.overload_window;
         let cold = self.cold.iter().map(|r| &self.runners[*r]);
         let usage = cold.map(|runner| {
-            let work = runner.sent_work.iter().copied().filter(|(at, _)| counts(*at));
+            let work = runner.sent_work.iter().copied().filter(|(at, _)| is_in_window(*at));
             (runner.id.clone(), work.collect::<Vec<_>>())
         });
         usage.filter(|(_, work)| !work.is_empty()).collect()
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -77,8 +77,8 @@
         report.get(nth).copied()
     }
 
-    /// Free slots for a new job; 0 if another job waits. That one then lacks memory, or needs more slots than
-    /// are free, and whatever comes after it waits as well.
+    /// Free slots for a new job; 0 if any job waits. A job that waits although slots are free lacks memory or
+    /// needs more slots than are free, and a new job has to wait behind it.
     pub fn free_slots(&self, report: &[f64]) -> Option<f64> {
         let free = self.field(report, ReportField::FreeSlots)?;
         let blocked = self.field(report, ReportField::Waiting).is_some_and(|waiting| waiting > 0.5);
--- a/src/state_tables.rs
+++ b/src/state_tables.rs
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct RunnerState {
     pub id: Id,
-    /// Hash of the id, for rendezvous hashing and turns of slow start.
+    /// Hash of the id, for rendezvous hashing and for the turns that dispatchers take in its slow start.
     pub hash: u64,
     /// Whether the roster lists it as up.
     pub listed: bool,
@@ -86,7 +86,7 @@
     pub on_trial: bool,
     /// Since when it has shown no sign of life while it held an own forward.
     pub silent_since: Micros,
-    /// Recent own forwards: when each was sent and its estimated work.
+    /// Recent own forwards: when each was sent and its estimated work in slot-microseconds.
     pub sent_work: VecDeque<(Micros, f64)>,
     /// The agreed share of its slow-start budget for this dispatcher, and until when that holds.
     pub slow_start_share: Option<(f64, Micros)>,
@@ -117,7 +117,7 @@
         expected_own
     }
 
-    /// Estimated work of own forwards sent at or after `from`.
+    /// Estimated work, in slot-microseconds, of own forwards sent at or after `from`.
     pub fn work_sent_since(&self, from: Micros) -> f64 {
         self.sent_work.iter().filter(|(at, _)| *at >= from).map(|(_, work)| work).sum()
     }
@@ -300,10 +300,11 @@
     pub deadline: Micros,
     /// Latest start with which it can still meet its objective.
     pub start_deadline: Micros,
-    /// When it is given up if no forward has been sent.
+    /// When it is given up, unless a forward is in flight.
     pub give_up_at: Micros,
+    /// Slots that it takes in a runner.
     pub slots: f64,
-    /// Its work as hinted by the client; 0 without a hint.
+    /// Its running time on a standard core as hinted by the client; 0 without a hint.
     pub work_hint: f64,
     /// Hash of its affinity key.
     pub key: Option<u64>,
