--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -170,23 +170,25 @@
 /// The startup state machine of one dispatcher.
 pub struct Recovery {
     stage: Stage,
+    /// When the current stage is left at the latest; `None` if it has no deadline.
     deadline: Option<Micros>,
     roster_received: bool,
+    /// Discovery has failed or has not answered in time, so that the remembered roster is used.
     discovery_failed: bool,
     /// Whether any other dispatchers are configured.
     has_peers: bool,
 }
 
 impl Recovery {
-    /// Starts in [`Stage::Finding`]; `peers` says whether other dispatchers are configured.
-    pub fn new(peers: bool, now: Micros) -> Recovery {
+    /// Starts in [`Stage::Finding`]; `has_peers` says whether other dispatchers are configured.
+    pub fn new(has_peers: bool, now: Micros) -> Recovery {
         let deadline = Some(now + STORE_READ_TIMEOUT);
         Recovery {
             stage: Stage::Finding,
             deadline,
             roster_received: false,
             discovery_failed: false,
-            has_peers: peers,
+            has_peers,
         }
     }
 
@@ -211,7 +213,7 @@
         self.stage >= Stage::Listed
     }
 
-    /// When to call [`Recovery::tick`] at the latest, if any stage has a deadline.
+    /// When to call [`Recovery::tick`] at the latest; `None` if the current stage has no deadline.
     pub fn next_tick(&self) -> Option<Micros> {
         self.deadline
     }
@@ -306,6 +308,7 @@
         self.enter_listed_if_known(now, actions);
     }
 
+    /// Enters `Listed` and then `Limited` at once, if the stage is `Asked` and it is known which roster to use.
     fn enter_listed_if_known(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.stage == Stage::Asked && (self.roster_received || self.discovery_failed) {
             let reason = if self.roster_received { "list=fresh" } else { "list=remembered" };
--- a/recovery/src/limits.rs
+++ b/recovery/src/limits.rs
@@ -44,7 +44,9 @@
     pub latency_objective: Micros,
 }
 
+/// An operation's value, and estimates of the duration and frequency of its invocations.
 struct Operation {
+    /// Billed value of one invocation.
     value: f64,
     /// Moving average of the time from arrival to success, in microseconds; the latency objective until one
     /// is seen.
@@ -83,9 +85,9 @@
         (level + LEVEL_RISE_PER_SECOND * (now - at).max(0) as f64 / 1e6).min(1.0)
     }
 
-    /// An admitted invocation was throttled, or rejected because no runner had room: from now on at most
-    /// `warmth` of the work is admitted, the fleet's share of its full capacity. Ignored if `warmth` is 0:
-    /// without any runner nothing is known about the capacity to come.
+    /// An admitted invocation was throttled, or rejected because no runner had room: the admitted share of
+    /// all work falls to `warmth`, the fleet's current share of its full capacity, unless it is lower already.
+    /// Ignored if `warmth` is 0: without any runner nothing is known about the capacity to come.
     pub fn record_shortage(&mut self, warmth: f64, now: Micros) {
         if warmth > 0.0 {
             self.level = (self.level(now).min(warmth), now);
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Whether an invocation that arrives now is admitted; `random` is uniform in 0..1.
+    /// Counts an invocation that arrives now and returns whether it is admitted; `random` is uniform in 0..1.
     pub fn admit(&mut self, index: usize, random: f64, now: Micros) -> bool {
         let decay = 0.5_f64.powf((now - self.decayed_at).max(0) as f64 / ARRIVALS_HALF_LIFE);
         self.decayed_at = self.decayed_at.max(now);
@@ -112,8 +114,8 @@
         level >= 1.0 || random < self.share(index, level)
     }
 
-    /// The share of one operation that is admitted at a level: all work with a higher value per unit of work
-    /// comes first.
+    /// The share of one operation's invocations that is admitted at a level: operations with a higher value
+    /// for their work come first.
     fn share(&self, index: usize, level: f64) -> f64 {
         let arrivals: f64 = self.operations.iter().map(|operation| operation.arrivals).sum();
         let work = |operation: &Operation| {
--- a/recovery/src/limits/tests.rs
+++ b/recovery/src/limits/tests.rs
@@ -55,7 +55,10 @@
     let mut limits = limits();
     (0..200).for_each(|_| limits.record_success(2, 20_000));
     limits.record_shortage(0.2, 0);
-    assert!(limits.admit(2, 0.99, 0), "its measured duration is short, so its value per work is the highest");
+    assert!(
+        limits.admit(2, 0.99, 0),
+        "rejected, although its short measured duration makes its value per work the highest"
+    );
     limits.record_success(99, 1);
     assert!(limits.admit(99, 0.99, 0));
 }
--- a/recovery/src/tests.rs
+++ b/recovery/src/tests.rs
@@ -80,6 +80,9 @@
     assert_eq!(choose_roster(Some(known("a", 0, 2)), known("a", 0, 0)).0, Source::Store);
 }
 
+/// A process run that was cut short may have used slow-start budget that is not recorded: its usage is
+/// dropped, and cold runners get nothing for what may be left of the overload window. A missing store entry
+/// makes the admin overrides doubtful, a wrong clock does not.
 #[test]
 fn an_interrupted_run_may_have_used_slow_start_budget_until_its_end() {
     let cut = LoadSummary { min_downtime: 500_000, ..summary() };
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -168,9 +168,9 @@
             || raw.value_or("prices.connection", 0.0)? > 0.0,
         idle_timeout,
         must_subscribe,
-        // Where lists are pushed, dispatchers count as notified of a change even if they do not receive it.
-        // One that has to receive lists on sockets must not be without a subscription for longer than the
-        // grace period of a drain.
+        // Where rosters are pushed, dispatchers count as notified of a change even if they do not receive it.
+        // A dispatcher that gets them over a socket must therefore not be without a subscription for longer
+        // than the grace period of a drain.
         notification_deadline: match must_subscribe {
             true => raw.value_within("invariants.askWithin", 1, MAX_SPAN)?,
             false => raw.value_or("invariants.drainGrace", MAX_SPAN)?.clamp(1, MAX_SPAN),
