--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -308,7 +308,7 @@
         self.enter_listed_if_known(now, actions);
     }
 
-    /// Enters `Listed` and then `Limited` at once, if the stage is `Asked` and it is known which roster to use.
+    /// Enters `Listed` and then `Limited` at once, if the stage is `Asked` and the choice of roster is known.
     fn enter_listed_if_known(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.stage == Stage::Asked && (self.roster_received || self.discovery_failed) {
             let reason = if self.roster_received { "list=fresh" } else { "list=remembered" };
--- a/recovery/src/limits.rs
+++ b/recovery/src/limits.rs
@@ -86,8 +86,8 @@
     }
 
     /// An admitted invocation was throttled, or rejected because no runner had room: the admitted share of
-    /// all work falls to `warmth`, the fleet's current share of its full capacity, unless it is lower already.
-    /// Ignored if `warmth` is 0: without any runner nothing is known about the capacity to come.
+    /// all work falls to `warmth`, the fleet's current share of its full capacity, unless it is lower
+    /// already. Ignored if `warmth` is 0: without any runner nothing is known about the capacity to come.
     pub fn record_shortage(&mut self, warmth: f64, now: Micros) {
         if warmth > 0.0 {
             self.level = (self.level(now).min(warmth), now);
