--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -21,6 +21,7 @@
 use crate::upstream::roster::Roster;
 use crate::upstream::runners::Runners;
 
+/// The clock's time at the start of every test, in microseconds.
 const START: Micros = 1_700_000_000_000_000;
 
 /// A [`ConnectionDriver`] without sockets that records what is done to its connections.
@@ -29,8 +30,11 @@
     now: Micros,
     /// For how long the process has been frozen, in microseconds.
     stalled_for: Micros,
-    next: ConnectionId,
+    /// The connection id given last.
+    last_connection: ConnectionId,
+    /// Open connections.
     roles: BTreeMap<ConnectionId, ConnectionRole>,
+    /// Bytes received and not consumed yet.
     inputs: BTreeMap<ConnectionId, Vec<u8>>,
     /// Connections that are no longer reusable.
     stale: BTreeSet<ConnectionId>,
@@ -56,10 +60,10 @@
     }
 
     fn open_connection(&mut self, role: ConnectionRole) -> ConnectionId {
-        self.next += 1;
-        self.roles.insert(self.next, role);
-        self.inputs.insert(self.next, Vec::new());
-        self.next
+        self.last_connection += 1;
+        self.roles.insert(self.last_connection, role);
+        self.inputs.insert(self.last_connection, Vec::new());
+        self.last_connection
     }
 }
 
@@ -77,8 +81,9 @@
     }
 
     fn close_oldest_lingering(&mut self) -> bool {
-        let ended = self.lingering.pop().inspect(|connection| self.abort(*connection, CloseReason::BadInput));
-        ended.is_some()
+        let closed =
+            self.lingering.pop().inspect(|connection| self.abort(*connection, CloseReason::BadInput));
+        closed.is_some()
     }
 
     fn dial(&mut self, to: SocketAddr, role: ConnectionRole) -> ConnectionId {
@@ -116,18 +121,18 @@
         self.to_process_again.push(connection);
     }
 
-    fn finish(&mut self, connection: ConnectionId, end: CloseReason) {
-        self.abort(connection, end);
+    fn finish(&mut self, connection: ConnectionId, reason: CloseReason) {
+        self.abort(connection, reason);
     }
 
-    fn abort(&mut self, connection: ConnectionId, end: CloseReason) {
+    fn abort(&mut self, connection: ConnectionId, reason: CloseReason) {
         self.roles.remove(&connection);
-        self.record(&format!("#{connection} ends: {}", end.code()));
+        self.record(&format!("#{connection} ends: {}", reason.code()));
     }
 
-    fn set_timer(&mut self, due: Timer, at: Micros) {
+    fn set_timer(&mut self, timer: Timer, at: Micros) {
         self.timer_count += 1;
-        self.timers.insert((at, self.timer_count), due);
+        self.timers.insert((at, self.timer_count), timer);
     }
 }
 
@@ -177,10 +182,12 @@
 }
 
 impl Node {
+    /// A node with these runners in its known roster.
     fn new(runners: &[(&str, &str)]) -> Node {
         Node::from_text(&configuration(runners))
     }
 
+    /// A node with this configuration.
     fn from_text(text: &str) -> Node {
         let mut driver = TestDriver { now: START, ..TestDriver::default() };
         let configuration = config::decode(text).unwrap();
@@ -189,16 +196,17 @@
         node
     }
 
-    /// A successor of `of`, with the messages that `of` sends to it on `connection`.
-    fn successor(of: &mut Node, connection: ConnectionId) -> Node {
-        of.driver.roles.insert(connection, ConnectionRole::Peer);
-        of.driver.inputs.insert(connection, Vec::new());
-        of.table.hand_over(connection, &mut of.driver);
-        of.run_until_idle();
-        let text = of.driver.handover_text.remove(&connection).unwrap();
+    /// The successor of a process, with the messages that `predecessor` sends to it on `connection`.
+    fn successor(predecessor: &mut Node, connection: ConnectionId) -> Node {
+        predecessor.driver.roles.insert(connection, ConnectionRole::Peer);
+        predecessor.driver.inputs.insert(connection, Vec::new());
+        predecessor.table.hand_over(connection, &mut predecessor.driver);
+        predecessor.run_until_idle();
+        let text = predecessor.driver.handover_text.remove(&connection).unwrap();
         let (state, later_text) = text.split_once('\n').unwrap();
         let state = serde_json::from_str(state).unwrap();
-        let mut driver = TestDriver { now: of.driver.now, next: 100, ..TestDriver::default() };
+        let mut driver =
+            TestDriver { now: predecessor.driver.now, last_connection: 100, ..TestDriver::default() };
         let configuration = config::decode(&configuration(&[])).unwrap();
         let mut node =
             Node { table: RequestTable::new(configuration, Some(state), None, &mut driver), driver };
@@ -310,7 +318,7 @@
                         self.table.handler(role).timer_fired(connection, &mut self.driver);
                     }
                 }
-                due => self.table.timer_fired(due, &mut self.driver),
+                timer => self.table.timer_fired(timer, &mut self.driver),
             }
             self.run_until_idle();
         }
@@ -351,16 +359,19 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
+/// Head of discovery's response to a watch.
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// A new generation without changes.
 const EMPTY_CHANGE: &str = "{\"generation\":43,\"reset\":false,\"instances\":[]}\n";
 /// An empty line in a chunk, which keeps a watch alive.
 const EMPTY_LINE: &str = "1\r\n\n\r\n";
+/// A runner's response to a forward that it accepts.
 const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+/// A runner's response to a cancel.
 const NO_CONTENT: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
 #[test]
-fn a_forward_is_taken_and_its_result_answered() {
+fn a_forward_is_accepted_and_its_result_answered() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("plan", "i1");
     node.advance(1);
@@ -402,7 +413,7 @@
 }
 
 #[test]
-fn a_connection_found_ended_is_not_used_again() {
+fn a_connection_found_closed_is_not_reused() {
     let mut node = Node::with_accepted_forward("plan");
     node.driver.stale.insert(3);
     node.invoke("plan", "i2");
@@ -447,7 +458,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_free_takes_over_what_waits_for_a_dial() {
+fn a_connection_that_becomes_free_carries_a_forward_that_waits_for_a_dial() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("plan", "i1");
     node.invoke("plan", "i2");
@@ -464,7 +475,7 @@
 }
 
 #[test]
-fn what_never_ran_goes_elsewhere_or_is_throttled() {
+fn an_invocation_that_never_ran_goes_to_another_runner_or_is_throttled() {
     let mut node = Node::with_watch(&RUNNERS);
     node.invoke("book", "i1");
     node.advance(260);
@@ -485,7 +496,7 @@
 }
 
 #[test]
-fn what_was_written_whole_may_have_run() {
+fn a_request_written_whole_may_have_run() {
     let mut node = Node::with_watch(&RUNNERS);
     node.invoke("book", "i1");
     node.connect(3);
@@ -581,7 +592,7 @@
     node.advance(20);
     node.close(client, CloseReason::PeerClosed);
     node.feed(3, NO_CONTENT);
-    // Before the 202 its connection is closed too.
+    // A client that leaves before the 202: the runner's connection is closed as well.
     let client = node.invoke("plan", "i2");
     node.close(client, CloseReason::PeerClosed);
     node.assert_trace(expect![[r#"
@@ -730,8 +741,10 @@
 /// How a call to discovery, or a watch, can fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CallFault {
+    /// The dial never completes.
     NeverUp,
     Refused,
+    /// The call is answered with 503.
     Unavailable,
     Reset,
     SilentBeforeHead,
@@ -807,8 +820,8 @@
 }
 
 /// After any two failures, the roster is in force within the 6 s after which a change counts as notified,
-/// counted from the recovery of discovery, even if discovery takes two of them to answer. With a lapsed lease
-/// nothing would be forwarded for longer than that.
+/// counted from the recovery of discovery, even if discovery takes 2 s to answer. Guards against a lease that
+/// lapses and stops forwarding for longer than that.
 #[test]
 fn the_roster_is_in_force_in_time_after_any_two_call_failures() {
     for first in CALL_FAULTS {
@@ -825,12 +838,16 @@
             node.advance(2000);
             node.feed(connection, &format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE)));
             let took = (node.driver.now - recovered_at) / 1000;
-            assert!(took < 5800, "{first:?}, {second:?}: {took} ms, {}", node.driver.trace);
+            assert!(
+                took < 5800,
+                "roster in force {took} ms after {first:?}, {second:?}: {}",
+                node.driver.trace
+            );
             node.driver.trace.clear();
             node.invoke("plan", "i1");
             assert!(
                 node.driver.trace.contains("dials 127.0.0.1:3001"),
-                "{first:?}, {second:?}: {}",
+                "nothing is forwarded after {first:?}, {second:?}: {}",
                 node.driver.trace
             );
         }
@@ -840,12 +857,12 @@
 /// Guards against sending to a runner whose drain counts as notified but was missed: discovery was reachable,
 /// but its changes did not arrive.
 #[test]
-fn nothing_is_forwarded_by_a_list_that_may_be_out_of_date() {
+fn nothing_is_forwarded_by_a_roster_that_may_be_out_of_date() {
     let silent = [CallFault::SilentBeforeHead, CallFault::SilentBeforeLine, CallFault::Unavailable];
     for fault in silent {
         let mut node = Node::with_watch(&RUNNERS[..1]);
         node.advance(1000);
-        // Its dial would be established only after the lease has lapsed.
+        // The dial for this forward would complete only after the lease has lapsed.
         node.invoke("plan", "i1");
         let mut connection = 1;
         while node.driver.now < START + 5_990_000 {
@@ -858,21 +875,29 @@
         node.invoke("plan", "i3");
         node.advance(300);
         let trace = &node.driver.trace;
-        assert_eq!(trace.matches("dials 127.0.0.1:3001").count(), 1, "{fault:?}: {trace}");
-        assert!(trace.contains("ends: unlisted"), "{fault:?}: {trace}");
+        assert_eq!(
+            trace.matches("dials 127.0.0.1:3001").count(),
+            1,
+            "only the dial before the lease lapses is expected, {fault:?}: {trace}"
+        );
+        assert!(trace.contains("ends: unlisted"), "the open dial is not ended, {fault:?}: {trace}");
         // The roster arrives and service resumes.
         let connection = node.wait_for_next_call(connection);
         node.connect(connection);
         node.feed(connection, &format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE)));
         node.driver.trace.clear();
         node.invoke("plan", "i4");
-        assert!(node.driver.trace.contains("dials 127.0.0.1:3001"), "{fault:?}: {}", node.driver.trace);
+        assert!(
+            node.driver.trace.contains("dials 127.0.0.1:3001"),
+            "nothing is forwarded after {fault:?}: {}",
+            node.driver.trace
+        );
     }
 }
 
 /// Guards against a starting process that forwards by the roster in its file while discovery has already
-/// notified the others of a drain. A refusal at once may come from a discovery that is down or overloaded; a
-/// dial that fails means that it cannot be reached.
+/// notified the others of a drain. A 503 may come from a discovery that is down or overloaded; a dial that
+/// fails means that it cannot be reached.
 #[test]
 fn a_start_sends_nothing_before_discovery_answers_or_is_unreachable() {
     const HEALTH_REQUEST: &str = "GET /healthz HTTP/1.1\r\n\r\n";
@@ -907,8 +932,8 @@
     assert_eq!(start(CallFault::SilentBeforeHead, false), (false, Some(9010)));
 }
 
-/// Where rosters are pushed, an agent that does not answer has received nothing either, as when discovery is
-/// down. Guards against the end of all service 6 s after the watch fell silent.
+/// Where an agent of this dispatcher pushes the rosters, an agent that does not answer has received no change
+/// either, as when discovery is down. Guards against the end of all service 6 s after the watch fell silent.
 #[test]
 fn an_agent_that_is_silent_stops_no_service() {
     for fault in [CallFault::SilentBeforeHead, CallFault::SilentBeforeLine, CallFault::Unavailable] {
@@ -923,7 +948,11 @@
             if [6_500, 13_000, 19_500].contains(&ms) {
                 node.driver.trace.clear();
                 node.invoke("plan", &format!("i{ms}"));
-                assert!(node.driver.trace.contains(":3001"), "{fault:?} at {ms}: {}", node.driver.trace);
+                assert!(
+                    node.driver.trace.contains(":3001"),
+                    "nothing is forwarded at {ms} ms, {fault:?}: {}",
+                    node.driver.trace
+                );
             }
         }
     }
@@ -952,7 +981,10 @@
             .contains("dials 127.0.0.1:3001")
             .then_some((node.driver.now - START) / 1_000_000);
     }
-    assert!(sent_at.is_some_and(|sent_at| (25..=26).contains(&sent_at)), "{sent_at:?}");
+    assert!(
+        sent_at.is_some_and(|sent_at| (25..=26).contains(&sent_at)),
+        "seconds until the first forward: {sent_at:?}"
+    );
 }
 
 /// Where discovery is down or unreachable no change can be notified, and service continues by the current
@@ -971,14 +1003,18 @@
         }
         node.driver.trace.clear();
         node.invoke("plan", "i1");
-        assert!(node.driver.trace.contains("dials 127.0.0.1:3001"), "{fault:?}: {}", node.driver.trace);
+        assert!(
+            node.driver.trace.contains("dials 127.0.0.1:3001"),
+            "nothing is forwarded after {fault:?}: {}",
+            node.driver.trace
+        );
     }
 }
 
 /// Guards against two failures: a whole roster that takes longer than a watch may be silent was cut off and
 /// requested again without end, and one that arrives in small pieces without end was waited for.
 #[test]
-fn a_whole_list_may_come_slowly_but_not_for_ever() {
+fn a_whole_roster_may_arrive_slowly_but_not_without_end() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     let moved = config::decode(&configuration(&RUNNERS).replace("8500", "8501")).unwrap();
     node.table.reload(moved, &mut node.driver);
@@ -1057,7 +1093,7 @@
 
 /// An indented roster is one JSON object over many lines, and may arrive in pieces.
 #[test]
-fn a_list_over_several_lines_is_read_once_it_is_whole() {
+fn a_roster_over_several_lines_is_read_once_it_is_whole() {
     let mut node = Node::with_watch(&RUNNERS);
     node.feed(1, &chunk("{\n  \"generation\": 43,\n  \"reset\": false,\n  \"instances\": [\n"));
     node.feed(1, &chunk("    {\"instanceId\": \"s-a\",\n \"lifecycle\": \"draining\"}\n  ]\n"));
@@ -1080,7 +1116,7 @@
 /// Discovery has restarted its generations at the same address: a drain between the two counts would be in
 /// neither.
 #[test]
-fn a_generation_that_goes_back_brings_the_whole_list() {
+fn a_generation_that_goes_back_causes_a_request_for_the_whole_roster() {
     let mut node = Node::with_watch(&RUNNERS);
     let gone = r#"{"generation":7,"reset":false,"instances":[{"instanceId":"s-b","lifecycle":"removed"}]}"#;
     node.feed(1, &chunk(&format!("{gone}\n")));
@@ -1283,7 +1319,7 @@
 
 /// Guards against shutdown spans fitted to longer client timeouts than the settings have: the process was
 /// killed 0.7 s after the longest client timeout while it still accepted clients. Requests after the last
-/// step are still answered, and one that was never sent has not failed.
+/// step are still answered, and an invocation that was never sent is throttled, not failed.
 #[test]
 fn a_shutdown_follows_the_longest_client_timeout_of_the_settings() {
     let text = configuration(&RUNNERS[..1]);
@@ -1334,11 +1370,11 @@
     node.driver.blocked.insert(3);
     let half_sent_client = node.invoke("book", "i2");
     node.close(half_sent_client, CloseReason::Reset);
-    // After a forward that was returned, and before the next.
-    let returned_client = node.invoke("book", "i3");
+    // Between a forward that the runner rejected and the next one.
+    let rejected_client = node.invoke("book", "i3");
     node.connect(6);
     node.feed(6, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-    node.close(returned_client, CloseReason::PeerClosed);
+    node.close(rejected_client, CloseReason::PeerClosed);
     node.advance(900);
     node.assert_trace(expect![[r#"
         0     #3 dials 127.0.0.1:3001
@@ -1366,7 +1402,7 @@
 /// event loop was long or the dial completed first. Covers first and further forwards over an idle
 /// connection, a new one and one that becomes free.
 #[test]
-fn a_client_whose_end_has_not_been_read_yet_is_not_served() {
+fn a_client_whose_close_has_not_been_read_yet_is_not_served() {
     let mut node = Node::with_accepted_forward("plan");
     node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
     node.driver.trace.clear();
@@ -1486,7 +1522,7 @@
     node.driver.trace.clear();
     node.feed(1, EMPTY_LINE);
     node.advance(1000);
-    let timers = node.driver.timers.values().filter(|due| **due == Timer::Connection(clients[2])).count();
+    let timers = node.driver.timers.values().filter(|timer| **timer == Timer::Connection(clients[2])).count();
     node.driver.record(&format!("looks asked for: {timers}"));
     // A connection that has sent a request before may be idle, but its next request must be whole in time
     // too.
@@ -1616,7 +1652,7 @@
 }
 
 #[test]
-fn bad_input_is_refused_and_does_no_harm() {
+fn bad_input_is_refused_and_other_connections_are_served() {
     let callback =
         |body: &str| format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let plan = |headers: &str| format!("POST /plan HTTP/1.1\r\n{headers}\r\n");
@@ -1723,7 +1759,7 @@
 }
 
 #[test]
-fn an_answer_that_cannot_be_read_may_have_run() {
+fn a_forward_with_an_unreadable_answer_may_have_run() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     node.invoke("book", "i1");
     node.connect(3);
@@ -2081,6 +2117,7 @@
     assert_eq!(members.apply_listing(Listing::Changes, vec![entry(Some(33))], 70)[0].launched, Some(33));
 }
 
+/// The connection between the two processes of an upgrade.
 const PEER: ConnectionId = 50;
 
 #[test]
@@ -2361,9 +2398,9 @@
         launched: Some(launched),
     };
     let now = START + 100 * SECOND;
-    let age_when_listed = |heard_before: Option<Micros>, launched| {
+    let age_when_listed = |previous_contact: Option<Micros>, launched| {
         let mut members = Membership::new(10 * SECOND);
-        members.set_previous_contact(heard_before);
+        members.set_previous_contact(previous_contact);
         let first = members.apply_listing(Listing::Changes, vec![entry(launched)], now)[0].launched;
         // Listed again, it has the same start.
         members.set_previous_contact(Some(now + 50 * SECOND));
