--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -486,9 +486,9 @@
         if admitted { self.enqueue(&arrival.invocation) } else { self.give_up(&arrival.invocation) }
     }
 
-    /// Admission control: low-priority work is admitted by the share of samples that have a free slot.
-    /// Without it, the low-priority invocations of hundreds of dispatchers sample so often that high-priority
-    /// ones seldom find the slot that has become free.
+    /// Admission control: low-priority work is admitted by the share of samples that have a free slot, and
+    /// late work only where all low-priority work is. Without it, the low-priority invocations of hundreds of
+    /// dispatchers sample so often that high-priority ones seldom find the slot that has become free.
     fn should_admit(&mut self, operation: usize, start_deadline: Micros) -> bool {
         let is_late = start_deadline <= self.now;
         if self.free_slot_share.updated_at.is_none() || self.is_high_priority[operation] && !is_late {
@@ -595,6 +595,7 @@
         }
         let slot_freed = std::mem::take(&mut self.slot_freed);
         let waiting: Vec<Id> = self.queue.values().take(64).cloned().collect();
+        // Once an unconstrained invocation has found no room, the unconstrained ones behind it are skipped.
         let mut no_room = false;
         for id in waiting {
             let invocation = &self.invocations[&id];
@@ -1158,9 +1159,9 @@
         f64::from(runner.in_flight) + other_jobs.max(0.0)
     }
 
-    /// A plausible job count. Where loads come from the roster, they are averages that are off by about their
-    /// square root, and all dispatchers see the same late roster: if they used its figures as they are, they
-    /// would all choose the same runner. So normal noise is added.
+    /// A runner's job count for the comparison of candidates. Where loads come from the roster, they are
+    /// averages that are off by about their square root, and all dispatchers see the same late roster: if they
+    /// used its figures as they are, they would all choose the same runner. So normal noise is added.
     fn estimate_jobs(&mut self, r: usize) -> f64 {
         let count = self.job_count(r);
         if !self.settings.roster_reports_load() {
