--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -227,7 +227,7 @@
         Node::new(runners).with_watch_answered()
     }
 
-    /// Answers the first call to discovery, on which nothing has changed, and clears the trace.
+    /// Answers the first request to discovery, without any change, and clears the trace.
     fn with_watch_answered(mut self) -> Node {
         let connection =
             *self.driver.roles.iter().find(|(_, role)| **role == ConnectionRole::Roster).unwrap().0;
@@ -706,11 +706,11 @@
     "#]]);
 }
 
-/// Guards against two failures of the watch: a call that stays unanswered takes most of the 6 s after which a
-/// change counts as notified, and a call that is given up just before its answer when discovery answers many
-/// callers slowly. A late call therefore stays open beside the next one.
+/// Guards against two failures of the watch: a request that stays unanswered takes most of the 6 s after
+/// which a change counts as notified, and a request that is given up just before its answer when discovery
+/// answers many clients slowly. A late request therefore stays open beside the next one.
 #[test]
-fn a_call_that_is_late_is_made_again_and_may_still_be_answered() {
+fn a_discovery_request_that_is_late_is_sent_again_and_may_still_be_answered() {
     let mut node = Node::new(&RUNNERS[..1]);
     node.connect(1);
     node.advance(2900);
@@ -738,13 +738,13 @@
     "#]]);
 }
 
-/// How a call to discovery, or a watch, can fail.
+/// How a request to discovery, or a watch, can fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum CallFault {
+enum DiscoveryFault {
     /// The dial never completes.
     NeverUp,
     Refused,
-    /// The call is answered with 503.
+    /// The request is answered with 503.
     Unavailable,
     Reset,
     SilentBeforeHead,
@@ -755,67 +755,69 @@
     ResetAfterLine,
 }
 
-const CALL_FAULTS: [CallFault; 10] = [
-    CallFault::NeverUp,
-    CallFault::Refused,
-    CallFault::Unavailable,
-    CallFault::Reset,
-    CallFault::SilentBeforeHead,
-    CallFault::SilentWithinHead,
-    CallFault::SilentBeforeLine,
-    CallFault::SilentAfterLine,
-    CallFault::SilentWithinLine,
-    CallFault::ResetAfterLine,
+const DISCOVERY_FAULTS: [DiscoveryFault; 10] = [
+    DiscoveryFault::NeverUp,
+    DiscoveryFault::Refused,
+    DiscoveryFault::Unavailable,
+    DiscoveryFault::Reset,
+    DiscoveryFault::SilentBeforeHead,
+    DiscoveryFault::SilentWithinHead,
+    DiscoveryFault::SilentBeforeLine,
+    DiscoveryFault::SilentAfterLine,
+    DiscoveryFault::SilentWithinLine,
+    DiscoveryFault::ResetAfterLine,
 ];
 
 impl Node {
-    /// Makes the call on this connection fail, and leaves it right after the fault.
-    fn inject_fault(&mut self, connection: ConnectionId, fault: CallFault) {
-        if !matches!(fault, CallFault::NeverUp | CallFault::Refused) {
+    /// Makes the request on this connection fail, and leaves it right after the fault.
+    fn inject_fault(&mut self, connection: ConnectionId, fault: DiscoveryFault) {
+        if !matches!(fault, DiscoveryFault::NeverUp | DiscoveryFault::Refused) {
             self.connect(connection);
         }
         let answer = match fault {
-            CallFault::NeverUp | CallFault::SilentBeforeHead => return,
-            CallFault::Refused => return self.close(connection, CloseReason::Refused),
-            CallFault::Reset => return self.close(connection, CloseReason::Reset),
-            CallFault::Unavailable => {
+            DiscoveryFault::NeverUp | DiscoveryFault::SilentBeforeHead => return,
+            DiscoveryFault::Refused => return self.close(connection, CloseReason::Refused),
+            DiscoveryFault::Reset => return self.close(connection, CloseReason::Reset),
+            DiscoveryFault::Unavailable => {
                 "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned()
             }
-            CallFault::SilentWithinHead => WATCH_HEAD[..20].to_owned(),
-            CallFault::SilentBeforeLine => WATCH_HEAD.to_owned(),
-            CallFault::SilentAfterLine | CallFault::ResetAfterLine => {
+            DiscoveryFault::SilentWithinHead => WATCH_HEAD[..20].to_owned(),
+            DiscoveryFault::SilentBeforeLine => WATCH_HEAD.to_owned(),
+            DiscoveryFault::SilentAfterLine | DiscoveryFault::ResetAfterLine => {
                 format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE))
             }
-            CallFault::SilentWithinLine => format!("{WATCH_HEAD}{}{}", chunk(EMPTY_CHANGE), chunk("{\"gen")),
+            DiscoveryFault::SilentWithinLine => {
+                format!("{WATCH_HEAD}{}{}", chunk(EMPTY_CHANGE), chunk("{\"gen"))
+            }
         };
         self.feed(connection, &answer);
-        if fault == CallFault::ResetAfterLine {
+        if fault == DiscoveryFault::ResetAfterLine {
             self.close(connection, CloseReason::Reset);
         }
     }
 
-    /// The connection of the first call to discovery after the one on `before`, if there is one.
-    fn next_call(&self, before: ConnectionId) -> Option<ConnectionId> {
-        let calls = self.driver.roles.iter().filter(|(_, role)| **role == ConnectionRole::Roster);
-        calls.map(|(connection, _)| *connection).find(|connection| *connection > before)
+    /// The connection of the first request to discovery after the one on `before`, if there is one.
+    fn next_discovery_request(&self, before: ConnectionId) -> Option<ConnectionId> {
+        let requests = self.driver.roles.iter().filter(|(_, role)| **role == ConnectionRole::Roster);
+        requests.map(|(connection, _)| *connection).find(|connection| *connection > before)
     }
 
-    /// Makes the next call fail if it has been made. Returns the connection of the last call.
-    fn fault_next_call(&mut self, before: ConnectionId, fault: CallFault) -> ConnectionId {
-        let Some(connection) = self.next_call(before) else { return before };
+    /// Makes the next request to discovery fail if it has been sent. Returns the connection of the last one.
+    fn fail_next_discovery_request(&mut self, before: ConnectionId, fault: DiscoveryFault) -> ConnectionId {
+        let Some(connection) = self.next_discovery_request(before) else { return before };
         self.inject_fault(connection, fault);
         connection
     }
 
-    /// Waits for the next call and returns its connection.
-    fn wait_for_next_call(&mut self, before: ConnectionId) -> ConnectionId {
+    /// Waits for the next request to discovery and returns its connection.
+    fn wait_for_next_discovery_request(&mut self, before: ConnectionId) -> ConnectionId {
         for _ in 0..1000 {
-            if let Some(connection) = self.next_call(before) {
+            if let Some(connection) = self.next_discovery_request(before) {
                 return connection;
             }
             self.advance(10);
         }
-        panic!("discovery is not called again: {}", self.driver.trace);
+        panic!("no further request to discovery: {}", self.driver.trace);
     }
 }
 
@@ -823,17 +825,17 @@
 /// counted from the recovery of discovery, even if discovery takes 2 s to answer. Guards against a lease that
 /// lapses and stops forwarding for longer than that.
 #[test]
-fn the_roster_is_in_force_in_time_after_any_two_call_failures() {
-    for first in CALL_FAULTS {
-        for second in CALL_FAULTS {
+fn the_roster_is_in_force_in_time_after_any_two_discovery_failures() {
+    for first in DISCOVERY_FAULTS {
+        for second in DISCOVERY_FAULTS {
             let mut node = Node::with_watch(&RUNNERS[..1]);
             node.close(1, CloseReason::Reset);
-            let connection = node.wait_for_next_call(1);
+            let connection = node.wait_for_next_discovery_request(1);
             node.inject_fault(connection, first);
-            let connection = node.wait_for_next_call(connection);
+            let connection = node.wait_for_next_discovery_request(connection);
             node.inject_fault(connection, second);
             let recovered_at = node.driver.now;
-            let connection = node.wait_for_next_call(connection);
+            let connection = node.wait_for_next_discovery_request(connection);
             node.connect(connection);
             node.advance(2000);
             node.feed(connection, &format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE)));
@@ -858,7 +860,8 @@
 /// but its changes did not arrive.
 #[test]
 fn nothing_is_forwarded_by_a_roster_that_may_be_out_of_date() {
-    let silent = [CallFault::SilentBeforeHead, CallFault::SilentBeforeLine, CallFault::Unavailable];
+    let silent =
+        [DiscoveryFault::SilentBeforeHead, DiscoveryFault::SilentBeforeLine, DiscoveryFault::Unavailable];
     for fault in silent {
         let mut node = Node::with_watch(&RUNNERS[..1]);
         node.advance(1000);
@@ -866,7 +869,7 @@
         node.invoke("plan", "i1");
         let mut connection = 1;
         while node.driver.now < START + 5_990_000 {
-            connection = node.fault_next_call(connection, fault);
+            connection = node.fail_next_discovery_request(connection, fault);
             node.advance(10);
         }
         node.driver.trace.clear();
@@ -882,7 +885,7 @@
         );
         assert!(trace.contains("ends: unlisted"), "the open dial is not ended, {fault:?}: {trace}");
         // The roster arrives and service resumes.
-        let connection = node.wait_for_next_call(connection);
+        let connection = node.wait_for_next_discovery_request(connection);
         node.connect(connection);
         node.feed(connection, &format!("{WATCH_HEAD}{}", chunk(EMPTY_CHANGE)));
         node.driver.trace.clear();
@@ -901,7 +904,7 @@
 #[test]
 fn a_start_sends_nothing_before_discovery_answers_or_is_unreachable() {
     const HEALTH_REQUEST: &str = "GET /healthz HTTP/1.1\r\n\r\n";
-    let start = |fault: CallFault, has_change: bool| {
+    let start = |fault: DiscoveryFault, has_change: bool| {
         let mut node = Node::new(&RUNNERS[..1]);
         node.inject_fault(1, fault);
         node.invoke("plan", "i1");
@@ -914,7 +917,7 @@
         let mut connection = 1;
         let mut ready_at = None;
         for _ in 0..910 {
-            connection = node.fault_next_call(connection, fault);
+            connection = node.fail_next_discovery_request(connection, fault);
             node.advance(10);
             if ready_at.is_none() && node.driver.trace.contains("200 OK") {
                 ready_at = Some((node.driver.now - START) / 1000);
@@ -925,24 +928,26 @@
         }
         (node.driver.trace.contains("dials 127.0.0.1:3001"), ready_at)
     };
-    assert_eq!(start(CallFault::SilentBeforeLine, true), (true, Some(10)));
-    assert_eq!(start(CallFault::Refused, false), (true, Some(10)));
-    assert_eq!(start(CallFault::NeverUp, false), (false, Some(1010)));
-    assert_eq!(start(CallFault::Unavailable, false), (false, Some(9010)));
-    assert_eq!(start(CallFault::SilentBeforeHead, false), (false, Some(9010)));
+    assert_eq!(start(DiscoveryFault::SilentBeforeLine, true), (true, Some(10)));
+    assert_eq!(start(DiscoveryFault::Refused, false), (true, Some(10)));
+    assert_eq!(start(DiscoveryFault::NeverUp, false), (false, Some(1010)));
+    assert_eq!(start(DiscoveryFault::Unavailable, false), (false, Some(9010)));
+    assert_eq!(start(DiscoveryFault::SilentBeforeHead, false), (false, Some(9010)));
 }
 
 /// Where an agent of this dispatcher pushes the rosters, an agent that does not answer has received no change
 /// either, as when discovery is down. Guards against the end of all service 6 s after the watch fell silent.
 #[test]
 fn an_agent_that_is_silent_stops_no_service() {
-    for fault in [CallFault::SilentBeforeHead, CallFault::SilentBeforeLine, CallFault::Unavailable] {
+    for fault in
+        [DiscoveryFault::SilentBeforeHead, DiscoveryFault::SilentBeforeLine, DiscoveryFault::Unavailable]
+    {
         let pushed = configuration(&RUNNERS[..1]).replace("subscribe", "automatic");
         let mut node = Node::from_text(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":500000"))
             .with_watch_answered();
         let mut connection = 1;
         while node.driver.now < START + 20_000_000 {
-            connection = node.fault_next_call(connection, fault);
+            connection = node.fail_next_discovery_request(connection, fault);
             node.advance(10);
             let ms = (node.driver.now - START) / 1000;
             if [6_500, 13_000, 19_500].contains(&ms) {
@@ -958,15 +963,15 @@
     }
 }
 
-/// Discovery that refuses every call for as long as a start may take counts as down, so that service can
+/// Discovery that refuses every request for as long as a start may take counts as down, so that service can
 /// begin.
 #[test]
-fn a_discovery_that_refuses_every_call_for_long_counts_as_down() {
+fn a_discovery_that_refuses_every_request_for_long_counts_as_down() {
     let mut node = Node::new(&RUNNERS[..1]);
     let (mut connection, mut sent_at, mut next_request_at) = (0, None, START);
     let client = node.accept();
     while node.driver.now < START + 30_000_000 && sent_at.is_none() {
-        connection = node.fault_next_call(connection, CallFault::Unavailable);
+        connection = node.fail_next_discovery_request(connection, DiscoveryFault::Unavailable);
         node.advance(50);
         if node.driver.now >= next_request_at {
             next_request_at += 1_000_000;
@@ -991,14 +996,19 @@
 /// roster.
 #[test]
 fn a_discovery_that_cannot_be_reached_stops_no_service() {
-    let down = [CallFault::NeverUp, CallFault::Refused, CallFault::Reset, CallFault::Unavailable];
+    let down = [
+        DiscoveryFault::NeverUp,
+        DiscoveryFault::Refused,
+        DiscoveryFault::Reset,
+        DiscoveryFault::Unavailable,
+    ];
     for fault in down {
         let mut node = Node::with_watch(&RUNNERS[..1]);
         node.advance(1000);
         node.close(1, CloseReason::Reset);
         let mut connection = 1;
         while node.driver.now < START + 20_000_000 {
-            connection = node.fault_next_call(connection, fault);
+            connection = node.fail_next_discovery_request(connection, fault);
             node.advance(10);
         }
         node.driver.trace.clear();
@@ -1047,7 +1057,7 @@
 /// Where rosters are pushed a change counts as notified even if no dispatcher listens: growing retry delays
 /// would outlast the drain grace.
 #[test]
-fn a_refusing_discovery_is_called_again_within_the_drain_grace_where_rosters_are_pushed() {
+fn a_refusing_discovery_is_queried_again_within_the_drain_grace_where_rosters_are_pushed() {
     let pushed = configuration(&RUNNERS).replace("subscribe", "automatic");
     let mut node = Node::from_text(&pushed.replace("\"askWithin\":10000000", "\"drainGrace\":250000"));
     for connection in 1..=9 {
@@ -1592,7 +1602,7 @@
 
 /// An id belongs to one request: sent again after its answer it is rejected.
 #[test]
-fn an_id_that_has_been_answered_is_not_taken_again() {
+fn an_id_that_has_been_answered_is_not_accepted_again() {
     let mut node = Node::with_accepted_forward("plan");
     node.send_callback(r#"{"id":"i1","from":"s-a","state":"done","result":"r"}"#);
     node.driver.trace.clear();
@@ -1604,7 +1614,7 @@
 }
 
 #[test]
-fn a_request_that_a_runner_rejects_is_neither_retried_nor_held_against_it() {
+fn a_request_that_a_runner_rejects_is_not_retried_and_does_not_eject_the_runner() {
     let mut node = Node::with_watch(&RUNNERS[..1]);
     for id in ["i1", "i2", "i3"] {
         node.invoke("plan", id);
@@ -2132,7 +2142,7 @@
     old.driver.trace.clear();
     // The roster continues from where the old process had it; a runner in maintenance stays out.
     new.invoke("plan", "i2");
-    // An id that is open in the other process, or was accepted there since, is taken.
+    // An id that is open in the other process, or was accepted there since, is rejected.
     new.invoke("plan", "i1");
     let old_client = old.accept();
     old.feed(old_client, "POST /plan HTTP/1.1\r\nX-Request-Id: i3\r\nX-Deadline-Ms: 900\r\n\r\n");
