--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -1160,8 +1160,8 @@
     }
 
     /// A runner's job count for the comparison of candidates. Where loads come from the roster, they are
-    /// averages that are off by about their square root, and all dispatchers see the same late roster: if they
-    /// used its figures as they are, they would all choose the same runner. So normal noise is added.
+    /// averages that are off by about their square root, and all dispatchers see the same late roster: if
+    /// they used its figures as they are, they would all choose the same runner. So normal noise is added.
     fn estimate_jobs(&mut self, r: usize) -> f64 {
         let count = self.job_count(r);
         if !self.settings.roster_reports_load() {
