--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher has counted since its process started, and the text form in which operators get it.
 //!
-//! It defines the counters and their names. An invocation is never counted twice, and the text is written at
-//! the call, so that it is never out of date.
+//! It defines the counters and their names. An invocation is never counted twice, and the text is rendered
+//! for each call, so that it is never out of date.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -83,7 +83,7 @@
     }
 
     /// All metrics, one `name=value` a line.
-    pub fn render(&self, now: &Gauges) -> String {
+    pub fn render(&self, gauges: &Gauges) -> String {
         let mut text = String::new();
         for (status, name) in FINAL_STATUSES {
             for (operation, counts) in &self.final_counts {
@@ -91,10 +91,10 @@
             }
         }
         let plain = [
-            ("upstream_tries", now.forwards_written),
-            ("in_progress", now.in_progress as u64),
-            ("known_runners", now.known_runners as u64),
-            ("skipped_runners", now.skipped_runners as u64),
+            ("upstream_tries", gauges.forwards_written),
+            ("in_progress", gauges.in_progress as u64),
+            ("known_runners", gauges.known_runners as u64),
+            ("skipped_runners", gauges.skipped_runners as u64),
             ("loads", self.loads),
             ("load_errors", self.load_errors),
             ("log_lines_lost", log::lost_lines()),
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -36,9 +36,10 @@
 const STATUS_OK: u16 = 200;
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
 const STATUS_BAD_GATEWAY: u16 = 502;
-/// Answer to an invocation that was read but cannot be held; nothing has been forwarded.
+/// Answer to an invocation that cannot be accepted now; nothing of it has been forwarded.
 const STATUS_UNAVAILABLE: u16 = 503;
-/// Retry-After of an answer for lack of capacity, unless clients follow only a shorter one.
+/// Retry-After of an answer for lack of capacity, unless clients follow only a shorter one. In microseconds,
+/// like all times here.
 const OVERLOAD_RETRY_AFTER: Micros = 1_000_000;
 /// Answer to a client whose request a runner rejects as malformed.
 const STATUS_BAD_REQUEST: u16 = 400;
@@ -47,8 +48,8 @@
 const MAX_CLOSED_IDS: usize = 4096;
 /// How long the routing policy may take for the final answer once the client's time is over.
 const FINAL_ANSWER_TIMEOUT: Micros = 10_000;
-/// Delay before a failed cancel is retried, doubled after each failure. Until a cancel succeeds the forward
-/// counts as outstanding, as the runner may still execute it.
+/// Base of the delay before a failed cancel is retried: it is doubled for each failure, the first included.
+/// Until a cancel succeeds the forward counts as outstanding, as the runner may still execute it.
 const CANCEL_RETRY_INTERVAL: Micros = 125_000;
 /// Upper bound of the delay between cancels.
 const MAX_CANCEL_RETRY_INTERVAL: Micros = 2_000_000;
@@ -56,15 +57,15 @@
 /// SIGTERM than the longest client timeout, or this bound where that is less, plus 0.7 s.
 const MAX_SHUTDOWN_CLIENT_TIMEOUT: Micros = 3_000_000;
 /// Invocations still unanswered this long after the longest client timeout are answered without waiting any
-/// longer, 0.4 s before the process is killed at the earliest.
+/// longer. That is 0.4 s before the earliest time at which the process is killed.
 const SHUTDOWN_ANSWER_GRACE: Micros = 300_000;
-/// The process exits this long after that even if connections are still open, 0.1 s before it is killed at
-/// the earliest.
+/// The process exits this long after those answers even if connections are still open. That is 0.1 s before
+/// the earliest time at which it is killed.
 const SHUTDOWN_EXIT_GRACE: Micros = 300_000;
 /// Interval at which a shutdown closes client connections that have become idle.
 const SHUTDOWN_STEP_INTERVAL: Micros = 50_000;
 /// A starting process reports itself ready once it holds the lease on its roster, or after this at the
-/// latest: nine in ten must be ready within 10 s, however long discovery takes.
+/// latest: nine in ten starting processes must be ready within 10 s, however long discovery takes.
 const READY_TIMEOUT: Micros = 9_000_000;
 /// Interval at which a lapsed lease is checked again.
 const LAPSED_LEASE_CHECK_INTERVAL: Micros = 1_000_000;
@@ -120,7 +121,8 @@
     Predecessor,
 }
 
-/// Completes decoded settings with what holds on real sockets, and numbers the operations for `clients`.
+/// Sets the values that this process determines and not the file, and registers the operations with `clients`
+/// and `metrics`.
 fn adapt_settings(
     decoded: &mut DecodedSettings,
     slow_start_is_shared: bool,
@@ -131,7 +133,7 @@
     let settings = &mut decoded.settings;
     settings.slow_start_is_shared = slow_start_is_shared;
     // The roster arrives only on a watch, which has to be opened whatever the settings say. Connections are
-    // closed after our own idle timeout, which is shorter than the runners'.
+    // closed after the dispatcher's own idle timeout, which is shorter than the runners'.
     settings.must_subscribe = true;
     settings.idle_timeout = decoded.idle_timeout / 2;
     decoded.operations.iter().for_each(|operation| metrics.add_operation(operation));
@@ -194,16 +196,17 @@
     longest_client_timeout: Micros,
     /// Connection to the other process of an upgrade.
     handover_peer: HandoverPeer,
+    /// Role of the other process, while both serve during an upgrade.
     overlap: Option<Overlap>,
-    /// File descriptors and bytes of memory, including those of the other process during an upgrade.
+    /// Limits on sockets and on bytes of memory, shared with the other process during an upgrade.
     resource_limits: (usize, usize),
     /// Above this number, connections without an unanswered request are closed: the remaining descriptors are
     /// for the watch, dials and operators.
     max_connections: usize,
     /// Connections that the predecessor had open when it handed over.
     predecessor_connections: usize,
-    /// From the settings: the number of dispatchers, the overload window, for which work sent to a cold
-    /// runner counts, and the share of its capacity that a runner starts with.
+    /// From the settings: the number of dispatchers, the overload window (how long work sent to a cold runner
+    /// counts towards its slow-start budget), and the share of its capacity that a runner starts with.
     dispatcher_count: usize,
     overload_window: Micros,
     cold_capacity_share: f64,
@@ -283,8 +286,8 @@
             table.clients.set_ready(false);
             driver.set_timer(Timer::ReadinessTimeout, started_at + READY_TIMEOUT);
         }
-        let persistence = |store_thread, file| {
-            Persistence::new(store_thread, (store_is_required, has_peers), file, started_at)
+        let persistence = |store_thread, configured_roster| {
+            Persistence::new(store_thread, (store_is_required, has_peers), configured_roster, started_at)
         };
         if inherited.is_none()
             && let Some(store_thread) = store_thread
@@ -295,7 +298,7 @@
         }
         // The state handed over by a running process is more recent than what is on the disk.
         table.persistence = store_thread.map(|store_thread| persistence(store_thread, None).in_service());
-        let (known, slow_start_usage) = match inherited {
+        let (initial_roster, slow_start_usage) = match inherited {
             Some(inherited) => table.inherit(inherited, configuration.initial_roster, started_at),
             None => (configuration.initial_roster, Vec::new()),
         };
@@ -303,7 +306,7 @@
             roster::RosterEvent {
                 listing: Listing::Remembered,
                 previous_contact: None,
-                entries: known.entries(),
+                entries: initial_roster.entries(),
             },
             driver,
         );
@@ -315,11 +318,11 @@
     }
 
     /// Applies the state of the predecessor. Returns the roster to begin with (the predecessor's if it comes
-    /// from the same discovery) and the predecessor's slow-start usage.
+    /// from the same discovery, else `configured_roster`) and the predecessor's slow-start usage.
     fn inherit(
         &mut self,
         inherited: HandoverState,
-        known: RosterSnapshot,
+        configured_roster: RosterSnapshot,
         now: Micros,
     ) -> (RosterSnapshot, Vec<SlowStartUsage>) {
         self.predecessor_connections = inherited.connections;
@@ -338,14 +341,15 @@
             .then(|| RosterSnapshot::from_value(inherited.roster));
         match roster {
             Some(Ok(roster)) => {
-                // A predecessor that does not send it still has its roster from the watch.
+                // A predecessor that does not send the time still follows its watch, so its roster is certain
+                // up to now.
                 let certain_until = if inherited.sure_at > 0 { inherited.sure_at } else { now };
                 self.roster.resume_from(roster.generation, certain_until);
-                // The lease is held from the start, and no runner is listed yet whose state it could change.
+                // The lease is held from the start. No entries change, as no runner is listed yet.
                 let _ = self.membership.update_lease(certain_until, now);
                 (roster, slow_start_usage)
             }
-            _ => (known, slow_start_usage),
+            _ => (configured_roster, slow_start_usage),
         }
     }
 
@@ -375,7 +379,7 @@
         let slow_start_usage = self.policy.slow_start_usage(driver.now());
         let state = HandoverState {
             discovery: discovery.to_string(),
-            roster: self.current_roster().map(|(_, list)| list).unwrap_or_default(),
+            roster: self.current_roster().map(|(_, roster)| roster).unwrap_or_default(),
             sure_at: self.roster.certain_until(),
             connections: driver.connection_count(),
             gone: self.membership.unlisted_ids(),
@@ -447,9 +451,10 @@
         self.max_held_bytes = memory / 6;
     }
 
-    /// Applies a configuration that was read again, except for name and addresses of this process. The known
-    /// roster in the file is older than the watch, and the seed is for a new process only, so both are
-    /// ignored. A file that lacks a key of the previous one is rejected.
+    /// Applies a configuration that was read again, except for what only a restart can change: name and
+    /// addresses of this process, peers and store. The known roster in the file is older than the watch, and
+    /// the seed is for a new process only, so both are ignored. A file that lacks a key of the previous one
+    /// is rejected.
     pub fn reload(&mut self, configuration: Configuration, driver: &mut dyn ConnectionDriver) {
         if let Some(key) = config::missing_key(&self.active_file, &configuration.file) {
             return self.reject_configuration(&format!("{key} is missing"));
@@ -872,10 +877,10 @@
         let Some(number) = open.outstanding_forward() else { return };
         let runner = open.forwards[number as usize].runner.clone();
         // A forward that was not sent cannot have run, and does not count as timed out.
-        let was_held_back = self.runners.withdraw_unsent(&runner, invocation, number, driver);
-        let result = if was_held_back { ForwardResult::Void } else { ForwardResult::TimedOut };
+        let was_unsent = self.runners.withdraw_unsent(&runner, invocation, number, driver);
+        let result = if was_unsent { ForwardResult::Void } else { ForwardResult::TimedOut };
         self.end_forward(invocation, number, result, Vec::new(), driver.now());
-        if !was_held_back {
+        if !was_unsent {
             self.runners.cancel(&runner, invocation, number, driver);
         }
     }
@@ -912,8 +917,8 @@
                 HandoverMessage::Callback(callback, hash) => {
                     self.handle_callback(callback, hash, false, driver)
                 }
-                // If the runner was never listed here, the other process has already answered the operator
-                // so.
+                // The override fails if the runner was never listed here. That is ignored: the other process
+                // has already answered the operator.
                 HandoverMessage::AdminOverride { id, out } => {
                     if self.set_maintenance(&id, out, driver).is_ok() {
                         self.store_admin_override(&id, None, driver);
@@ -986,21 +991,23 @@
             },
             Call::Stats => {
                 let (known_runners, out) = self.membership.count();
-                let now = Gauges {
+                let gauges = Gauges {
                     in_progress: self.invocations.values().filter(|open| !open.is_answered).count(),
                     known_runners,
                     skipped_runners: self.policy.ejected_runners(driver.now()) + out,
                     forwards_written: self.runners.forwards_written(),
                 };
-                let stored = self.persistence.as_ref().map(Persistence::metrics).unwrap_or_default();
-                let peers = self.peer_exchange.as_ref().map(PeerExchange::metrics).unwrap_or_default();
-                let stored = stored.iter().chain(&peers).filter(|(name, _)| !name.is_empty());
-                let host = driver.host_failures().metrics();
+                let store_metrics = self.persistence.as_ref().map(Persistence::metrics).unwrap_or_default();
+                let peer_metrics = self.peer_exchange.as_ref().map(PeerExchange::metrics).unwrap_or_default();
+                // Without a store or peers, the names of their metrics are empty.
+                let optional_metrics =
+                    store_metrics.iter().chain(&peer_metrics).filter(|(name, _)| !name.is_empty());
+                let host_metrics = driver.host_failures().metrics();
                 format!(
                     "{}{}{}END\n",
-                    self.metrics.render(&now),
-                    metrics::format_metrics(host.iter()),
-                    metrics::format_metrics(stored)
+                    self.metrics.render(&gauges),
+                    metrics::format_metrics(host_metrics.iter()),
+                    metrics::format_metrics(optional_metrics)
                 )
             }
             Call::Maintain { id, out } => match self.set_maintenance(&id, out, driver) {
@@ -1047,13 +1054,14 @@
         Ok(())
     }
 
-    /// Updates the lease on the roster. When it lapses, listed runners are treated as draining, so that
-    /// nothing is sent to a runner whose drain counts as notified but was missed: discovery was reachable,
-    /// and its changes did not arrive for as long as the lease lasts.
+    /// Updates the lease on the roster. It lapses when discovery was reachable and its changes have not
+    /// arrived for as long as the lease lasts. Listed runners are then treated as draining, so that nothing
+    /// is sent to a runner whose drain discovery treats as known here although this process has missed it.
     fn update_lease(&mut self, driver: &mut dyn ConnectionDriver) {
         let (certain_until, now) = (self.roster.certain_until(), driver.now());
         let Some(entries) = self.membership.update_lease(certain_until, now) else { return };
-        // Either the roster is confirmed, or discovery cannot be reached.
+        // While the process starts, the first change is a renewal: discovery has confirmed the roster or is
+        // unreachable.
         self.finish_starting();
         log!(
             "lease",
@@ -1127,9 +1135,9 @@
             );
         }
         let is_full = self.invocations.len() >= self.max_open || self.held_bytes + size > self.max_held_bytes;
-        let is_shutting_down = self.is_too_late_to_accept(now);
-        if is_full || is_shutting_down || request.expires_at <= now {
-            let reason = if is_shutting_down {
+        let is_too_late_in_shutdown = self.is_too_late_to_accept(now);
+        if is_full || is_too_late_in_shutdown || request.expires_at <= now {
+            let reason = if is_too_late_in_shutdown {
                 "going_down"
             } else if is_full {
                 "no_room"
@@ -1137,7 +1145,7 @@
                 "too_late"
             };
             log!("not-taken", "inv={} reason={reason}", request.id);
-            let retry_after = self.overload_retry_after.filter(|_| is_full || is_shutting_down);
+            let retry_after = self.overload_retry_after.filter(|_| is_full || is_too_late_in_shutdown);
             let operation = self.clients.operations.name(request.operation);
             self.metrics.count(operation, FinalStatus::of(STATUS_UNAVAILABLE));
             return self.clients.answer(request.connection, STATUS_UNAVAILABLE, retry_after, b"", driver);
