--- a/node/src/request_table/peer_exchange.rs
+++ b/node/src/request_table/peer_exchange.rs
@@ -1,8 +1,8 @@
-//! The request table's side of the other dispatchers: with them it agrees on admin overrides, on this process
-//! run's boot number, and on its share of cold runners' slow-start budgets.
+//! The request table's part in the exchange with the other dispatchers, which agree on admin overrides, on
+//! this process run's boot number, and on this dispatcher's share of cold runners' slow-start budgets.
 //!
-//! It turns datagrams into calls of [`Peers`] and the resulting actions into calls of its own. What is
-//! believed is decided there; a peer's admin override takes effect here as an operator's would.
+//! It passes datagrams to [`Peers`] and carries out the resulting actions. [`Peers`] decides which messages
+//! are trusted; a peer's admin override takes effect here as an operator's would.
 
 use std::net::SocketAddr;
 
@@ -17,14 +17,14 @@
 use crate::net::connection::{ConnectionDriver, Timer};
 use crate::net::log::log;
 
-/// The exchange with the other dispatchers. It begins once this process run has a boot number, or none is to
-/// be had.
+/// The exchange with the other dispatchers. It begins once the store has been read, with the boot number of
+/// this process run, or once recovery goes on without a store.
 pub struct PeerExchange {
     configuration: PeersConfiguration,
     name: String,
     seed: u64,
     peers: Option<Peers>,
-    /// When the next round is scheduled.
+    /// When the next round of probes is scheduled.
     round_at: Option<Micros>,
 }
 
@@ -82,8 +82,8 @@
     ) {
         let now = driver.now();
         let Some(peer_exchange) = &mut self.peer_exchange else { return };
-        let loaded = loaded.map(|loaded| loaded.admin_overrides.as_slice()).unwrap_or_default();
-        let stored_override =
+        let stored_overrides = loaded.map(|loaded| loaded.admin_overrides.as_slice()).unwrap_or_default();
+        let to_admin_override =
             |(runner, entry): &(String, store::StoredOverride)| topazsail_peers::AdminOverride {
                 runner: runner.clone(),
                 // An override from before peers were configured is older than any of theirs.
@@ -92,10 +92,13 @@
                 was_out: entry.was_out,
             };
         if let Some(peers) = &mut peer_exchange.peers {
-            // The disk opened late: the peers are notified of what it holds all the same.
+            // The store opened after the exchange had begun: the peers are notified of what it holds all the
+            // same.
             peers.set_boot(boot.unwrap_or(0));
-            let in_force: Vec<_> =
-                loaded.iter().filter_map(|loaded| peers.restore(stored_override(loaded))).collect();
+            let in_force: Vec<_> = stored_overrides
+                .iter()
+                .filter_map(|stored| peers.restore(to_admin_override(stored)))
+                .collect();
             for entry in in_force {
                 self.apply_peer_override(&entry.runner, entry.out_since.is_some(), driver);
             }
@@ -113,8 +116,8 @@
             now,
         );
         peers.configure(self.dispatcher_count, self.overload_window);
-        for loaded in loaded {
-            peers.restore(stored_override(loaded));
+        for stored in stored_overrides {
+            peers.restore(to_admin_override(stored));
         }
         peer_exchange.peers = Some(peers);
         self.run_peer_round(driver);
@@ -160,7 +163,8 @@
             peer_exchange.round_at = Some(round_at);
             driver.set_timer(Timer::PeerRound, round_at);
         }
-        // Before any other decision: a promise to a peer may begin in this round.
+        // From this round on, answers to peers may promise that this dispatcher sends nothing to runners of
+        // other owners: the shares must reflect that before any other decision.
         self.update_slow_start_shares(now);
         self.apply_peer_actions(actions, driver);
     }
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -1,5 +1,5 @@
-//! The request table's side of the store: it begins with what the previous process run has left, and stores
-//! what the next one needs.
+//! The request table's part in persistence: it starts from what the previous process run has stored, and
+//! stores what the next one needs.
 //!
 //! It decides which operator answers wait for the disk. Which stored data is trusted and in which order
 //! service begins is decided by `topazsail_recovery`; when data is on the disk is up to the store thread.
@@ -18,7 +18,7 @@
 use crate::net::log::log;
 use crate::upstream::roster::{self, RosterSnapshot};
 
-/// Longest time that an operator's answer waits for the disk.
+/// Longest time that an operator's answer waits for the disk. In microseconds, like all times here.
 const OPERATOR_WRITE_TIMEOUT: Micros = 2_000_000;
 /// Delay before a changed roster is stored, plus the same again for every [`ROSTER_BYTES_PER_DELAY`] of its
 /// last size: at most about a megabyte is written in four seconds.
@@ -288,16 +288,17 @@
             (persistence.configured_roster.take().unwrap_or_default(), persistence.started_at);
         let discovery = self.roster.discovery().to_string();
         let stored = loaded.as_ref().and_then(|loaded| loaded.roster.as_ref());
-        let stored_snapshot =
-            stored.and_then(|list| Some((list, serde_json::from_str::<RosterSnapshot>(&list.json).ok()?)));
-        let known = |discovery, snapshot: &RosterSnapshot| KnownRoster {
+        let stored_snapshot = stored
+            .and_then(|stored| Some((stored, serde_json::from_str::<RosterSnapshot>(&stored.json).ok()?)));
+        let known_roster = |discovery, snapshot: &RosterSnapshot| KnownRoster {
             discovery,
             generation: snapshot.generation,
             runners: snapshot.len(),
         };
-        let stored =
-            stored_snapshot.as_ref().map(|(list, snapshot)| known(list.discovery.as_str(), snapshot));
-        let (source, why) = recovery::choose_roster(stored, known(&discovery, &configured_roster));
+        let stored = stored_snapshot
+            .as_ref()
+            .map(|(stored, snapshot)| known_roster(stored.discovery.as_str(), snapshot));
+        let (source, why) = recovery::choose_roster(stored, known_roster(&discovery, &configured_roster));
         log!("trusts", "item=list source={source:?} reason={why:?}");
         let chosen = match stored_snapshot {
             Some((_, snapshot)) if source == Source::Store => snapshot,
@@ -341,7 +342,7 @@
         }
     }
 
-    /// Restores the stored admin overrides: they hold whatever else is in doubt.
+    /// Restores the stored admin overrides. They apply even if other stored data is not trusted.
     fn restore_admin_overrides(&mut self, loaded: &LoadedStore, driver: &mut dyn ConnectionDriver) {
         let (trust, why) = recovery::trust_admin_overrides(&loaded.found);
         let out = loaded
@@ -417,9 +418,9 @@
             Listing::Refused => recovery::Event::DiscoveryFailed,
             Listing::Remembered | Listing::Local => return,
         };
-        let is_fresh = matches!(event, recovery::Event::RosterReceived);
+        let roster_received = matches!(event, recovery::Event::RosterReceived);
         let actions = persistence.recovery.handle(driver.now(), event);
-        if is_fresh && !std::mem::replace(&mut persistence.roster_write_is_scheduled, true) {
+        if roster_received && !std::mem::replace(&mut persistence.roster_write_is_scheduled, true) {
             let extra_delay =
                 (persistence.stored_roster_bytes / ROSTER_BYTES_PER_DELAY) as Micros * ROSTER_WRITE_DELAY;
             driver.set_timer(Timer::Persist, driver.now() + ROSTER_WRITE_DELAY + extra_delay);
