--- a/node/src/ingress/clients.rs
+++ b/node/src/ingress/clients.rs
@@ -37,7 +37,7 @@
 pub struct Invocation {
     pub connection: ConnectionId,
     pub id: Id,
-    /// The operation's index in [`Operations`].
+    /// The operation's number in [`Operations`].
     pub operation: usize,
     /// When the client gives up, less the time for the answer to reach it.
     pub expires_at: Micros,
@@ -94,6 +94,7 @@
     Disconnected(ConnectionId, Id),
 }
 
+/// Which part of a request and its answer a connection is in.
 enum Phase {
     /// Between requests.
     Idle,
@@ -103,7 +104,8 @@
     AwaitingAnswer(Id),
 }
 
-struct Client {
+/// The state of one connection, of a client or of a runner that calls back.
+struct ClientConnection {
     phase: Phase,
     /// When it entered this phase.
     since: Micros,
@@ -120,14 +122,15 @@
 
 /// The connections of clients, and of runners that call back.
 pub struct Clients {
-    by_connection: BTreeMap<ConnectionId, Client>,
+    by_connection: BTreeMap<ConnectionId, ClientConnection>,
+    /// The operations that invocations may name.
     pub operations: Operations,
     /// Readiness requests are answered with 503.
-    is_draining: bool,
+    is_unready: bool,
     /// Each connection is closed after its next answer, except those of runners.
     is_closing: bool,
-    /// Limits on the number of connections of all roles. Above the first, each new connection takes the place
-    /// of an idle client if there is one; above the second none is accepted otherwise. The rest is reserved
+    /// Limits on the number of connections of all roles. From the first on, a new connection takes the place
+    /// of an idle one if there is one; from the second on, it is not accepted otherwise. The rest is reserved
     /// for runners and the watch.
     limits: (usize, usize),
     /// Events that the owner has not processed yet.
@@ -140,7 +143,7 @@
         Clients {
             by_connection: BTreeMap::new(),
             operations: Operations::default(),
-            is_draining: false,
+            is_unready: false,
             is_closing: false,
             limits: (0, 0),
             events: Vec::new(),
@@ -161,14 +164,16 @@
             || driver.connection_count() < self.limits.1
     }
 
-    /// Closes one connection without an outstanding answer; whether there was one.
+    /// Closes one connection without an outstanding answer. Returns whether there was one.
     pub fn make_room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
         if driver.close_oldest_lingering() {
             return true;
         }
         let now = driver.now();
-        let rank = |(connection, client): (&ConnectionId, &Client)| match (&client.phase, client.silent_since)
-        {
+        let rank = |(connection, client): (&ConnectionId, &ClientConnection)| match (
+            &client.phase,
+            client.silent_since,
+        ) {
             (Phase::Idle | Phase::Reading, Some(at)) => {
                 (now >= at + NEW_CONNECTION_GRACE).then_some((0, at, *connection))
             }
@@ -184,7 +189,7 @@
     pub fn accepted(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         let since = driver.now();
         let (phase, silent_since) = (Phase::Idle, Some(since));
-        let client = Client {
+        let client = ClientConnection {
             phase,
             since,
             request_began_at: since,
@@ -245,7 +250,7 @@
 
     /// Sets whether readiness requests are answered positively.
     pub fn set_ready(&mut self, ready: bool) {
-        self.is_draining = !ready;
+        self.is_unready = !ready;
     }
 
     /// Sets whether each connection is closed after its next answer, because another process takes over.
@@ -257,7 +262,7 @@
     /// runners stay open, as they may still carry call-backs.
     pub fn drain(&mut self, driver: &mut dyn ConnectionDriver) {
         self.is_closing = true;
-        let is_idle = |client: &Client| matches!(client.phase, Phase::Idle) && !client.is_runner;
+        let is_idle = |client: &ClientConnection| matches!(client.phase, Phase::Idle) && !client.is_runner;
         let idle_connections: Vec<ConnectionId> = self
             .by_connection
             .iter()
@@ -269,8 +274,8 @@
         }
     }
 
-    /// Closes a connection between requests; whether it was closed. If a request has just arrived, the
-    /// connection stays open so that the request is not lost.
+    /// Closes a connection between requests, unless a request has just arrived, which would be lost, or an
+    /// answer is not yet written. Returns whether it was closed.
     fn end_idle(
         &mut self,
         connection: ConnectionId,
@@ -285,7 +290,8 @@
         true
     }
 
-    /// Whether a client is still connected: a request that arrives on its connection has to be answered.
+    /// Whether a client is still connected, as a request that arrives on its connection has to be answered,
+    /// or a runner's request is in progress.
     pub fn has_clients(&self) -> bool {
         self.by_connection.values().any(|client| !client.is_runner || !matches!(client.phase, Phase::Idle))
     }
@@ -314,7 +320,7 @@
         (client.keep_alive, client.silent_since) = (request.keep_alive, None);
         match (request.path(), request.method) {
             (READINESS_PATH, "GET") => {
-                let status = if self.is_draining { 503 } else { 200 };
+                let status = if self.is_unready { 503 } else { 200 };
                 self.answer(connection, status, None, b"", driver);
             }
             (CALLBACK_PATH, "POST") => {
@@ -362,6 +368,7 @@
     let timeout = timeout.parse().ok().filter(|_| is_number).and_then(|ms: Micros| ms.checked_mul(1000));
     let timeout =
         timeout.filter(|timeout| *timeout <= MAX_CLIENT_TIMEOUT).ok_or(HttpError(400, "bad_timeout"))?;
+    // Not used here, but rejected if it is repeated.
     request.single_header("idempotency-key")?;
     if request.target.bytes().any(|byte| byte == b'#' || !byte.is_ascii_graphic()) {
         return Err(HttpError(400, "bad_target"));
@@ -393,10 +400,10 @@
     pairs.filter(|(name, _)| names.contains(name)).map(|(_, value)| value)
 }
 
-/// The request line and headers for the runner, unchanged except for the headers that concern one connection
-/// only.
+/// The request line and headers for the runner. Headers that concern one connection only (hop-by-hop) are
+/// left out, and so are those that each forward sets anew: the length and the time left.
 fn forwarded_head(request: &Request) -> Vec<u8> {
-    const HOP_HEADERS: [&str; 10] = [
+    const OMITTED_HEADERS: [&str; 10] = [
         "connection",
         "content-length",
         "expect",
@@ -410,7 +417,7 @@
     ];
     let mut head = format!("{} {} HTTP/1.1\r\n", request.method, request.target).into_bytes();
     for (name, value) in &request.headers {
-        if !HOP_HEADERS.iter().any(|hop| name.eq_ignore_ascii_case(hop)) {
+        if !OMITTED_HEADERS.iter().any(|omitted| name.eq_ignore_ascii_case(omitted)) {
             head.extend_from_slice(name.as_bytes());
             head.extend_from_slice(b": ");
             head.extend_from_slice(value);
@@ -463,7 +470,8 @@
         _: &[u8],
         _: &mut dyn ConnectionDriver,
     ) {
-        if let Some(Client { phase: Phase::AwaitingAnswer(id), .. }) = self.by_connection.remove(&connection)
+        if let Some(ClientConnection { phase: Phase::AwaitingAnswer(id), .. }) =
+            self.by_connection.remove(&connection)
         {
             self.events.push(ClientEvent::Disconnected(connection, id));
         }
--- a/node/src/ingress/operations.rs
+++ b/node/src/ingress/operations.rs
@@ -17,7 +17,7 @@
     /// All definitions, in the order of their numbers.
     definitions: Vec<(String, Operation)>,
     /// The numbers of the operations that are set, by name.
-    set: BTreeMap<String, usize>,
+    current: BTreeMap<String, usize>,
     /// Operations that were set before, and until when they are still accepted.
     retiring: BTreeMap<String, (usize, Micros)>,
 }
@@ -26,20 +26,21 @@
     /// Replaces the operations that are set. Returns all definitions since the start, in the order of their
     /// numbers; those that are set are marked as in use.
     pub fn set(&mut self, operations: Vec<(String, Operation)>, now: Micros) -> Vec<Operation> {
-        for (name, number) in std::mem::take(&mut self.set) {
+        for (name, number) in std::mem::take(&mut self.current) {
             self.definitions[number].1.in_use = false;
             self.retiring.insert(name, (number, now + RETIREMENT_GRACE));
         }
         for (name, operation) in operations {
-            let retired = Operation { in_use: false, ..operation.clone() };
-            let known = self.definitions.iter().position(|known| known.0 == name && known.1 == retired);
+            // Compared as not in use, as the loop above has left the definitions of this name.
+            let unused = Operation { in_use: false, ..operation.clone() };
+            let known = self.definitions.iter().position(|known| known.0 == name && known.1 == unused);
             let number = known.unwrap_or(self.definitions.len());
             if known.is_none() {
                 self.definitions.push((name.clone(), operation));
             }
             self.definitions[number].1.in_use = true;
             self.retiring.remove(&name);
-            self.set.insert(name, number);
+            self.current.insert(name, number);
         }
         self.definitions.iter().map(|(_, operation)| operation.clone()).collect()
     }
@@ -48,7 +49,7 @@
     pub fn number(&self, name: &str, now: Micros) -> Option<usize> {
         let retiring =
             || self.retiring.get(name).filter(|(_, until)| now < *until).map(|(number, _)| *number);
-        self.set.get(name).copied().or_else(retiring)
+        self.current.get(name).copied().or_else(retiring)
     }
 
     /// The name of an operation, by its number.
@@ -58,6 +59,6 @@
 
     /// The names of the operations that are set.
     pub fn names(&self) -> impl Iterator<Item = &str> {
-        self.set.keys().map(String::as_str)
+        self.current.keys().map(String::as_str)
     }
 }
--- a/node/src/ingress/operators.rs
+++ b/node/src/ingress/operators.rs
@@ -81,6 +81,7 @@
         driver.finish(connection, CloseReason::AnsweredLast);
     }
 
+    /// Answers a line that is not a valid call, and closes the connection.
     fn refuse(&mut self, connection: ConnectionId, reason: &str, driver: &mut dyn ConnectionDriver) {
         log!("bad-call", "link={connection} reason={reason:?}");
         self.answer(connection, &format!("NO {reason}\n"), driver);
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -87,6 +87,7 @@
 /// An invocation that is unanswered or has an outstanding forward.
 struct OpenInvocation {
     connection: ConnectionId,
+    /// The operation's number in [`Operations`](crate::ingress::operations::Operations).
     operation: usize,
     accepted_at: Micros,
     /// When the client stops waiting.
@@ -141,11 +142,11 @@
     settings.operations = clients.operations.set(operations.collect(), now);
 }
 
-/// Value and latency objective of each operation, by its index.
+/// Value and latency objective of each operation, by its number.
 fn operation_values(decoded: &DecodedSettings) -> Vec<OperationValue> {
-    let value = |op: &topazsail::Operation| OperationValue {
-        value: op.billed_value,
-        latency_objective: op.latency_objective,
+    let value = |operation: &topazsail::Operation| OperationValue {
+        value: operation.billed_value,
+        latency_objective: operation.latency_objective,
     };
     decoded.settings.operations.iter().map(value).collect()
 }
@@ -210,7 +211,7 @@
     dispatcher_count: usize,
     overload_window: Micros,
     cold_capacity_share: f64,
-    /// Value and latency objective of each operation, by its index.
+    /// Value and latency objective of each operation, by its number.
     operation_values: Vec<OperationValue>,
     /// What survives the process, if a store is configured.
     persistence: Option<Persistence>,
