--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -45,8 +45,8 @@
 const DOWN_TIMEOUT: Micros = 25_000_000;
 /// Maximum number of open requests to discovery.
 const MAX_REQUESTS: usize = 2;
-/// Maximum length of a list or line, in bytes.
-const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// Maximum length of a whole roster or of one line of a watch, in bytes.
+const MAX_ROSTER_BYTES: usize = 4 << 20;
 
 /// A roster or a change to it, as discovery sends it.
 #[derive(Debug, Default, Deserialize)]
@@ -477,13 +477,13 @@
             };
             return match done {
                 true => self.process_whole_list(connection, driver),
-                false if request.body.len() > MAX_MESSAGE_BYTES => Err("line_too_long"),
+                false if request.body.len() > MAX_ROSTER_BYTES => Err("line_too_long"),
                 false => Ok(()),
             };
         }
         self.process_lines(connection, driver)?;
         match self.request_on(connection) {
-            Some(request) if request.body.len() > MAX_MESSAGE_BYTES => Err("line_too_long"),
+            Some(request) if request.body.len() > MAX_ROSTER_BYTES => Err("line_too_long"),
             Some(request) if request.chunks.done() => Err("watch_done"),
             _ => Ok(()),
         }
