--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -1086,8 +1086,8 @@
 
     /// Applies a roster or its changes to the connections, the membership and the routing policy.
     fn apply_listing(&mut self, event: roster::RosterEvent, driver: &mut dyn ConnectionDriver) {
-        let is_whole_list = matches!(event.listing, Listing::All | Listing::Remembered);
-        if is_whole_list {
+        let is_whole_roster = matches!(event.listing, Listing::All | Listing::Remembered);
+        if is_whole_roster {
             self.runners.mark_all_unlisted(driver.now());
         }
         let mut entries = Vec::new();
--- a/node/src/upstream/membership.rs
+++ b/node/src/upstream/membership.rs
@@ -21,6 +21,7 @@
 /// roster without that runner by more than this, the clock that reported it was set back.
 const MAX_ROSTER_DELAY: Micros = 2 * ROSTER_LEASE_TIMEOUT;
 
+/// A runner that is or was on the roster.
 struct Member {
     /// The entry as last listed, with the start time by this process's clock.
     entry: RosterEntry,
@@ -280,8 +281,9 @@
         effective
     }
 
-    /// Bounds the number of remembered unlisted runners by dropping the ones that left first. Runners in
-    /// maintenance are kept, so that they are still in maintenance when they are listed again.
+    /// Bounds the number of remembered unlisted runners: above [`MAX_UNLISTED`], drops those that left first
+    /// until half of that number remains. Runners in maintenance are kept, so that they are still in
+    /// maintenance when they are listed again.
     fn remove_long_unlisted(&mut self) {
         let removable =
             |member: &Member| member.unlisted_since.filter(|_| member.in_maintenance_since.is_none());
--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -22,8 +22,8 @@
 // These timeouts and the routing policy's pauses between requests add up to less than that, in whatever order
 // requests fail; docs/design.md has the sums.
 
-/// While discovery is unreachable no dial succeeds, and the sooner one is given up, the sooner the next one
-/// can get through. In microseconds, like all times here.
+/// Time to connect to discovery. While discovery is unreachable no dial succeeds, and the sooner one is given
+/// up, the sooner the next one can get through. In microseconds, like all times here.
 const DIAL_TIMEOUT: Micros = 1_000_000;
 /// A request without an answer for this long is late, and another one is sent beside it. The late one stays
 /// open: many callers make discovery slow, and a caller that gives up its place in the queue is never served
@@ -35,10 +35,10 @@
 /// Discovery sends an empty line as a heartbeat every 2 s; a watch that has been silent for this long has
 /// missed one.
 const HEARTBEAT_TIMEOUT: Micros = 2_800_000;
-/// Receiving this many bytes of a long list or line counts as a sign of life. Fewer do not, or a trickle of
+/// Receiving this many bytes of a long roster or line counts as a sign of life. Fewer do not, or a trickle of
 /// bytes would keep a dead request open for good.
 const MIN_PROGRESS_BYTES: usize = 1 << 10;
-/// Time for a list or line to become complete, from its first byte on.
+/// Time for a whole roster or a line to become complete, from its first byte on.
 const MESSAGE_TIMEOUT: Micros = 10_000_000;
 /// If discovery has failed every request for this long, it is taken to be down, even if its earlier failures
 /// looked like overload: a start may take 30 s, and service has to begin before that.
@@ -284,7 +284,7 @@
     should_follow: bool,
     /// The open requests, the newest last; all but the newest are late.
     requests: Vec<WatchRequest>,
-    /// Until when no change can have been missed. Later on discovery could be reached, and may have had
+    /// Until when no change can have been missed. After that discovery could be reached, and may have had
     /// changes that have not arrived.
     certain_until: Micros,
     /// When the last line arrived.
@@ -355,6 +355,7 @@
         self.send_request(connection, false, driver);
     }
 
+    /// Requests the whole roster if no generation is known, else a watch for the changes since.
     fn send_request(&mut self, connection: ConnectionId, connected: bool, driver: &mut dyn ConnectionDriver) {
         let target = match self.generation {
             Some(generation) => format!("/v1/servers?follow=1&since={generation}"),
@@ -382,6 +383,7 @@
         }
     }
 
+    /// Logs that a request has failed, and reports it as an event.
     fn report_failure(&mut self, reason: &str) {
         let generation =
             self.generation.map_or_else(|| "none".to_owned(), |generation| generation.to_string());
@@ -395,8 +397,8 @@
 
     /// Removes a request that has ended. Its failure is reported unless another request has been sent in its
     /// place.
-    fn drop_request(&mut self, at: usize, reason: &str) {
-        let request = self.requests.remove(at);
+    fn drop_request(&mut self, index: usize, reason: &str) {
+        let request = self.requests.remove(index);
         // Without a connection discovery could not have announced anything. That a request fails on its
         // connection proves nothing alone: overloaded discovery turns requests away in the same way as one
         // that is down.
@@ -450,7 +452,7 @@
         input: &mut Vec<u8>,
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), &'static str> {
-        let (now, awaits_whole_list) = (driver.now(), self.generation.is_none());
+        let (now, awaits_whole_roster) = (driver.now(), self.generation.is_none());
         let Some(request) = self.request_on(connection) else { return Ok(()) };
         let framing = match request.framing {
             Some(framing) => framing,
@@ -469,14 +471,14 @@
             }
         };
         request.receive(framing, input, now)?;
-        if awaits_whole_list {
+        if awaits_whole_roster {
             let done = match framing {
                 Framing::Length(length) => request.body.len() >= length,
                 Framing::Chunked => request.chunks.done(),
                 Framing::UntilEnd => false,
             };
             return match done {
-                true => self.process_whole_list(connection, driver),
+                true => self.process_whole_roster(connection, driver),
                 false if request.body.len() > MAX_ROSTER_BYTES => Err("line_too_long"),
                 false => Ok(()),
             };
@@ -500,23 +502,24 @@
             return Ok(());
         };
         let Some(end) = request.body.iter().rposition(|byte| *byte == b'\n') else { return Ok(()) };
-        let mut lists =
+        let mut snapshots =
             serde_json::Deserializer::from_slice(&request.body[..=end]).into_iter::<RosterSnapshot>();
         let mut used = 0;
-        while let Some(listed) = lists.next() {
-            let listed = match listed {
-                Ok(listed) => listed,
+        while let Some(snapshot) = snapshots.next() {
+            let snapshot = match snapshot {
+                Ok(snapshot) => snapshot,
                 Err(error) if error.is_eof() => break,
                 Err(_) => return Err("bad_line"),
             };
-            used = lists.byte_offset();
-            let listing = if listed.reset { Listing::All } else { Listing::Changes };
-            let went_back = !listed.reset && self.generation.is_some_and(|known| listed.generation < known);
-            self.generation = Some(listed.generation).filter(|_| !went_back);
+            used = snapshots.byte_offset();
+            let listing = if snapshot.reset { Listing::All } else { Listing::Changes };
+            let went_back =
+                !snapshot.reset && self.generation.is_some_and(|known| snapshot.generation < known);
+            self.generation = Some(snapshot.generation).filter(|_| !went_back);
             self.events.push(RosterEvent {
                 listing,
                 previous_contact: self.last_contact,
-                entries: listed.entries(),
+                entries: snapshot.entries(),
             });
             if went_back {
                 // Discovery counts from the start again, and neither count covers the changes between: the
@@ -524,6 +527,7 @@
                 return Err("generation_back");
             }
         }
+        // Where an object begins that is not complete yet.
         let rest = request.body[used..=end].iter().position(|byte| !byte.is_ascii_whitespace());
         drop(request.body.drain(..rest.map_or(end + 1, |at| used + at)));
         request.progress_bytes = request.body.len();
@@ -538,19 +542,23 @@
 
     /// The whole roster has arrived: starts the watch for later changes, on the same connection if that is
     /// kept open.
-    fn process_whole_list(
+    fn process_whole_roster(
         &mut self,
         connection: ConnectionId,
         driver: &mut dyn ConnectionDriver,
     ) -> Result<(), &'static str> {
         let Some(request) = self.request_on(connection) else { return Ok(()) };
-        let listed: RosterSnapshot = serde_json::from_slice(&request.body).map_err(|_| "bad_line")?;
+        let snapshot: RosterSnapshot = serde_json::from_slice(&request.body).map_err(|_| "bad_line")?;
         let sent_at = request.sent_at;
-        self.generation = Some(listed.generation);
+        self.generation = Some(snapshot.generation);
         let previous_contact = self.last_contact;
         self.confirm_watch(connection, sent_at, driver);
         let Some(request) = self.requests.pop() else { return Ok(()) };
-        self.events.push(RosterEvent { listing: Listing::All, previous_contact, entries: listed.entries() });
+        self.events.push(RosterEvent {
+            listing: Listing::All,
+            previous_contact,
+            entries: snapshot.entries(),
+        });
         if request.keep_alive {
             self.send_request(request.connection, true, driver);
         } else {
@@ -578,9 +586,9 @@
 
     fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
         let result = self.process_input(connection, input, driver);
-        if let Some((reason, at)) = result.err().zip(self.request_index(connection)) {
+        if let Some((reason, index)) = result.err().zip(self.request_index(connection)) {
             driver.abort(connection, CloseReason::BadAnswer);
-            self.drop_request(at, reason);
+            self.drop_request(index, reason);
         }
     }
 
@@ -594,20 +602,24 @@
     ) {
         let Some(request) = self.request_on(connection) else { return };
         // The close of the connection may delimit the whole roster.
-        let until_end = request.framing == Some(Framing::UntilEnd) && end == CloseReason::PeerClosed;
-        if until_end && self.generation.is_none() && self.process_whole_list(connection, driver).is_ok() {
+        let ends_with_connection =
+            request.framing == Some(Framing::UntilEnd) && end == CloseReason::PeerClosed;
+        if ends_with_connection
+            && self.generation.is_none()
+            && self.process_whole_roster(connection, driver).is_ok()
+        {
             return;
         }
-        if let Some(at) = self.request_index(connection) {
-            self.is_down |= self.requests[at].is_watch && !self.requests[at].is_late;
-            self.drop_request(at, end.code());
+        if let Some(index) = self.request_index(connection) {
+            self.is_down |= self.requests[index].is_watch && !self.requests[index].is_late;
+            self.drop_request(index, end.code());
         }
     }
 
     fn timer_fired(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         let now = driver.now();
-        let Some(at) = self.request_index(connection) else { return };
-        let request = &mut self.requests[at];
+        let Some(index) = self.request_index(connection) else { return };
+        let request = &mut self.requests[index];
         let deadline = request.deadline(self.pushed);
         if now < deadline {
             return driver.set_timer(Timer::Connection(connection), deadline);
@@ -628,10 +640,10 @@
             // The host kept the dial from starting, so nothing is known of discovery, and changes may have
             // been missed.
             driver.abort(connection, CloseReason::WatchSilent);
-            self.requests.remove(at);
+            self.requests.remove(index);
             return self.report_failure("not_dialled");
         }
         driver.abort(connection, CloseReason::WatchSilent);
-        self.drop_request(at, "silent");
+        self.drop_request(index, "silent");
     }
 }
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -30,8 +30,8 @@
 /// while that job may be running.
 const DUPLICATE_ANSWER_WINDOW: Micros = 10_000;
 
-/// Time to write a forward from its first byte to its last: well within the slack of 0.15 s on the time left
-/// that it states to its runner.
+/// Time to write a forward from its first byte to its last. A forward states to its runner the time that its
+/// client has left; that may exceed the actual time by 0.15 s, and this timeout is well within it.
 const SEND_TIMEOUT: Micros = 100_000;
 
 /// A request to a runner. `number` counts the forwards of an invocation.
@@ -62,6 +62,7 @@
     Probed { runner: Id, alive: bool, report: Vec<f64> },
 }
 
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// The connection is not yet established.
@@ -124,6 +125,7 @@
     }
 }
 
+/// A runner's address and its pool of connections.
 struct Runner {
     address: SocketAddr,
     /// When it left the roster; none while it is listed.
@@ -138,10 +140,12 @@
 pub struct Runners {
     by_id: BTreeMap<Id, Runner>,
     connections: BTreeMap<ConnectionId, RunnerConnection>,
+    /// Names of the values that the settings read from load reports.
     report_fields: Vec<String>,
     dial_timeout: Micros,
     probe_timeout: Micros,
     idle_timeout: Micros,
+    /// Whether the settings allow cancels.
     may_cancel: bool,
     /// Forwards written completely, for the metrics.
     forwards_written: u64,
@@ -215,7 +219,7 @@
         });
     }
 
-    /// Closes the connection that has been idle longest; whether there was one.
+    /// Closes the connection that has been idle longest. Returns whether there was one.
     pub fn make_room(&mut self, driver: &mut dyn ConnectionDriver) -> bool {
         let idle = self.by_id.values().flat_map(|runner| &runner.idle);
         let oldest =
@@ -310,8 +314,8 @@
         );
     }
 
-    /// Withdraws a forward that no client waits for, if it has not been sent completely; whether it has been
-    /// withdrawn. That is not a cancel, and is done even where the settings do not allow cancels.
+    /// Withdraws a forward that is no longer wanted, if it has not been sent completely. Returns whether it
+    /// has been withdrawn. That is not a cancel, and is done even where the settings do not allow cancels.
     pub fn withdraw_unsent(
         &mut self,
         runner_id: &Id,
@@ -339,10 +343,10 @@
         let forward = Task::Forward { invocation: invocation.clone(), number };
         let connections =
             self.by_id.get(runner_id).map(|runner| runner.connections.as_slice()).unwrap_or_default();
-        let is_carrier = |connection: &&ConnectionId| {
+        let carries_forward = |connection: &&ConnectionId| {
             self.connections.get(connection).and_then(|state| state.task.as_ref()) == Some(&forward)
         };
-        connections.iter().find(is_carrier).copied()
+        connections.iter().find(carries_forward).copied()
     }
 
     /// Cancels a forward. An unsent forward is withdrawn. Before its 202 its connection is closed, and the
@@ -430,8 +434,8 @@
     }
 
     /// Writes a task's message to an established connection. Checks once more that the client has not left:
-    /// at the end of a long loop turn, or when a dial completes before the client's close is read, the
-    /// forward would have no recipient.
+    /// at the end of a long loop turn, or when a dial completes before the client's close is read, the answer
+    /// to the forward would have no recipient.
     fn send_task(
         &mut self,
         connection: ConnectionId,
@@ -481,7 +485,8 @@
         self.report_unanswered(&runner_id, task, ForwardResult::Unreachable, false);
     }
 
-    /// Reuses a connection that has become free for a task that waits for a dial, or keeps it idle.
+    /// Reuses a connection that has become free for a task that waits for a dial. Otherwise keeps it idle, or
+    /// closes it if its runner is unlisted.
     fn release(&mut self, connection: ConnectionId, driver: &mut dyn ConnectionDriver) {
         let Some(runner_id) = self.connections.get(&connection).map(|state| state.runner_id.clone()) else {
             return;
