--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -30,6 +30,7 @@
 Without --config the file is the one that RELAY_CONFIG names.
 ";
 
+/// Runs the sub-command that the arguments name.
 fn run(open_disk: OpenDisk) -> Result<(), String> {
     let mut arguments = pico_args::Arguments::from_env();
     if arguments.contains(["-h", "--help"]) {
@@ -93,6 +94,7 @@
     }
 }
 
+/// Runs `store show` or `store verify`; fails if the store is damaged.
 fn run_store(mut arguments: pico_args::Arguments) -> Result<(), String> {
     let command = arguments.subcommand().map_err(|error| error.to_string())?;
     let json = arguments.contains("--json");
@@ -101,13 +103,13 @@
     if let Some(unexpected) = arguments.finish().first() {
         return Err(format!("unexpected argument {unexpected:?}; see --help"));
     }
-    let all = match command.as_deref() {
+    let with_records = match command.as_deref() {
         Some("show") => true,
         Some("verify") => false,
         _ => return Err("store: expected show or verify; see --help".to_owned()),
     };
     let folder = folder.ok_or("--folder is missing; see --help")?;
-    let report = report_store(&folder, all, json)?;
+    let report = report_store(&folder, with_records, json)?;
     print!("{}", report.text);
     if report.is_intact {
         Ok(())
@@ -116,6 +118,7 @@
     }
 }
 
+/// Runs `migrate` on the configuration at `path`.
 fn run_migrate(mut arguments: pico_args::Arguments, path: Option<String>) -> Result<(), String> {
     let dry_run = arguments.contains("--dry-run");
     let mut option = |name: &'static str| {
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -45,7 +45,7 @@
     pub file: Value,
     /// The settings in the file.
     pub decoded: DecodedSettings,
-    /// The roster as the file remembers it.
+    /// The known roster in the file, for a start without a more recent one.
     pub initial_roster: RosterSnapshot,
 }
 
@@ -74,8 +74,8 @@
         .ok_or_else(|| "no configuration: RELAY_CONFIG is not set and no file is named".to_owned())
 }
 
-/// Overrides the file's address for operators' calls, so that two processes with the same file can each have
-/// their own.
+/// The environment variable that overrides the file's address for operators' calls, so that two processes
+/// with the same file can each have their own.
 const ADMIN_ENV: &str = "RELAY_ADMIN_ADDR";
 
 /// The address for clients, if it is known without the file.
@@ -143,6 +143,7 @@
     with_admin_address(decode(text)?)
 }
 
+/// Applies the environment's address for operators' calls, if it is set.
 fn with_admin_address(mut configuration: Configuration) -> Result<Configuration, String> {
     if let Some(text) = env::var(ADMIN_ENV).ok().filter(|text| !text.is_empty()) {
         configuration.admin =
@@ -169,8 +170,8 @@
         let text = string(name)?;
         text.parse().map_err(|_| format!("{name} has the bad address '{text}'"))
     };
-    let limit = |name: &str, absent: u64| match json.pointer(&format!("/limits/{name}")) {
-        None => Ok(absent),
+    let limit = |name: &str, default: u64| match json.pointer(&format!("/limits/{name}")) {
+        None => Ok(default),
         Some(value) => match value.as_f64() {
             Some(value) if value >= 1.0 => Ok(value as u64),
             _ => Err(format!("limits.{name} has the bad value {value}")),
@@ -207,6 +208,7 @@
     })
 }
 
+/// Decodes the `store` of a configuration, if it is set.
 fn decode_store(store: Option<&Value>) -> Result<Option<StoreConfiguration>, String> {
     let Some(store) = store.filter(|store| !store.is_null()) else { return Ok(None) };
     let fields = store.as_object().ok_or_else(|| format!("store has the bad value {store}"))?;
@@ -226,7 +228,8 @@
     Ok(Some(StoreConfiguration { folder, require }))
 }
 
-fn decode_peers(json: &Value, own: &str) -> Result<Option<PeersConfiguration>, String> {
+/// Decodes the `peers` of a configuration, if they are set; `own_name` is the name of this dispatcher.
+fn decode_peers(json: &Value, own_name: &str) -> Result<Option<PeersConfiguration>, String> {
     let Some(peers) = json.get("peers").filter(|peers| !peers.is_null()) else { return Ok(None) };
     let fields = peers.as_object().ok_or_else(|| format!("peers has the bad value {peers}"))?;
     if let Some(unknown) = fields.keys().find(|key| !["listen", "members"].contains(&key.as_str())) {
@@ -249,7 +252,7 @@
         let name = member.get("name").and_then(Value::as_str).filter(|name| !name.is_empty());
         let name = name.ok_or_else(|| format!("peers.members.{nth}.name is missing"))?;
         let member_address = address(&format!("members.{nth}.address"), member.get("address"))?;
-        if name == own || member_address == listen {
+        if name == own_name || member_address == listen {
             return Err(format!("peers.members.{nth} is this dispatcher itself"));
         }
         if members.iter().any(|known| known.name == name || known.address == member_address) {
@@ -275,24 +278,25 @@
     timeouts.enumerate().try_for_each(|(nth, value)| check(path(nth), value))
 }
 
-/// The first key of a configuration that its replacement lacks. Half a file may still be valid JSON, and what
-/// its missing keys set would silently change. The items of a list must have the keys that all its items had.
-pub fn missing_key(before: &Value, now: &Value) -> Option<String> {
+/// The first key of a configuration that its replacement lacks. An incomplete file may still be valid JSON, and
+/// what its missing keys set would silently change. The items of a list must have the keys that all its items
+/// had.
+pub fn missing_key(before: &Value, after: &Value) -> Option<String> {
     let join =
         |key: &str, rest: String| if rest.is_empty() { key.to_owned() } else { format!("{key}.{rest}") };
-    match (before, now) {
+    match (before, after) {
         (Value::Null, _) => None,
         (_, Value::Null) => Some(String::new()),
         (Value::Object(before), _) => before.iter().find_map(|(key, value)| {
-            // The remembered roster changes all the time.
+            // The known roster changes all the time, so only its presence is compared.
             let value = if key == "known" { &Value::Bool(true) } else { value };
-            missing_key(value, now.get(key).unwrap_or(&Value::Null)).map(|rest| join(key, rest))
+            missing_key(value, after.get(key).unwrap_or(&Value::Null)).map(|rest| join(key, rest))
         }),
-        (Value::Array(before), Value::Array(now)) => {
+        (Value::Array(before), Value::Array(after)) => {
             let first = before.first().and_then(Value::as_object)?;
             let common = |key: &&String| before.iter().all(|item| item.get(key.as_str()).is_some());
             let keys: Vec<&String> = first.keys().filter(common).collect();
-            now.iter().enumerate().find_map(|(nth, item)| {
+            after.iter().enumerate().find_map(|(nth, item)| {
                 let gone = keys.iter().find(|key| item.get(key.as_str()).is_none())?;
                 Some(format!("{nth}.{gone}"))
             })
@@ -325,7 +329,7 @@
     }
 }
 
-/// The text of a JSON value, of a string without its quotes.
+/// The text of a JSON value; a string's text is without its quotes.
 fn unquoted(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! The topazsail dispatcher on real sockets, as a library under a thin binary.
 //!
-//! It lists the modules. Only what the command line and the lab need is public.
+//! Only what the command line and the lab need is public.
 
 pub mod cli;
 pub mod config;
