--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -278,9 +278,9 @@
     timeouts.enumerate().try_for_each(|(nth, value)| check(path(nth), value))
 }
 
-/// The first key of a configuration that its replacement lacks. An incomplete file may still be valid JSON, and
-/// what its missing keys set would silently change. The items of a list must have the keys that all its items
-/// had.
+/// The first key of a configuration that its replacement lacks. An incomplete file may still be valid JSON,
+/// and what its missing keys set would silently change. The items of a list must have the keys that all its
+/// items had.
 pub fn missing_key(before: &Value, after: &Value) -> Option<String> {
     let join =
         |key: &str, rest: String| if rest.is_empty() { key.to_owned() } else { format!("{key}.{rest}") };
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -96,8 +96,9 @@
     head: Vec<u8>,
     body: Vec<u8>,
     is_answered: bool,
-    /// Whether the routing policy has been notified that the client's time is over.
-    is_expired: bool,
+    /// Whether the routing policy has been asked to answer now, as the time of the client or of a shutdown is
+    /// over.
+    is_answer_due: bool,
     forwards: Vec<Forward>,
 }
 
@@ -582,8 +583,8 @@
     /// unanswered invocations are answered without waiting any longer. Clients keep their connections for a
     /// while because the dispatcher that was restarted before this one may not be back yet. Both spans depend
     /// on the settings: with client timeouts of one second the process is killed long before spans meant for
-    /// longer timeouts would have closed the client connections. An invocation accepted last has the time
-    /// between the two.
+    /// longer timeouts would have closed the client connections. An invocation accepted at the end of the
+    /// first span has the time until the end of the second.
     fn shutdown_spans(&self) -> (Micros, Micros) {
         let client_timeout = self.longest_client_timeout.min(MAX_SHUTDOWN_CLIENT_TIMEOUT);
         (SHUTDOWN_ANSWER_GRACE + client_timeout * 17 / 30, SHUTDOWN_ANSWER_GRACE + client_timeout)
@@ -855,16 +856,16 @@
         }
     }
 
-    /// Handles the end of the client's time: an outstanding forward times out, and the routing policy has to
-    /// answer now. The policy decides the answer because it may still be a throttling: an invocation that was
-    /// never sent, or never ran, has not failed. If the policy has not answered by the second call, the
-    /// client gets an error.
+    /// Handles the end of the client's time, or of the time that a shutdown leaves: an outstanding forward
+    /// times out, and the routing policy has to answer now. The policy decides the answer because it may still
+    /// be a throttling: an invocation that was never sent, or never ran, has not failed. If the policy has not
+    /// answered by the second call, the client gets an error.
     fn handle_deadline(&mut self, invocation: &Id, driver: &mut dyn ConnectionDriver) {
         self.time_out_forward(invocation, driver);
         let Some(open) = self.invocations.get_mut(invocation).filter(|open| !open.is_answered) else {
             return;
         };
-        if std::mem::replace(&mut open.is_expired, true) {
+        if std::mem::replace(&mut open.is_answer_due, true) {
             log!("overdue", "inv={invocation} forwards={}", open.forwards.len());
             return self.answer_with_error(invocation, driver);
         }
@@ -1168,7 +1169,7 @@
         let (connection, expires_at, head, body) =
             (request.connection, request.expires_at, request.head, request.body);
         let accepted_at = now;
-        let (is_answered, is_expired, forwards) = (false, false, Vec::new());
+        let (is_answered, is_answer_due, forwards) = (false, false, Vec::new());
         let open = OpenInvocation {
             connection,
             operation,
@@ -1177,7 +1178,7 @@
             head,
             body,
             is_answered,
-            is_expired,
+            is_answer_due,
             forwards,
         };
         self.invocations.insert(request.id, open);
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -169,7 +169,7 @@
     }
 
     /// The share of its full capacity that the fleet has; `None` unless recovery is in the stage in which
-    /// that limits admission.
+    /// that limits admission. A newly computed share is passed to recovery, which may end that stage.
     fn current_warmth(&mut self, now: Micros) -> Option<f64> {
         let persistence =
             self.persistence.as_mut().filter(|persistence| persistence.stage() == Stage::Limited)?;
