--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -857,9 +857,9 @@
     }
 
     /// Handles the end of the client's time, or of the time that a shutdown leaves: an outstanding forward
-    /// times out, and the routing policy has to answer now. The policy decides the answer because it may still
-    /// be a throttling: an invocation that was never sent, or never ran, has not failed. If the policy has not
-    /// answered by the second call, the client gets an error.
+    /// times out, and the routing policy has to answer now. The policy decides the answer because it may
+    /// still be a throttling: an invocation that was never sent, or never ran, has not failed. If the policy
+    /// has not answered by the second call, the client gets an error.
     fn handle_deadline(&mut self, invocation: &Id, driver: &mut dyn ConnectionDriver) {
         self.time_out_forward(invocation, driver);
         let Some(open) = self.invocations.get_mut(invocation).filter(|open| !open.is_answered) else {
