--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -47,7 +47,7 @@
     pub in_progress: usize,
     /// Listed runners.
     pub known_runners: usize,
-    /// Listed runners that get nothing for now: set aside by the routing policy or out by an admin override.
+    /// Listed runners that get nothing for now: ejected by the routing policy, or in maintenance.
     pub skipped_runners: usize,
     /// Forwards that were written to runners completely.
     pub forwards_written: u64,
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -30,8 +30,8 @@
 /// while that job may be running.
 const DUPLICATE_ANSWER_WINDOW: Micros = 10_000;
 
-/// Time to write a forward from its first byte to its last. A forward states to its runner the time that its
-/// client has left; that may exceed the actual time by 0.15 s, and this timeout is well within it.
+/// Time to write a forward from its first byte to its last. The time left that a forward states to its runner
+/// is allowed to exceed the actual one by 0.15 s, and this timeout is well within that.
 const SEND_TIMEOUT: Micros = 100_000;
 
 /// A request to a runner. `number` counts the forwards of an invocation.
