--- a/node/src/net/connection.rs
+++ b/node/src/net/connection.rs
@@ -58,13 +58,13 @@
     Refused,
     /// The dial was not completed in time.
     DialTimeout,
-    /// Accepted, but no request came.
+    /// Accepted, but no request came in time.
     Silent,
-    /// Idle for longer than is worth a descriptor.
+    /// Idle for longer than the idle timeout.
     Idle,
-    /// The longest idle connection, closed to make room for a new one.
+    /// Closed to make room for a new connection, while no answer was outstanding on it.
     MadeRoom,
-    /// Closed after its response, as either end had announced.
+    /// Closed after its last response, as either end had announced.
     AnsweredLast,
     /// The other end sent something that is not a valid message.
     BadInput,
@@ -82,9 +82,9 @@
     Stale,
     /// The runner is no longer listed, or has another address.
     Unlisted,
-    /// The subscription to discovery was silent for too long.
+    /// The watch on discovery was silent for too long.
     WatchSilent,
-    /// The subscription to discovery was replaced by a new one.
+    /// The watch on discovery was replaced by another one.
     WatchReplaced,
     /// Closed because this process is shutting down or has handed over.
     Terminated,
@@ -123,13 +123,13 @@
 pub enum Timer {
     /// Call [`ConnectionHandler::timer_fired`] of the connection's owner.
     Connection(ConnectionId),
-    /// Close a connection that was to be finished, whatever is still unsent.
+    /// Close a connection on which [`ConnectionDriver::finish`] was called, even if output is still unsent.
     Finish(ConnectionId),
     /// Answer an invocation whose client stops waiting now.
     Invocation(Id),
     /// Retry the cancel of an invocation, with the number of that cancel.
     Cancel(Id, u32),
-    /// The one timer of the decision module.
+    /// Call the routing policy, which has only this timer.
     RoutingPolicy,
     /// Retry reading the configuration after the host failed to.
     Reload,
@@ -141,7 +141,7 @@
     ResumeAccepting(ConnectionRole),
     /// The next step of a shutdown.
     Shutdown,
-    /// Check whether the pause of cold runners is over.
+    /// Check whether the pause in sending work to cold runners is over.
     ColdRunnerPause,
     /// Check whether the lease on the list of runners has expired.
     Lease,
@@ -170,7 +170,7 @@
     fn closed(
         &mut self,
         connection: ConnectionId,
-        end: CloseReason,
+        reason: CloseReason,
         unsent: bool,
         input: &[u8],
         driver: &mut dyn ConnectionDriver,
@@ -254,9 +254,9 @@
     /// Calls [`ConnectionHandler::received`] again with the unprocessed input, even if no more bytes arrive.
     fn process_again(&mut self, connection: ConnectionId);
     /// Closes the connection as soon as all queued bytes are written.
-    fn finish(&mut self, connection: ConnectionId, end: CloseReason);
+    fn finish(&mut self, connection: ConnectionId, reason: CloseReason);
     /// Closes the connection now and drops unsent bytes; also gives up a dial.
-    fn abort(&mut self, connection: ConnectionId, end: CloseReason);
+    fn abort(&mut self, connection: ConnectionId, reason: CloseReason);
     /// Has a timer fire at `at` (Unix time in microseconds). Timers cannot be withdrawn.
     fn set_timer(&mut self, timer: Timer, at: Micros);
     /// Sends a datagram to another dispatcher; it may be lost.
@@ -306,7 +306,7 @@
     /// kernel send a reset, by which the other end would lose the last response.
     pub lingering: bool,
     /// When the connection was accepted or dialled.
-    pub since: Micros,
+    pub opened_at: Micros,
     /// Bytes received and not yet processed by the owner.
     pub input: Vec<u8>,
     /// How often the host failed to read, transiently.
@@ -321,8 +321,9 @@
     written: usize,
     /// Bytes were discarded because `input` was full of unprocessed ones.
     has_overflowed: bool,
-    /// The registration with the poller: for reading, for writing. `None` until a registration has succeeded.
-    pub watched: Option<(bool, bool)>,
+    /// The interest (reading, writing) that is registered with the poller. `None` until a registration has
+    /// succeeded.
+    pub registered_interest: Option<(bool, bool)>,
 }
 
 impl Connection {
@@ -332,7 +333,7 @@
         role: ConnectionRole,
         peer: SocketAddr,
         dialling: bool,
-        since: Micros,
+        opened_at: Micros,
     ) -> Connection {
         Connection {
             stream,
@@ -341,7 +342,7 @@
             dialling,
             finishing: None,
             lingering: false,
-            since,
+            opened_at,
             input: Vec::new(),
             failed_reads: 0,
             unread_since: None,
@@ -349,16 +350,16 @@
             output: Vec::new(),
             written: 0,
             has_overflowed: false,
-            watched: None,
+            registered_interest: None,
         }
     }
 
-    /// What the poller is to watch the connection for: reading, writing.
+    /// Which events of the connection the poller is to report: readable, writable.
     pub fn interest(&self) -> (bool, bool) {
         // Clients are read without limit, or their close would not be noticed; input beyond the limit is
         // discarded.
-        let room = self.input.len() < MAX_MESSAGE_BYTES || self.role == ConnectionRole::Client;
-        (!self.dialling && (self.lingering || room), self.dialling || self.has_unsent())
+        let may_read = self.input.len() < MAX_MESSAGE_BYTES || self.role == ConnectionRole::Client;
+        (!self.dialling && (self.lingering || may_read), self.dialling || self.has_unsent())
     }
 
     /// Whether input was discarded.
--- a/node/src/net/dials.rs
+++ b/node/src/net/dials.rs
@@ -31,7 +31,8 @@
 pub enum Dialled {
     /// Started, and possibly completed; the socket reports the result.
     Started(Socket),
-    /// The other end cannot be reached.
+    /// The other end cannot be reached. The owner is notified through the connection of this socket, as with
+    /// failures that are reported later.
     Failed(Socket, io::Error),
     /// The host could not start it.
     Postponed(io::Error),
@@ -42,13 +43,13 @@
 pub struct Dials {
     postponed: BTreeMap<ConnectionId, Dial>,
     /// How often a dial has been postponed since the start.
-    pub count: u64,
+    pub postponed_total: u64,
 }
 
 impl Dials {
     /// Keeps a dial to be retried.
     pub fn postpone(&mut self, id: ConnectionId, dial: Dial) {
-        self.count += 1;
+        self.postponed_total += 1;
         self.postponed.insert(id, dial);
     }
 
@@ -68,7 +69,8 @@
     }
 }
 
-fn socket(to: SocketAddr) -> io::Result<Socket> {
+/// Opens an unconnected, non-blocking socket for connections to this address.
+fn open_socket(to: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
@@ -77,7 +79,7 @@
 
 /// Starts to open a connection, without waiting for the result.
 pub fn dial(to: SocketAddr) -> Dialled {
-    let socket = match socket(to) {
+    let socket = match open_socket(to) {
         Ok(socket) => socket,
         Err(error) => return Dialled::Postponed(error),
     };
--- a/node/src/net/errno.rs
+++ b/node/src/net/errno.rs
@@ -1,7 +1,8 @@
 //! Classifies errors of system calls by what they are about. No other module knows error numbers.
 //!
-//! Each function covers one group of calls, following what Linux documents for them. An error of the host is
-//! transient: the call is retried later, and nothing is concluded about the connection or its other end.
+//! Each classifying function covers one group of calls and is named after it, following what Linux documents
+//! for them. An error of the host is transient: the call is retried later, and nothing is concluded about the
+//! connection or its other end.
 
 use std::io;
 
@@ -32,7 +33,7 @@
 }
 
 /// Classifies an error by the numbers that are about the call and about the host, besides shortages.
-fn scope(error: &io::Error, of_call: &[i32], of_host: &[i32]) -> Scope {
+fn classify(error: &io::Error, of_call: &[i32], of_host: &[i32]) -> Scope {
     match error.raw_os_error() {
         Some(code) if of_call.contains(&code) => Scope::Call,
         Some(code) if SHORTAGES.contains(&code) || of_host.contains(&code) => Scope::Host,
@@ -40,31 +41,31 @@
     }
 }
 
-/// Errors of `accept`. This call also reports errors pending on the new connection, which are about that
-/// connection.
+/// Classifies errors of `accept`. This call also reports errors pending on the new connection, which are about
+/// that connection.
 pub fn accept(error: &io::Error) -> Scope {
-    scope(error, &[libc::EAGAIN, libc::EINTR], &[])
+    classify(error, &[libc::EAGAIN, libc::EINTR], &[])
 }
 
-/// Errors of `socket`, `bind`, `listen`, of the poller and of starting threads, where there is no other end
-/// yet.
+/// Classifies errors of `socket`, `bind`, `listen`, of the poller and of starting threads, where there is no
+/// other end yet.
 pub fn open(error: &io::Error) -> Scope {
-    scope(error, &[libc::EINTR], &[libc::EAGAIN, libc::ENOSPC])
+    classify(error, &[libc::EINTR], &[libc::EAGAIN, libc::ENOSPC])
 }
 
-/// Errors of `connect`. Lacking a local port or a route says nothing about the other end; an interrupted call
-/// continues by itself.
+/// Classifies errors of `connect`. Lacking a local port or a route says nothing about the other end; an
+/// interrupted call continues by itself.
 pub fn connect(error: &io::Error) -> Scope {
-    scope(
+    classify(
         error,
         &[libc::EINPROGRESS, libc::EINTR],
         &[libc::EAGAIN, libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENETDOWN],
     )
 }
 
-/// Errors of `recv` and `send` on an established connection.
+/// Classifies errors of `recv` and `send` on an established connection.
 pub fn transfer(error: &io::Error) -> Scope {
-    scope(error, &[libc::EAGAIN, libc::EINTR], &[])
+    classify(error, &[libc::EAGAIN, libc::EINTR], &[])
 }
 
 /// Whether the network path to the other end failed, while that end may be healthy and unaware of it.
@@ -72,7 +73,7 @@
     matches!(error.raw_os_error(), Some(libc::ETIMEDOUT | libc::EHOSTUNREACH | libc::ENETUNREACH))
 }
 
-/// Errors of reading an existing file and of writing one: the disk may work again later.
+/// Classifies errors of reading an existing file and of writing one: the disk may work again later.
 pub fn file(error: &io::Error) -> Scope {
-    scope(error, &[libc::EINTR], &[libc::EIO, libc::ENOSPC, libc::EDQUOT, libc::EROFS, libc::EAGAIN])
+    classify(error, &[libc::EINTR], &[libc::EIO, libc::ENOSPC, libc::EDQUOT, libc::EROFS, libc::EAGAIN])
 }
--- a/node/src/net/http.rs
+++ b/node/src/net/http.rs
@@ -53,7 +53,7 @@
     ///
     /// `repeated_header` if the header occurs twice, `bad_header` if its value is not UTF-8.
     pub fn single_header(&self, name: &str) -> Result<Option<&'b str>, HttpError> {
-        only(&self.headers, name)
+        find_single_header(&self.headers, name)
     }
 
     /// The target without query and fragment.
@@ -65,12 +65,16 @@
 impl<'b> Response<'b> {
     /// The trimmed value of a header, if it occurs exactly once.
     pub fn header(&self, name: &str) -> Option<&'b str> {
-        only(&self.headers, name).ok().flatten()
+        find_single_header(&self.headers, name).ok().flatten()
     }
 }
 
 /// The trimmed value of the header of this name, if it occurs.
-fn only<'b>(headers: &[(&'b str, &'b [u8])], name: &str) -> Result<Option<&'b str>, HttpError> {
+///
+/// # Errors
+///
+/// `repeated_header` if the header occurs twice, `bad_header` if its value is not UTF-8.
+fn find_single_header<'b>(headers: &[(&'b str, &'b [u8])], name: &str) -> Result<Option<&'b str>, HttpError> {
     let mut values = headers.iter().filter(|(known, _)| known.eq_ignore_ascii_case(name));
     let Some((_, value)) = values.next() else { return Ok(None) };
     if values.next().is_some() {
@@ -91,9 +95,10 @@
 }
 
 /// The framing that the headers declare, or `absent` if they declare none.
-fn framing(headers: &[(&str, &[u8])], absent: Framing) -> Result<Framing, HttpError> {
-    let length = only(headers, "content-length").map_err(|_| HttpError(400, "bad_length"))?;
-    let coding = only(headers, "transfer-encoding").map_err(|_| HttpError(400, "bad_coding"))?;
+fn declared_framing(headers: &[(&str, &[u8])], absent: Framing) -> Result<Framing, HttpError> {
+    let length = find_single_header(headers, "content-length").map_err(|_| HttpError(400, "bad_length"))?;
+    let coding =
+        find_single_header(headers, "transfer-encoding").map_err(|_| HttpError(400, "bad_coding"))?;
     match (length, coding) {
         (Some(_), Some(_)) => Err(HttpError(400, "length_and_coding")),
         (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
@@ -118,7 +123,8 @@
     if version == 0 { lists("keep-alive") } else { !lists("close") }
 }
 
-fn malformed(error: httparse::Error) -> HttpError {
+/// The error to report when httparse rejects a start line or a header.
+fn head_error(error: httparse::Error) -> HttpError {
     match error {
         httparse::Error::TooManyHeaders => HttpError(431, "too_many_headers"),
         _ => HttpError(400, "malformed"),
@@ -127,7 +133,7 @@
 
 /// The body at the start of `input` and the number of bytes that it takes there; `None` while it is
 /// incomplete. `ended` says that no more bytes will come.
-fn body(input: &[u8], framing: Framing, ended: bool) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
+fn parse_body(input: &[u8], framing: Framing, ended: bool) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
     let complete = match framing {
         Framing::Length(length) if length > MAX_BODY_BYTES => return Err(HttpError(413, "body_too_large")),
         Framing::Length(length) => input.get(..length).map(|body| (body.to_vec(), length)),
@@ -154,21 +160,21 @@
 ///
 /// The bytes are not a valid request, or exceed a limit.
 pub fn parse_request(input: &[u8]) -> Result<Option<(Request<'_>, usize)>, HttpError> {
-    let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Request::new(&mut room);
-    let head = match parsed.parse(&input[..input.len().min(MAX_HEAD_BYTES)]).map_err(malformed)? {
-        httparse::Status::Complete(head) => head,
+    let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut header_buffer);
+    let head_length = match parsed.parse(&input[..input.len().min(MAX_HEAD_BYTES)]).map_err(head_error)? {
+        httparse::Status::Complete(length) => length,
         httparse::Status::Partial if input.len() >= MAX_HEAD_BYTES => {
             return Err(HttpError(431, "head_too_large"));
         }
         httparse::Status::Partial => return Ok(None),
     };
     let headers: Vec<_> = parsed.headers.iter().map(|header| (header.name, header.value)).collect();
-    let framing = framing(&headers, Framing::Length(0))?;
-    let Some((body, used)) = body(&input[head..], framing, false)? else { return Ok(None) };
+    let framing = declared_framing(&headers, Framing::Length(0))?;
+    let Some((body, used)) = parse_body(&input[head_length..], framing, false)? else { return Ok(None) };
     let keep_alive = keeps_alive(&headers, parsed.version.unwrap_or(1));
     let (method, target) = (parsed.method.unwrap_or_default(), parsed.path.unwrap_or_default());
-    Ok(Some((Request { method, target, headers, body, keep_alive }, head + used)))
+    Ok(Some((Request { method, target, headers, body, keep_alive }, head_length + used)))
 }
 
 /// The head of the response at the start of `input`, the framing of its body and the number of bytes that the
@@ -180,25 +186,25 @@
 pub fn parse_response_head(mut input: &[u8]) -> Result<Option<(Response<'_>, Framing, usize)>, HttpError> {
     let mut used = 0;
     loop {
-        let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut parsed = httparse::Response::new(&mut room);
-        let head = match parsed.parse(&input[..input.len().min(MAX_HEAD_BYTES)]).map_err(malformed)? {
-            httparse::Status::Complete(head) => head,
+        let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Response::new(&mut header_buffer);
+        let head_length = match parsed.parse(&input[..input.len().min(MAX_HEAD_BYTES)]).map_err(head_error)? {
+            httparse::Status::Complete(length) => length,
             httparse::Status::Partial if input.len() >= MAX_HEAD_BYTES => {
                 return Err(HttpError(431, "head_too_large"));
             }
             httparse::Status::Partial => return Ok(None),
         };
         let status = parsed.code.unwrap_or(0);
-        used += head;
+        used += head_length;
         if (100..200).contains(&status) {
-            input = &input[head..];
+            input = &input[head_length..];
             continue;
         }
         let headers: Vec<_> = parsed.headers.iter().map(|header| (header.name, header.value)).collect();
         let framing = match status {
             204 | 304 => Framing::Length(0),
-            _ => framing(&headers, Framing::UntilEnd)?,
+            _ => declared_framing(&headers, Framing::UntilEnd)?,
         };
         let keep_alive = framing != Framing::UntilEnd && keeps_alive(&headers, parsed.version.unwrap_or(1));
         return Ok(Some((Response { status, headers, body: Vec::new(), keep_alive }, framing, used)));
@@ -212,10 +218,10 @@
 ///
 /// The bytes are not a valid response, or exceed a limit.
 pub fn parse_response(input: &[u8], ended: bool) -> Result<Option<(Response<'_>, usize)>, HttpError> {
-    let Some((mut response, framing, head)) = parse_response_head(input)? else { return Ok(None) };
-    let Some((body, used)) = body(&input[head..], framing, ended)? else { return Ok(None) };
+    let Some((mut response, framing, head_length)) = parse_response_head(input)? else { return Ok(None) };
+    let Some((body, used)) = parse_body(&input[head_length..], framing, ended)? else { return Ok(None) };
     response.body = body;
-    Ok(Some((response, head + used)))
+    Ok(Some((response, head_length + used)))
 }
 
 /// A decoder of chunked bodies, fed with bytes as they arrive.
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -39,8 +39,8 @@
 pub const FIRST_LISTENER_KEY: usize = 4;
 /// Above all other poller keys, as connection ids are poller keys too.
 const FIRST_CONNECTION_ID: ConnectionId = 6;
-/// The most buffers read from one client per event while each comes full: the client's close may be behind
-/// the bytes.
+/// The most reads from one client per event while each fills the buffer: the client's close may follow the
+/// bytes.
 const MAX_READS_PER_EVENT: usize = 16;
 /// The most datagrams read per iteration, so that clients are served first.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 256;
@@ -67,7 +67,7 @@
 const CATCH_UP_WINDOW: Micros = 100_000;
 /// Microseconds until the configuration is read again after the host failed to.
 const RELOAD_RETRY_INTERVAL: Micros = 50_000;
-/// Microseconds after a SIGHUP for which that is retried.
+/// Microseconds after a SIGHUP for which reading the configuration is retried.
 const RELOAD_RETRY_WINDOW: Micros = 30_000_000;
 /// Microseconds in which the other end must read its last response and close.
 const FINISH_TIMEOUT: Micros = 2_000_000;
@@ -100,6 +100,7 @@
     pub key: usize,
 }
 
+/// The listener for connections of this role, if there is one.
 fn listener_of(listeners: &[Listener], role: ConnectionRole) -> Option<&Listener> {
     listeners.iter().find(|listener| listener.role == role)
 }
@@ -126,6 +127,7 @@
     next_id: ConnectionId,
     /// By the time at which they fire; timers of the same time fire in the order in which they were set.
     timers: BTreeMap<(Micros, u64), Timer>,
+    /// The number of timers set since the start.
     timer_serial: u64,
     /// Connections on which a write failed; their owners are called back in this or the next iteration.
     broken_connections: Vec<(ConnectionId, CloseReason)>,
@@ -174,7 +176,8 @@
         })
     }
 
-    /// Runs the loop until the process has shut down or the request table reports a fatal error.
+    /// Runs the loop until the process has shut down or the request table reports a fatal error. `reload` has
+    /// the configuration file `path` read again.
     ///
     /// # Errors
     ///
@@ -191,10 +194,11 @@
         self.now = self.clock.now();
         table.decide(self);
         loop {
-            // The last iteration: everything that arrived is accepted, and still answered.
-            let last = (table.is_shutdown_complete(self.now) || table.must_exit(self.now))
+            // If the shutdown is complete, the loop ends unless this wait reports something, which is still
+            // accepted and answered.
+            let may_end = (table.is_shutdown_complete(self.now) || table.must_exit(self.now))
                 && self.all_responses_written();
-            let timeout = if last { Some(FINAL_WAIT) } else { self.wait_timeout(table) };
+            let timeout = if may_end { Some(FINAL_WAIT) } else { self.wait_timeout(table) };
             events.clear();
             let interrupted = match self.poller.wait(&mut events, timeout) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => true,
@@ -212,18 +216,18 @@
                 return Ok(());
             }
             // A wait that was interrupted by a signal has not checked the sockets.
-            let quiet = last && !interrupted && events.is_empty();
-            if quiet && (table.must_exit(self.now) || self.accept_queue_is_empty(table, listeners)) {
+            let is_quiet = may_end && !interrupted && events.is_empty();
+            if is_quiet && (table.must_exit(self.now) || self.accept_queue_is_empty(table, listeners)) {
                 return Ok(());
             }
             // Clients first: a forward that waits for a connection to its runner must not be sent if its
             // client's close is reported in the same iteration.
-            let of_client = |event: &Event| {
+            let is_from_client = |event: &Event| {
                 self.connections
                     .get(&(event.key as ConnectionId))
                     .is_some_and(|connection| connection.role == ConnectionRole::Client)
             };
-            let (clients, others): (Vec<Event>, Vec<Event>) = events.iter().partition(of_client);
+            let (clients, others): (Vec<Event>, Vec<Event>) = events.iter().partition(is_from_client);
             for event in clients.into_iter().chain(others) {
                 match event.key {
                     // The flags of the signals are checked in every iteration.
@@ -332,8 +336,8 @@
                 }
             }
             Timer::Finish(id) => {
-                if let Some(end) = self.connections.get(&id).and_then(|connection| connection.finishing) {
-                    self.remove(id, end);
+                if let Some(reason) = self.connections.get(&id).and_then(|connection| connection.finishing) {
+                    self.remove(id, reason);
                 }
             }
             Timer::Reload => self.read_configuration(table, path),
@@ -480,7 +484,7 @@
         Ok(())
     }
 
-    /// Keeps a dial that the host could not start and schedules a retry.
+    /// Keeps a dial that the host could not start and schedules a retry. Returns the host's error.
     fn postpone(&mut self, id: ConnectionId, dial: Dial, error: io::Error) -> io::Error {
         self.short_of_descriptors |= errno::is_shortage(&error);
         self.dials.postpone(id, dial);
@@ -488,11 +492,13 @@
         error
     }
 
+    /// Adds a connection under an id that has been allocated, and registers it with the poller.
     fn add(&mut self, id: ConnectionId, connection: Connection) {
         self.connections.insert(id, connection);
         self.update_registration(id);
     }
 
+    /// Adds a connection under a new id.
     fn add_new(&mut self, connection: Connection) -> ConnectionId {
         let id = self.allocate_id();
         self.add(id, connection);
@@ -500,34 +506,38 @@
     }
 
     /// Closes a connection or gives up a postponed dial, and logs it.
-    fn remove(&mut self, id: ConnectionId, end: CloseReason) {
+    fn remove(&mut self, id: ConnectionId, reason: CloseReason) {
         if let Some(Dial { to, role, .. }) = self.dials.take(id) {
-            log!("dial-given-up", "link={id} side={} peer={to} reason={}", role.code(), end.code());
+            log!("dial-given-up", "link={id} side={} peer={to} reason={}", role.code(), reason.code());
         }
         let Some(connection) = self.connections.remove(&id) else { return };
         let _ = self.poller.delete(&connection.stream);
         self.host_failures.reads += connection.failed_reads;
         let (role, peer, ms) =
-            (connection.role.code(), connection.peer, (self.now - connection.since) / 1000);
+            (connection.role.code(), connection.peer, (self.now - connection.opened_at) / 1000);
         let unsent = u8::from(connection.has_unsent());
-        log!("connection", "link={id} side={role} peer={peer} reason={} ms={ms} unsent={unsent}", end.code());
+        log!(
+            "connection",
+            "link={id} side={role} peer={peer} reason={} ms={ms} unsent={unsent}",
+            reason.code()
+        );
     }
 
     /// Registers a connection with the poller for its current interest, and schedules a retry if that fails.
     fn update_registration(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let interest = connection.interest();
-        if connection.watched == Some(interest) {
+        if connection.registered_interest == Some(interest) {
             return;
         }
         let event = Event::new(id as usize, interest.0, interest.1);
-        let watched = match connection.watched {
+        let registered = match connection.registered_interest {
             // SAFETY: `remove` deletes the socket from the poller before it is closed.
             None => unsafe { self.poller.add_with_mode(&connection.stream, event, PollMode::Level) },
             Some(_) => self.poller.modify_with_mode(&connection.stream, event, PollMode::Level),
         };
-        match watched {
-            Ok(()) => connection.watched = Some(interest),
+        match registered {
+            Ok(()) => connection.registered_interest = Some(interest),
             Err(error) => {
                 log!("poller", "link={id} reason={error}");
                 self.set_timer(Timer::Register(id), self.now + REGISTER_RETRY_INTERVAL);
@@ -544,29 +554,29 @@
             if !event.writable {
                 return;
             }
-            if let Err(end) = connection.dial_result() {
-                return self.connection_lost(id, end, table);
+            if let Err(reason) = connection.dial_result() {
+                return self.connection_lost(id, reason, table);
             }
             connection.dialling = false;
             let flushed = connection.flush();
             table.handler(role).connected(id, self);
-            if let Err(end) = flushed {
-                self.broken_connections.push((id, end));
+            if let Err(reason) = flushed {
+                self.broken_connections.push((id, reason));
             }
             return self.update_registration(id);
         }
         if event.writable {
-            if let Err(end) = connection.flush() {
-                return self.connection_lost(id, end, table);
+            if let Err(reason) = connection.flush() {
+                return self.connection_lost(id, reason, table);
             }
             // Input that arrived meanwhile is processed only when the output is written.
             if !connection.has_unsent() && !connection.input.is_empty() {
                 self.to_process.push(id);
             }
         }
-        let mut end = None;
+        let mut close_reason = None;
         if event.readable {
-            let had = connection.input.len();
+            let input_before = connection.input.len();
             let mut read = connection.read(&mut self.read_buffer, since);
             // A client may have sent a request and left: both must be known before it is served.
             let full = Ok(self.read_buffer.len());
@@ -577,13 +587,13 @@
                 }
                 read = connection.read(&mut self.read_buffer, since);
             }
-            end = read.err();
-            if connection.input.len() > had {
+            close_reason = read.err();
+            if connection.input.len() > input_before {
                 self.deliver(id, table);
             }
         }
-        if let Some(end) = end {
-            return self.connection_lost(id, end, table);
+        if let Some(reason) = close_reason {
+            return self.connection_lost(id, reason, table);
         }
         self.linger_if_written(id);
         self.update_registration(id);
@@ -597,11 +607,11 @@
             return;
         };
         let (role, mut input) = (connection.role, std::mem::take(&mut connection.input));
-        let had = input.len();
+        let input_before = input.len();
         table.handler(role).received(id, &mut input, self);
         table.collect_events(self);
         if let Some(connection) = self.connections.get_mut(&id).filter(|connection| !connection.lingering) {
-            connection.receive_times.consume(had - input.len());
+            connection.receive_times.consume(input_before - input.len());
             input.shrink_to(if input.is_empty() { 4 << 10 } else { usize::MAX });
             connection.input = input;
         }
@@ -609,15 +619,15 @@
     }
 
     /// Handles a connection that the other end has closed, that failed, or that was never established.
-    fn connection_lost(&mut self, id: ConnectionId, end: CloseReason, table: &mut RequestTable) {
+    fn connection_lost(&mut self, id: ConnectionId, reason: CloseReason, table: &mut RequestTable) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        if let Some(end) = connection.finishing {
-            return self.remove(id, end);
+        if let Some(reason) = connection.finishing {
+            return self.remove(id, reason);
         }
         let (role, unsent, input) =
             (connection.role, connection.has_unsent(), std::mem::take(&mut connection.input));
-        self.remove(id, end);
-        table.handler(role).closed(id, end, unsent, &input, self);
+        self.remove(id, reason);
+        table.handler(role).closed(id, reason, unsent, &input, self);
         table.collect_events(self);
     }
 
@@ -629,10 +639,11 @@
         }
     }
 
-    /// Calls back the owners of broken connections and those that requested their input again.
+    /// Calls back the owners of broken connections, and those that have called
+    /// [`ConnectionDriver::process_again`].
     fn run_deferred(&mut self, table: &mut RequestTable) {
-        for (id, end) in std::mem::take(&mut self.broken_connections) {
-            self.connection_lost(id, end, table);
+        for (id, reason) in std::mem::take(&mut self.broken_connections) {
+            self.connection_lost(id, reason, table);
         }
         for id in std::mem::take(&mut self.to_process) {
             if self.connections.get(&id).is_some_and(|connection| !connection.input.is_empty()) {
@@ -658,7 +669,11 @@
 
     fn host_failures(&self) -> HostFailures {
         let open: u64 = self.connections.values().map(|connection| connection.failed_reads).sum();
-        HostFailures { dials: self.dials.count, reads: self.host_failures.reads + open, ..self.host_failures }
+        HostFailures {
+            dials: self.dials.postponed_total,
+            reads: self.host_failures.reads + open,
+            ..self.host_failures
+        }
     }
 
     fn received_since(&self, id: ConnectionId) -> Micros {
@@ -675,9 +690,9 @@
             .connections
             .iter()
             .filter(|(_, connection)| connection.lingering && connection.role == ConnectionRole::Client);
-        let ends = lingering.filter_map(|(id, connection)| Some((*id, connection.finishing?)));
-        let oldest = ends.min_by_key(|(id, _)| *id);
-        oldest.inspect(|(id, end)| self.remove(*id, *end)).is_some()
+        let closable = lingering.filter_map(|(id, connection)| Some((*id, connection.finishing?)));
+        let oldest = closable.min_by_key(|(id, _)| *id);
+        oldest.inspect(|(id, reason)| self.remove(*id, *reason)).is_some()
     }
 
     fn dial(&mut self, to: SocketAddr, role: ConnectionRole) -> ConnectionId {
@@ -700,7 +715,7 @@
         connection.queue(bytes);
         match connection.flush() {
             Ok(()) => self.update_registration(id),
-            Err(end) => self.broken_connections.push((id, end)),
+            Err(reason) => self.broken_connections.push((id, reason)),
         }
     }
 
@@ -725,16 +740,16 @@
         self.to_process.push(id);
     }
 
-    fn finish(&mut self, id: ConnectionId, end: CloseReason) {
+    fn finish(&mut self, id: ConnectionId, reason: CloseReason) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        connection.finishing = Some(end);
+        connection.finishing = Some(reason);
         self.linger_if_written(id);
         self.set_timer(Timer::Finish(id), self.now + FINISH_TIMEOUT);
         self.update_registration(id);
     }
 
-    fn abort(&mut self, id: ConnectionId, end: CloseReason) {
-        self.remove(id, end);
+    fn abort(&mut self, id: ConnectionId, reason: CloseReason) {
+        self.remove(id, reason);
     }
 
     fn send_datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
--- a/node/src/net/receive_times.rs
+++ b/node/src/net/receive_times.rs
@@ -20,9 +20,9 @@
 impl ReceiveTimes {
     /// Records bytes that have been read and may have arrived as early as `since`.
     pub fn record(&mut self, bytes: usize, since: Micros) {
-        let full = self.entries.len() >= MAX_ENTRIES;
+        let is_full = self.entries.len() >= MAX_ENTRIES;
         match self.entries.back_mut() {
-            Some((count, at)) if full || *at == since => *count += bytes,
+            Some((count, at)) if is_full || *at == since => *count += bytes,
             _ => self.entries.push_back((bytes, since)),
         }
     }
