--- a/node/src/lifecycle/handover.rs
+++ b/node/src/lifecycle/handover.rs
@@ -33,7 +33,7 @@
 /// The longest accepted message after the state.
 const MAX_LINE_BYTES: usize = 1 << 20;
 /// The version of the protocol, sent together with the descriptor. Other versions are rejected.
-const FORMAT: u8 = b'1';
+const PROTOCOL_VERSION: u8 = b'1';
 
 /// The state of a serving process that its successor needs.
 #[derive(Debug, Default, Serialize, Deserialize)]
@@ -117,17 +117,18 @@
         stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))
     };
     set_read_timeout(&stream)?;
-    let mut format = [0];
-    let mut room = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut control = RecvAncillaryBuffer::new(&mut room);
-    recvmsg(&stream, &mut [IoSliceMut::new(&mut format)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    let mut version = [0];
+    let mut control_buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut control = RecvAncillaryBuffer::new(&mut control_buffer);
+    recvmsg(&stream, &mut [IoSliceMut::new(&mut version)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
     let descriptor: Option<OwnedFd> = control.drain().find_map(|message| match message {
         RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
     });
     let invalid = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
-    let listener =
-        TcpListener::from(descriptor.filter(|_| format == [FORMAT]).ok_or_else(|| invalid("no listener"))?);
+    let listener = TcpListener::from(
+        descriptor.filter(|_| version == [PROTOCOL_VERSION]).ok_or_else(|| invalid("no listener"))?,
+    );
     let (mut text, mut buffer) = (Vec::new(), vec![0; 64 << 10]);
     let length = loop {
         if let Some(length) = text.iter().position(|byte| *byte == b'\n') {
@@ -170,11 +171,11 @@
 /// The connection fails.
 pub fn send_listener(stream: &UnixStream, listener: &TcpListener) -> io::Result<()> {
     stream.set_nonblocking(true)?;
-    let mut room = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut control = SendAncillaryBuffer::new(&mut room);
+    let mut control_buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut control = SendAncillaryBuffer::new(&mut control_buffer);
     let descriptors = [listener.as_fd()];
     control.push(SendAncillaryMessage::ScmRights(&descriptors));
-    sendmsg(stream, &[IoSlice::new(&[FORMAT])], &mut control, SendFlags::empty())?;
+    sendmsg(stream, &[IoSlice::new(&[PROTOCOL_VERSION])], &mut control, SendFlags::empty())?;
     Ok(())
 }
 
@@ -182,8 +183,8 @@
 #[derive(Default)]
 pub struct HandoverPeer {
     connection: Option<ConnectionId>,
-    /// Received bytes that are not yet a complete line.
-    text: Vec<u8>,
+    /// Received bytes that have not been parsed; between two calls, the start of a line.
+    unparsed: Vec<u8>,
     /// Messages received and not yet processed by the request table.
     pub incoming: Vec<HandoverMessage>,
     /// The connection has been closed; reset by the request table when it has handled that.
@@ -199,7 +200,7 @@
     /// Uses this connection from now on.
     pub fn attach(&mut self, connection: ConnectionId) {
         self.connection = Some(connection);
-        self.text.clear();
+        self.unparsed.clear();
     }
 
     /// Sends the state or a message as one line of JSON, if there is a connection.
@@ -210,6 +211,7 @@
         driver.send(connection, &line);
     }
 
+    /// Records the end of the connection for the request table, and logs why it ended.
     fn disconnected(&mut self, why: &str) {
         log!("handover-ended", "reason={why}");
         (self.connection, self.ended) = (None, true);
@@ -220,18 +222,18 @@
     fn connected(&mut self, _: ConnectionId, _: &mut dyn ConnectionDriver) {}
 
     fn received(&mut self, connection: ConnectionId, input: &mut Vec<u8>, driver: &mut dyn ConnectionDriver) {
-        self.text.append(input);
+        self.unparsed.append(input);
         let mut parsed = 0;
-        while let Some(length) = self.text[parsed..].iter().position(|byte| *byte == b'\n') {
-            match serde_json::from_slice(&self.text[parsed..parsed + length]) {
+        while let Some(length) = self.unparsed[parsed..].iter().position(|byte| *byte == b'\n') {
+            match serde_json::from_slice(&self.unparsed[parsed..parsed + length]) {
                 Ok(message) => self.incoming.push(message),
                 // Possibly a message of another version; later messages that can be read are still processed.
                 Err(error) => log!("handover-unread", "reason={:?}", error.to_string()),
             }
             parsed += length + 1;
         }
-        drop(self.text.drain(..parsed));
-        if self.text.len() > MAX_LINE_BYTES {
+        drop(self.unparsed.drain(..parsed));
+        if self.unparsed.len() > MAX_LINE_BYTES {
             driver.abort(connection, CloseReason::BadInput);
             self.disconnected("line_too_long");
         }
@@ -240,13 +242,13 @@
     fn closed(
         &mut self,
         connection: ConnectionId,
-        end: CloseReason,
+        reason: CloseReason,
         _: bool,
         _: &[u8],
         _: &mut dyn ConnectionDriver,
     ) {
         if self.connection == Some(connection) {
-            self.disconnected(end.code());
+            self.disconnected(reason.code());
         }
     }
 
--- a/node/src/lifecycle/migrate.rs
+++ b/node/src/lifecycle/migrate.rs
@@ -1,9 +1,9 @@
 //! `topazsail migrate`: rewrites a dispatcher's configuration from the old shape of deployment to the new
-//! one, in which the list's sizes change with load, reports come with probes only, second copies are allowed,
-//! and there are two zones.
+//! one, in which the runners' sizes in the roster change with load, load reports come only with the answers
+//! to probes, an invocation may have a second copy at another runner, and there are two zones.
 //!
-//! This module holds what differs between the shapes. It does not guess what only the operator knows: such
-//! settings stay as they are and are listed. A result that could not be served is an error.
+//! This module holds the settings in which the shapes differ. It does not guess what only the operator knows:
+//! such settings stay as they are and are listed. It is an error if the result is not a valid configuration.
 
 use std::fs::{self, OpenOptions};
 use std::io::Write;
@@ -56,7 +56,7 @@
     let mut json: Value = serde_json::from_str(text).map_err(|error| format!("no JSON: {error}"))?;
     let (mut changed, mut not_carried_over) = (Vec::new(), Vec::new());
     let settings = json.get_mut("settings").ok_or("settings is missing")?;
-    let mut set = |path: &str, value: Value| put(settings, path, value, &mut changed);
+    let mut set = |path: &str, value: Value| set_by_path(settings, path, value, &mut changed);
     for (path, value) in shape_settings() {
         set(path, value)?;
     }
@@ -74,9 +74,9 @@
     }
     let setting = |path: &str| settings.pointer(&format!("/{}", path.replace('.', "/")));
     let mut note = |line: String| not_carried_over.push(line);
-    let number = |path: &str| setting(path).and_then(Value::as_u64);
+    let integer = |path: &str| setting(path).and_then(Value::as_u64);
     let (dispatchers, index) =
-        (number("balancers").unwrap_or_default(), number("selfIndex").unwrap_or_default());
+        (integer("balancers").unwrap_or_default(), integer("selfIndex").unwrap_or_default());
     if index >= dispatchers {
         return Err(format!(
             "settings.selfIndex {index} is not below settings.balancers {dispatchers}: set it with --number"
@@ -116,8 +116,8 @@
     }
     let known = json.pointer("/known/instances").and_then(Value::as_array).map_or(0, Vec::len);
     if known > 0 {
-        // A size of the old shape would be taken as the largest size of its machine type without load,
-        // permanently.
+        // In the new shape, the largest size ever listed for a machine type counts as that of an idle runner,
+        // so a size of the old shape could stay in force for its type permanently.
         json["known"] = json!({"generation": 0, "reset": true, "instances": []});
         changed.push(format!("known: {known} runners -> none"));
         note(format!("known: {known} runners were of the old shape; the list is sent at the start"));
@@ -128,18 +128,23 @@
 }
 
 /// Sets one setting by its path and creates missing objects on the way.
-fn put(settings: &mut Value, path: &str, value: Value, changed: &mut Vec<String>) -> Result<(), String> {
-    let mut place = settings;
+fn set_by_path(
+    settings: &mut Value,
+    path: &str,
+    value: Value,
+    changed: &mut Vec<String>,
+) -> Result<(), String> {
+    let mut current = settings;
     for name in path.split('.') {
-        if place.is_null() {
-            *place = json!({});
+        if current.is_null() {
+            *current = json!({});
         }
-        let fields = place.as_object_mut().ok_or_else(|| format!("settings.{path}: not an object"))?;
-        place = fields.entry(name).or_insert(Value::Null);
+        let fields = current.as_object_mut().ok_or_else(|| format!("settings.{path}: not an object"))?;
+        current = fields.entry(name).or_insert(Value::Null);
     }
-    if *place != value {
-        changed.push(format!("settings.{path}: {place} -> {value}"));
-        *place = value;
+    if *current != value {
+        changed.push(format!("settings.{path}: {current} -> {value}"));
+        *current = value;
     }
     Ok(())
 }
@@ -152,16 +157,16 @@
 /// The file exists or cannot be written; nothing was written then.
 pub fn write(text: &str, to: &str) -> Result<(), String> {
     let describe = |error: std::io::Error| format!("{to}: {error}; nothing was written");
-    let part = format!("{to}.part-{}", std::process::id());
-    let write_part = |part: &str| {
-        let mut file = OpenOptions::new().write(true).create_new(true).open(part)?;
+    let part_path = format!("{to}.part-{}", std::process::id());
+    let write_part = |path: &str| {
+        let mut file = OpenOptions::new().write(true).create_new(true).open(path)?;
         file.write_all(text.as_bytes())?;
         file.sync_all()?;
-        fs::hard_link(part, to)
+        fs::hard_link(path, to)
     };
-    let written = write_part(&part).map_err(describe);
-    if Path::new(&part).exists() {
-        fs::remove_file(&part).map_err(|error| format!("{part}: {error}"))?;
+    let written = write_part(&part_path).map_err(describe);
+    if Path::new(&part_path).exists() {
+        fs::remove_file(&part_path).map_err(|error| format!("{part_path}: {error}"))?;
     }
     written
 }
--- a/node/src/lifecycle/start.rs
+++ b/node/src/lifecycle/start.rs
@@ -79,17 +79,18 @@
     let mut listeners = Vec::new();
     for (role, address) in addresses {
         let Some(address) = address else { continue };
-        let inherited = inherited
+        let inherited_socket = inherited
             .as_ref()
             .filter(|_| role == ConnectionRole::Client)
             .map(|other| other.listener.try_clone());
-        let socket = inherited
+        let socket = inherited_socket
             .unwrap_or_else(|| retry_while(may_open_later, || listen(address)))
             .map_err(|error| format!("listen {address}: {error}"))?;
         listeners.push(Listener { socket, role, key: FIRST_LISTENER_KEY + listeners.len() });
     }
     let mut reactor = retry_while(may_open_later, Reactor::new).map_err(describe("poller"))?;
-    // SAFETY: all of them are dropped after the loop has ended, when the poller is no longer used.
+    // SAFETY: the signals' streams and the listeners are dropped after the loop has ended, when the poller is
+    // no longer used.
     unsafe {
         let mut added = reactor
             .poller
@@ -122,14 +123,14 @@
     let admin = configuration.admin.map_or_else(|| "none".to_owned(), |address| address.to_string());
     let (listen, discovery) = (configuration.listen, configuration.discovery);
     log!("serving", "name={} listen={listen} discovery={discovery} admin={admin}", configuration.name);
-    // Only now, as binding the path unlinks the socket of the process that served until now, which has handed
-    // over.
+    // Bound only now, since this unlinks the socket of the process that served before: it must have handed
+    // over first.
     let successor = handover::socket_path(listen).and_then(|path| {
         let bound = handover::bind_successor_socket(&path);
         bound.inspect_err(|error| log!("handover-failed", "reason={:?}", error.to_string())).ok()
     });
     if let Some(successor) = &successor {
-        // SAFETY: as above.
+        // SAFETY: it is dropped after the loop has ended, as the listeners are.
         unsafe {
             let added =
                 reactor.poller.add_with_mode(successor, Event::readable(SUCCESSOR_KEY), PollMode::Level);
@@ -143,9 +144,9 @@
             let id = topazsail::hash(
                 format!("{} {} {}", configuration.name, configuration.seed, reactor.now()).as_bytes(),
             );
-            let disks = Box::new(move || open_disk(&folder));
+            let disk_factory = Box::new(move || open_disk(&folder));
             let wake = move || drop(poller.notify());
-            let started = StoreThread::start(locked_disk, disks, configuration.name.clone(), id, wake);
+            let started = StoreThread::start(locked_disk, disk_factory, configuration.name.clone(), id, wake);
             Some(started.map_err(describe("store"))?)
         }
     };
--- a/node/src/lifecycle/store_report.rs
+++ b/node/src/lifecycle/store_report.rs
@@ -20,7 +20,7 @@
 }
 
 /// The value of a record as JSON; only its length if it decodes as no known type.
-fn value(record: &Record) -> Value {
+fn record_as_json(record: &Record) -> Value {
     if let Some(roster) = stored_types::decode::<StoredRoster>(record) {
         let list: Value = serde_json::from_str(&roster.json).unwrap_or_default();
         let runners = list.get("instances").and_then(Value::as_array).map_or(0, Vec::len);
@@ -45,8 +45,8 @@
 }
 
 /// The value of a record, shortened for a line of the table.
-fn summary(record: &Record) -> String {
-    match value(record) {
+fn summarize_record(record: &Record) -> String {
+    match record_as_json(record) {
         Value::Object(fields) if fields.contains_key("list") => format!(
             "{} runners, generation {}, from {}",
             fields["runners"],
@@ -57,7 +57,7 @@
             format!("version {}", fields["version"].as_str().unwrap_or_default())
         }
         Value::Object(fields) if fields.contains_key("out_since") => match fields["out_since"].as_i64() {
-            Some(since) => format!("out since {}", seconds(since)),
+            Some(since) => format!("out since {}", format_seconds(since)),
             None => "back".to_owned(),
         },
         other => {
@@ -72,7 +72,7 @@
 }
 
 /// A time in microseconds as seconds with three decimals.
-fn seconds(at: i64) -> String {
+fn format_seconds(at: i64) -> String {
     format!("{:.3}", at as f64 / 1e6)
 }
 
@@ -94,17 +94,17 @@
         let records = inspection.records.values().filter(|_| all).map(|record| {
             json!({
                 "table": stored_types::table_name(record.table), "key": record.key, "form": record.form, "boot": record.boot,
-                "written": record.written, "value": value(record),
+                "written": record.written, "value": record_as_json(record),
             })
         });
-        let whole = json!({
+        let report = json!({
             "owner": inspection.owner, "store": format!("{:016x}", inspection.store), "boot": found.boot, "clean": found.ended_cleanly,
             "torn": found.torn_bytes, "written": found.last_written, "doubts": warnings, "empty": found.is_new,
             "unwritten": found.write_error.as_ref().map(WriteError::to_string),
             "files": inspection.files.iter().map(|(name, bytes)| json!({"name": name, "bytes": bytes})).collect::<Vec<_>>(),
             "records": records.collect::<Vec<_>>(),
         });
-        return Ok(StoreReport { text: format!("{whole:#}\n"), is_intact });
+        return Ok(StoreReport { text: format!("{report:#}\n"), is_intact });
     }
     let mut text = String::new();
     let mut line = |name: &str, value: &dyn std::fmt::Display| _ = writeln!(text, "{name:<9} {value}");
@@ -117,7 +117,7 @@
     let ended =
         if found.ended_cleanly { "the last life ended as it should" } else { "cut short, or still going on" };
     line("state", &ended);
-    line("written", &seconds(found.last_written));
+    line("written", &format_seconds(found.last_written));
     inspection.files.iter().for_each(|(name, bytes)| line("file", &format!("{name}, {bytes} bytes")));
     if found.torn_bytes > 0 {
         line("torn", &format!("{} bytes at the end are no record", found.torn_bytes));
@@ -125,12 +125,16 @@
     warnings.iter().for_each(|warning| line("doubt", warning));
     line("records", &inspection.records.len());
     if all {
-        let head = ("table", "key", "boot", "written", "value");
-        let _ = writeln!(text, "{:<9} {:<20} {:>5} {:>17} {}", head.0, head.1, head.2, head.3, head.4);
+        let columns = ("table", "key", "boot", "written", "value");
+        let _ = writeln!(
+            text,
+            "{:<9} {:<20} {:>5} {:>17} {}",
+            columns.0, columns.1, columns.2, columns.3, columns.4
+        );
         for record in inspection.records.values() {
-            let (table, written) = (stored_types::table_name(record.table), seconds(record.written));
+            let (table, written) = (stored_types::table_name(record.table), format_seconds(record.written));
             let key = record.key.escape_debug().to_string();
-            let summary = summary(record);
+            let summary = summarize_record(record);
             let _ = writeln!(text, "{table:<9} {key:<20} {:>5} {written:>17} {summary}", record.boot);
         }
     }
--- a/node/src/lifecycle/store_report/tests.rs
+++ b/node/src/lifecycle/store_report/tests.rs
@@ -22,6 +22,7 @@
     folder
 }
 
+/// Guards against a report that hides damage, or that changes the folder it reports on.
 #[test]
 fn an_intact_and_a_damaged_folder_are_reported() {
     let folder = folder();
--- a/node/src/lifecycle/store_thread.rs
+++ b/node/src/lifecycle/store_thread.rs
@@ -44,7 +44,7 @@
     Sync(u64),
     /// Raise the boot number of this run above the given one.
     RaiseBootAbove(u64),
-    /// Write the store's end of a clean shutdown, and release the folder.
+    /// Sync the store, record a clean shutdown in it, and release the folder.
     Close,
 }
 
@@ -108,7 +108,7 @@
     ) -> io::Result<StoreThread> {
         let (requests, queue) = sync_channel(MAX_QUEUED_REQUESTS);
         let (sender, events) = channel();
-        let absence = (ALIVE_INTERVAL, Instant::now());
+        let queue_passes = (ALIVE_INTERVAL, Instant::now());
         let waiting_tickets = Vec::new();
         let mut worker = Worker {
             disk_factory,
@@ -120,7 +120,7 @@
             is_healthy: true,
             released: false,
             has_new_events: false,
-            absence,
+            queue_passes,
         };
         let run = move || worker.run(disk, &queue, &wake);
         thread::Builder::new().name("keeper".to_owned()).spawn(run)?;
@@ -214,8 +214,8 @@
     released: bool,
     /// Events have been sent since the event loop was last woken.
     has_new_events: bool,
-    /// The longest time between two visits to the queue, and the time of the last visit.
-    absence: (Duration, Instant),
+    /// The longest time between two passes over the queue, and when the last pass ended.
+    queue_passes: (Duration, Instant),
 }
 
 impl Worker {
@@ -265,10 +265,10 @@
                     }
                 }
             }
-            let (longest, last) = self.absence;
-            self.absence = (longest.max(last.elapsed()), Instant::now());
+            let (longest_gap, last_pass) = self.queue_passes;
+            self.queue_passes = (longest_gap.max(last_pass.elapsed()), Instant::now());
             if let Some(store) = &mut self.store {
-                store.note_alive(2 * self.absence.0.as_micros() as Micros);
+                store.note_alive(2 * self.queue_passes.0.as_micros() as Micros);
             }
             let is_due = sync_at.is_some_and(|at| Instant::now() >= at);
             // After a failure, requests do not make the disk be tried before its time: each attempt may take
@@ -293,6 +293,7 @@
         }
     }
 
+    /// Queues an event for the event loop, which is woken after the requests at hand.
     fn send_event(&mut self, event: StoreEvent) {
         self.has_new_events = true;
         let _ = self.events.send(event);
--- a/node/src/net/errno.rs
+++ b/node/src/net/errno.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Classifies errors of `accept`. This call also reports errors pending on the new connection, which are about
-/// that connection.
+/// Classifies errors of `accept`. This call also reports errors pending on the new connection, which are
+/// about that connection.
 pub fn accept(error: &io::Error) -> Scope {
     classify(error, &[libc::EAGAIN, libc::EINTR], &[])
 }
