--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,5 +1,5 @@
 //! Runs topazsail instances for the operators' simulator: reads its messages from standard input and writes
-//! the instances' actions to standard output. It only translates; every decision is the policy's.
+//! the instances' actions to standard output. It only translates; every decision is the routing policy's.
 
 mod wire;
 
@@ -66,7 +66,7 @@
             };
             let events = std::mem::take(&mut instance.events);
             match panic::catch_unwind(AssertUnwindSafe(|| instance.policy.decide(now, events))) {
-                Ok(actions) => actions.iter().for_each(|action| wire::write(out, instance_id, action)),
+                Ok(actions) => actions.iter().for_each(|action| wire::write_action(out, instance_id, action)),
                 Err(panic) => wire::write_panic(out, instance_id, panic.as_ref()),
             }
         }
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -18,23 +18,23 @@
 
 /// An input line that cannot be parsed, or a failed read.
 #[derive(Debug)]
-pub struct MalformedInput {
+pub struct InputError {
     /// Line number, from 1; 0 if unknown.
     line: u64,
     reason: String,
 }
 
-impl Display for MalformedInput {
+impl Display for InputError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.reason)
     }
 }
 
-impl std::error::Error for MalformedInput {}
+impl std::error::Error for InputError {}
 
-impl From<io::Error> for MalformedInput {
+impl From<io::Error> for InputError {
     fn from(error: io::Error) -> Self {
-        MalformedInput { line: 0, reason: format!("standard input: {error}") }
+        InputError { line: 0, reason: format!("standard input: {error}") }
     }
 }
 
@@ -66,12 +66,13 @@
         Fields { line, name, fields }
     }
 
-    fn error(&self, field: &str, what: impl Display) -> MalformedInput {
-        MalformedInput { line: self.line, reason: format!("{} {field}: {what}", self.name) }
+    /// An error about a field of this line.
+    fn error(&self, field: &str, reason: impl Display) -> InputError {
+        InputError { line: self.line, reason: format!("{} {field}: {reason}", self.name) }
     }
 
     /// Reads a field; `None` if it is `-`.
-    fn optional(&mut self, field: &str) -> Result<Option<&'a str>, MalformedInput> {
+    fn optional(&mut self, field: &str) -> Result<Option<&'a str>, InputError> {
         match self.fields.next() {
             None | Some("") => Err(self.error(field, "missing")),
             Some("-") => Ok(None),
@@ -80,27 +81,31 @@
     }
 
     /// Reads a field that must have a value.
-    fn text(&mut self, field: &str) -> Result<&'a str, MalformedInput> {
+    fn text(&mut self, field: &str) -> Result<&'a str, InputError> {
         self.optional(field)?.ok_or_else(|| self.error(field, "expected a value, found '-'"))
     }
 
-    fn parsed<T: FromStr>(&self, field: &str, text: &str) -> Result<T, MalformedInput> {
+    /// Parses the text of a field as a number.
+    fn parse<T: FromStr>(&self, field: &str, text: &str) -> Result<T, InputError> {
         text.parse().map_err(|_| self.error(field, format!("expected a number, found '{text}'")))
     }
 
-    fn number<T: FromStr>(&mut self, field: &str) -> Result<T, MalformedInput> {
+    /// Reads a number.
+    fn number<T: FromStr>(&mut self, field: &str) -> Result<T, InputError> {
         let text = self.text(field)?;
-        self.parsed(field, text)
+        self.parse(field, text)
     }
 
-    fn number_or<T: FromStr>(&mut self, field: &str, absent: T) -> Result<T, MalformedInput> {
+    /// Reads a number; `absent` if it is `-`.
+    fn number_or<T: FromStr>(&mut self, field: &str, absent: T) -> Result<T, InputError> {
         match self.optional(field)? {
-            Some(text) => self.parsed(field, text),
+            Some(text) => self.parse(field, text),
             None => Ok(absent),
         }
     }
 
-    fn real(&mut self, field: &str, absent: f64) -> Result<f64, MalformedInput> {
+    /// Reads a finite number; `absent` if it is `-`.
+    fn finite(&mut self, field: &str, absent: f64) -> Result<f64, InputError> {
         let value: f64 = self.number_or(field, absent)?;
         if value.is_finite() {
             Ok(value)
@@ -110,7 +115,7 @@
     }
 
     /// Reads a time or duration in microseconds; 0 if absent.
-    fn duration(&mut self, field: &str) -> Result<Micros, MalformedInput> {
+    fn duration(&mut self, field: &str) -> Result<Micros, InputError> {
         let value: Micros = self.number_or(field, 0)?;
         // Far beyond any simulated time, and far enough below the type's limit that sums of such values
         // cannot overflow.
@@ -122,7 +127,7 @@
     }
 
     /// Reads `1` or `0`; false if absent.
-    fn flag(&mut self, field: &str) -> Result<bool, MalformedInput> {
+    fn flag(&mut self, field: &str) -> Result<bool, InputError> {
         match self.optional(field)? {
             Some("1") => Ok(true),
             Some("0") | None => Ok(false),
@@ -130,23 +135,24 @@
         }
     }
 
-    fn id(&mut self, field: &str) -> Result<Id, MalformedInput> {
+    /// Reads an id, which must be given.
+    fn id(&mut self, field: &str) -> Result<Id, InputError> {
         self.text(field).map(Id::from)
     }
 
     /// Reads numbers separated by commas, with 0 for each `-`; empty if the whole field is absent.
-    fn numbers(&mut self, field: &str) -> Result<Vec<f64>, MalformedInput> {
+    fn numbers(&mut self, field: &str) -> Result<Vec<f64>, InputError> {
         let Some(text) = self.optional(field)? else { return Ok(Vec::new()) };
         text.split(',')
             .map(|value| match value {
                 "-" => Ok(0.0),
-                value => self.parsed(field, value),
+                value => self.parse(field, value),
             })
             .collect()
     }
 
     /// Checks that no fields are left.
-    fn finish(mut self) -> Result<(), MalformedInput> {
+    fn finish(mut self) -> Result<(), InputError> {
         match self.fields.next() {
             None => Ok(()),
             Some(more) => Err(self.error("end of line", format!("unexpected '{more}'"))),
@@ -157,7 +163,9 @@
 /// Reads batches of messages, line by line.
 pub struct Reader<R> {
     input: R,
+    /// The number of the current line, from 1.
     line: u64,
+    /// The current line without its line end.
     text: String,
 }
 
@@ -167,12 +175,13 @@
         Reader { input, line: 0, text: String::new() }
     }
 
-    fn error(&self, reason: impl Into<String>) -> MalformedInput {
-        MalformedInput { line: self.line, reason: reason.into() }
+    /// An error about the current line.
+    fn error(&self, reason: impl Into<String>) -> InputError {
+        InputError { line: self.line, reason: reason.into() }
     }
 
     /// Reads the next line into `text`. Returns false at the end of input.
-    fn advance(&mut self) -> Result<bool, MalformedInput> {
+    fn advance(&mut self) -> Result<bool, InputError> {
         self.text.clear();
         self.line += 1;
         let read = self.input.read_line(&mut self.text).map_err(|error| self.error(error.to_string()))?;
@@ -188,7 +197,7 @@
     /// # Errors
     ///
     /// Returns an error if the line is not a valid `ROUND`, or if reading fails.
-    pub fn begin_batch(&mut self) -> Result<Option<Micros>, MalformedInput> {
+    pub fn begin_batch(&mut self) -> Result<Option<Micros>, InputError> {
         if !self.advance()? {
             return Ok(None);
         }
@@ -211,7 +220,7 @@
     pub fn next_message<'h>(
         &mut self,
         operations: impl Fn(u64) -> Option<&'h [String]>,
-    ) -> Result<Option<Message>, MalformedInput> {
+    ) -> Result<Option<Message>, InputError> {
         if !self.advance()? {
             return Err(self.error("truncated batch: no COMMIT"));
         }
@@ -251,12 +260,12 @@
                 return Ok(Some(Message::Ignored));
             }
             "KNOCK" => {
-                let inv = fields.id("ticket")?;
+                let invocation = fields.id("ticket")?;
                 let work_hint = fields.duration("weightHint")?;
                 fields.optional("team")?;
                 let time_left = fields.duration("expiresIn")?;
-                fields.real("ramUnits", 0.0)?;
-                let slots = fields.real("width", 1.0)?;
+                fields.finite("ramUnits", 0.0)?;
+                let slots = fields.finite("width", 1.0)?;
                 let name = fields.text("type")?;
                 let has_hint = fields.number_or("bits", 0u64)? & 1 > 0 && work_hint > 0;
                 let work_hint = Some(work_hint).filter(|_| has_hint);
@@ -265,29 +274,29 @@
                 let Some(operation) = names.iter().position(|known| known == name) else {
                     return Err(fields.error("type", format!("unknown operation '{name}'")));
                 };
-                Event::Arrival(Arrival { invocation: inv, operation, time_left, slots, work_hint, key })
+                Event::Arrival(Arrival { invocation, operation, time_left, slots, work_hint, key })
             }
             "FLOWING" => {
-                let inv = fields.id("ticket")?;
+                let invocation = fields.id("ticket")?;
                 fields.duration("elapsed")?;
                 let forward = fields.number("roundNo")?;
                 fields.text("runner")?;
-                Event::ResponseStarted { invocation: inv, forward }
+                Event::ResponseStarted { invocation, forward }
             }
             "NOTICE" => {
-                let inv = fields.id("ticket")?;
+                let invocation = fields.id("ticket")?;
                 let forward = fields.number("roundNo")?;
-                fields.real("level", 0.0)?;
+                fields.finite("level", 0.0)?;
                 let started = fields.number_or("what", 0u64)? == 1;
                 fields.text("runner")?;
                 if started {
-                    Event::Started { invocation: inv, forward }
+                    Event::Started { invocation, forward }
                 } else {
-                    Event::Progress { invocation: inv, forward }
+                    Event::Progress { invocation, forward }
                 }
             }
             "RESOLVED" => {
-                let inv = fields.id("ticket")?;
+                let invocation = fields.id("ticket")?;
                 let runner = fields.id("runner")?;
                 let how = fields.text("how")?;
                 let result = parse_result(how)
@@ -297,21 +306,14 @@
                 fields.number_or("remark", 0i64)?;
                 let elapsed = fields.duration("elapsed")?;
                 let report = fields.numbers("gauge")?;
-                Event::Outcome(Outcome {
-                    invocation: inv,
-                    forward,
-                    runner,
-                    result,
-                    answered,
-                    elapsed,
-                    report,
-                })
+                Event::Outcome(Outcome { invocation, forward, runner, result, answered, elapsed, report })
             }
             "GONE" => Event::ClientLeft { invocation: fields.id("ticket")? },
             "RING" => {
                 fields.number::<u64>("handle")?;
                 Event::TimerFired
             }
+            // PROBE_RESULT, the only message that is left.
             _ => {
                 fields.duration("elapsed")?;
                 let alive = fields.text("how")? == "success";
@@ -324,7 +326,7 @@
     }
 
     /// Parses the `DIRECTORY_UPDATE` in the current line and reads the entries that follow it.
-    fn read_roster(&mut self) -> Result<Message, MalformedInput> {
+    fn read_roster(&mut self) -> Result<Message, InputError> {
         let mut fields = Fields::new(self.line, &self.text, usize::MAX);
         let instance_id = fields.number("dispatcherId")?;
         fields.number_or("revision", 0i64)?;
@@ -363,9 +365,9 @@
 }
 
 /// Parses a roster entry from an `ITEM` line.
-fn parse_entry(fields: &mut Fields) -> Result<RosterEntry, MalformedInput> {
+fn parse_entry(fields: &mut Fields) -> Result<RosterEntry, InputError> {
     let cell = fields.number_or("bay", -1)?;
-    let size = fields.real("powerHint", 1.0)?.max(0.0);
+    let size = fields.finite("powerHint", 1.0)?.max(0.0);
     let machine_type = fields.optional("kind")?.unwrap_or_default().into();
     let readiness = match fields.text("readiness")? {
         "on" => Readiness::Up,
@@ -395,20 +397,22 @@
 }
 
 /// Appends the line of an action of an instance.
-pub fn write(out: &mut String, instance_id: u64, action: &Action) {
+pub fn write_action(out: &mut String, instance_id: u64, action: &Action) {
     // Writing to a String cannot fail.
     let _ = match action {
-        Action::Forward { invocation: inv, runner, .. } => {
-            writeln!(out, "SUBMIT_TO {instance_id} {inv} {runner} -")
+        Action::Forward { invocation, runner, .. } => {
+            writeln!(out, "SUBMIT_TO {instance_id} {invocation} {runner} -")
         }
-        Action::Cancel { invocation: inv, forward } => writeln!(out, "CANCEL {instance_id} {inv} {forward}"),
-        Action::Throttle { invocation: inv, retry_after: Some(after) } => {
-            writeln!(out, "DENY {instance_id} {inv} {after}")
+        Action::Cancel { invocation, forward } => {
+            writeln!(out, "CANCEL {instance_id} {invocation} {forward}")
         }
-        Action::Throttle { invocation: inv, retry_after: None } => {
-            writeln!(out, "DENY {instance_id} {inv} -")
+        Action::Throttle { invocation, retry_after: Some(after) } => {
+            writeln!(out, "DENY {instance_id} {invocation} {after}")
         }
-        Action::Error { invocation: inv } => writeln!(out, "DROP_REQUEST {instance_id} {inv}"),
+        Action::Throttle { invocation, retry_after: None } => {
+            writeln!(out, "DENY {instance_id} {invocation} -")
+        }
+        Action::Error { invocation } => writeln!(out, "DROP_REQUEST {instance_id} {invocation}"),
         Action::Probe { runner } => writeln!(out, "SAMPLE {instance_id} {runner}"),
         Action::Subscribe => writeln!(out, "OBSERVE {instance_id} 1"),
         Action::SetTimer { after } => writeln!(out, "ARM {instance_id} {after} {TIMER_HANDLE}"),
@@ -426,6 +430,7 @@
     let _ = writeln!(out, "FATAL {instance_id} {}", one_line(text));
 }
 
+/// Replaces line breaks by spaces, since a message is one line.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
--- a/faults/shim/src/lib.rs
+++ b/faults/shim/src/lib.rs
@@ -109,15 +109,15 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     State::get().set_endpoint(socket, Endpoint::Dialled);
-    let connect = real!(connect: fn(c_int, *const sockaddr, socklen_t) -> c_int);
+    let real_connect = real!(connect: fn(c_int, *const sockaddr, socklen_t) -> c_int);
     match injected_errno(Call::Connect, Endpoint::Dialled) {
         // As with the real `EINTR`, the kernel continues to establish the connection.
         Some(libc::EINTR) => {
-            unsafe { connect(socket, address, length) };
+            unsafe { real_connect(socket, address, length) };
             fail(libc::EINTR)
         }
         Some(code) => fail(code),
-        None => unsafe { connect(socket, address, length) },
+        None => unsafe { real_connect(socket, address, length) },
     }
 }
 
@@ -125,10 +125,10 @@
 /// As `recv(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(socket: c_int, bytes: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    let recv = real!(recv: fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
+    let real_recv = real!(recv: fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
     match transfer_length(Call::Receive, socket, length) {
         Err(code) => fail(code) as ssize_t,
-        Ok(length) => unsafe { recv(socket, bytes, length, flags) },
+        Ok(length) => unsafe { real_recv(socket, bytes, length, flags) },
     }
 }
 
@@ -136,10 +136,10 @@
 /// As `send(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(socket: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    let send = real!(send: fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
+    let real_send = real!(send: fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
     match transfer_length(Call::Send, socket, length) {
         Err(code) => fail(code) as ssize_t,
-        Ok(length) => unsafe { send(socket, bytes, length, flags) },
+        Ok(length) => unsafe { real_send(socket, bytes, length, flags) },
     }
 }
 
@@ -147,10 +147,10 @@
 /// As `write(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    let write = real!(write: fn(c_int, *const c_void, size_t) -> ssize_t);
+    let real_write = real!(write: fn(c_int, *const c_void, size_t) -> ssize_t);
     match call_of_write(descriptor).map_or(Ok(length), |call| transfer_length(call, descriptor, length)) {
         Err(code) => fail(code) as ssize_t,
-        Ok(length) => unsafe { write(descriptor, bytes, length) },
+        Ok(length) => unsafe { real_write(descriptor, bytes, length) },
     }
 }
 
@@ -163,10 +163,10 @@
     length: size_t,
     offset: off64_t,
 ) -> ssize_t {
-    let pwrite64 = real!(pwrite64: fn(c_int, *const c_void, size_t, off64_t) -> ssize_t);
+    let real_pwrite64 = real!(pwrite64: fn(c_int, *const c_void, size_t, off64_t) -> ssize_t);
     match transfer_length(Call::Write, file, length) {
         Err(code) => fail(code) as ssize_t,
-        Ok(length) => unsafe { pwrite64(file, bytes, length, offset) },
+        Ok(length) => unsafe { real_pwrite64(file, bytes, length, offset) },
     }
 }
 
@@ -221,9 +221,9 @@
     let real_clock_gettime = real!(clock_gettime: fn(clockid_t, *mut timespec) -> c_int);
     let result = unsafe { real_clock_gettime(clock, time) };
     if result == 0 && matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE) {
-        let milliseconds = State::get().clock_offset_ms();
+        let offset_ms = State::get().clock_offset_ms();
         // SAFETY: the successful call has filled `time`.
-        unsafe { state::shift_time(&mut *time, milliseconds) };
+        unsafe { state::shift_time(&mut *time, offset_ms) };
     }
     result
 }
--- a/faults/shim/src/state.rs
+++ b/faults/shim/src/state.rs
@@ -29,11 +29,12 @@
     endpoints: Vec<AtomicU8>,
 }
 
+/// The monotonic clock in milliseconds.
 fn monotonic_ms() -> u64 {
     let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
-    let clock_gettime = real!(clock_gettime: fn(libc::clockid_t, *mut timespec) -> c_int);
+    let real_clock_gettime = real!(clock_gettime: fn(libc::clockid_t, *mut timespec) -> c_int);
     // SAFETY: the pointer is to a `timespec` that the call may fill.
-    unsafe { clock_gettime(libc::CLOCK_MONOTONIC, &raw mut time) };
+    unsafe { real_clock_gettime(libc::CLOCK_MONOTONIC, &raw mut time) };
     (time.tv_sec * MILLISECONDS_PER_SECOND + time.tv_nsec / NANOSECONDS_PER_MILLISECOND) as u64
 }
 
@@ -49,9 +50,9 @@
 
 /// Writes a line to standard error with the real `write`, so that no fault applies to it.
 fn write_to_stderr(line: &str) {
-    let write = real!(write: fn(c_int, *const std::ffi::c_void, usize) -> isize);
+    let real_write = real!(write: fn(c_int, *const std::ffi::c_void, usize) -> isize);
     // SAFETY: the line outlives the call.
-    unsafe { write(libc::STDERR_FILENO, line.as_ptr().cast(), line.len()) };
+    unsafe { real_write(libc::STDERR_FILENO, line.as_ptr().cast(), line.len()) };
 }
 
 impl State {
--- a/faults/src/errno.rs
+++ b/faults/src/errno.rs
@@ -7,6 +7,7 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Errno(i32);
 
+/// The symbolic names that a plan may use, with their values on this platform.
 const SUPPORTED: [(&str, i32); 19] = [
     ("EADDRNOTAVAIL", libc::EADDRNOTAVAIL),
     ("EAGAIN", libc::EAGAIN),
--- a/faults/src/plan.rs
+++ b/faults/src/plan.rs
@@ -74,6 +74,7 @@
     pub until_ms: u64,
 }
 
+/// The default of [`Rule::until_ms`]: the rule applies until the process ends.
 fn forever() -> u64 {
     u64::MAX
 }
@@ -139,8 +140,8 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Returns the effect on the `nth` call of this kind, made `at_ms` milliseconds after the start of the
-    /// process, or `None` if the call is left alone. The same arguments always give the same result.
+    /// Returns the effect on the `nth` call of this kind (from 0), made `at_ms` milliseconds after the start
+    /// of the process, or `None` if the call is left alone. The same arguments always give the same result.
     pub fn effect(&self, call: Call, endpoint: Endpoint, nth: u64, at_ms: u64) -> Option<Effect> {
         let applies = |rule: &Rule| {
             rule.call == call
--- a/faults/src/shim.rs
+++ b/faults/src/shim.rs
@@ -7,6 +7,7 @@
 
 use crate::{PLAN_VARIABLE, Plan};
 
+/// The file name under which Cargo builds the shim.
 const LIBRARY_FILE: &str = "libtopazsail_fault_shim.so";
 
 /// Returns the path of the shim. The first call of a process builds it into the target directory that the
@@ -21,6 +22,7 @@
     built.as_deref().map_err(|error| io::Error::other(error.clone()))
 }
 
+/// Builds the shim and returns its path.
 fn build() -> io::Result<PathBuf> {
     let executable = std::env::current_exe()?;
     // The executable is target/PROFILE/deps/TEST or target/PROFILE/PROGRAM.
