--- a/node/src/lifecycle/store_report.rs
+++ b/node/src/lifecycle/store_report.rs
@@ -97,14 +97,14 @@
                 "written": record.written, "value": record_as_json(record),
             })
         });
-        let report = json!({
+        let whole = json!({
             "owner": inspection.owner, "store": format!("{:016x}", inspection.store), "boot": found.boot, "clean": found.ended_cleanly,
             "torn": found.torn_bytes, "written": found.last_written, "doubts": warnings, "empty": found.is_new,
             "unwritten": found.write_error.as_ref().map(WriteError::to_string),
             "files": inspection.files.iter().map(|(name, bytes)| json!({"name": name, "bytes": bytes})).collect::<Vec<_>>(),
             "records": records.collect::<Vec<_>>(),
         });
-        return Ok(StoreReport { text: format!("{report:#}\n"), is_intact });
+        return Ok(StoreReport { text: format!("{whole:#}\n"), is_intact });
     }
     let mut text = String::new();
     let mut line = |name: &str, value: &dyn std::fmt::Display| _ = writeln!(text, "{name:<9} {value}");
--- a/node/tests/ends.rs
+++ b/node/tests/ends.rs
@@ -30,6 +30,7 @@
 struct SaturatedRunner {
     listener: Socket,
     address: SocketAddr,
+    /// The connections that fill the backlog.
     queued: Vec<Socket>,
 }
 
@@ -81,6 +82,7 @@
     ids
 }
 
+/// Guards against sending a forward once its dial completes, although its client has left meanwhile.
 #[test]
 fn a_client_that_leaves_while_its_forward_is_dialled_is_not_served() {
     for (octet, how) in [(101, Disconnect::Close), (102, Disconnect::Reset)] {
@@ -98,6 +100,7 @@
     }
 }
 
+/// Guards against forwarding an invocation whose client left while no runner was listed.
 #[test]
 fn a_client_that_leaves_while_its_invocation_waits_for_a_runner_is_not_served() {
     for (octet, how) in [(103, Disconnect::Close), (104, Disconnect::Reset)] {
@@ -149,9 +152,10 @@
     assert_eq!(forwarded_ids(&runner, "stays"), ["stays"]);
 }
 
-/// Another client, which stays, sends the same id: the invocation of the first client is not started for it.
+/// Guards against forwarding an invocation whose client has left, because other clients, which stay, have
+/// sent its id. Their requests are refused as repeats.
 #[test]
-fn a_client_that_left_is_not_served_for_one_that_asks_with_its_id() {
+fn a_repeated_id_does_not_start_an_invocation_whose_client_left() {
     let mut node = Node::new(116, without_cancel);
     let saturated = SaturatedRunner::new();
     let mut watch = accept_watch(&node.discovery);
@@ -168,8 +172,10 @@
     assert_eq!(forwarded_ids(&runner, "stays"), ["stays"]);
 }
 
+/// Guards against forwarding to another runner an invocation that the first runner refused and whose client
+/// has left since.
 #[test]
-fn a_client_that_leaves_after_a_forward_came_back_is_not_served_by_the_next() {
+fn a_client_that_leaves_after_a_refused_forward_is_not_served_by_another_runner() {
     let mut node = Node::new(106, |text| text);
     let runner = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut watch = accept_watch(&node.discovery);
@@ -206,13 +212,13 @@
     let dialled = node.send_invocation("dialled");
     let kept = node.send_invocation("kept");
     // The program has read both requests once it answers a readiness check on a third connection.
-    let mut third = node.connect_client();
-    third.send("GET /healthz HTTP/1.1\r\n\r\n");
-    assert_eq!(third.receive(), "HTTP/1.1 200 OK ");
+    let mut checking_client = node.connect_client();
+    checking_client.send("GET /healthz HTTP/1.1\r\n\r\n");
+    assert_eq!(checking_client.receive(), "HTTP/1.1 200 OK ");
     send_signal(&node.program, "STOP");
     disconnect(dialled, Disconnect::Close);
-    third.send(&request("read", 25_000));
-    disconnect(third, Disconnect::Close);
+    checking_client.send(&request("read", 25_000));
+    disconnect(checking_client, Disconnect::Close);
     disconnect(node.send_invocation("new"), Disconnect::Close);
     let runner = saturated.unblock();
     std::thread::sleep(Duration::from_millis(400));
@@ -222,6 +228,7 @@
     drop(kept);
 }
 
+/// Guards against a forward to a runner that was listed as draining while the dial to it was under way.
 #[test]
 fn a_dial_that_completes_after_its_runner_drains_carries_no_forward() {
     let mut node = Node::new(108, without_cancel);
@@ -293,7 +300,7 @@
     );
 }
 
-/// Makes the operation one whose repeats all runners drop for a second and a half.
+/// Makes the operation one of which all runners together drop a repeated invocation for 1.5 s.
 fn with_deduplication(text: String) -> String {
     text.replace(
         r#""effect":"at_most_once""#,
@@ -301,8 +308,8 @@
     )
 }
 
-/// The first forward may have run. The second one waits for its dial until the deduplication window of the
-/// runners is over, and would then run the invocation a second time.
+/// Guards against running an invocation twice: its first forward may have run, and the second one waits for
+/// its dial until the runners' deduplication window is over.
 #[test]
 fn a_dial_that_outlasts_the_deduplication_window_carries_no_forward() {
     let mut node = Node::new(110, with_deduplication);
--- a/node/tests/helper/mod.rs
+++ b/node/tests/helper/mod.rs
@@ -69,7 +69,7 @@
     }
 
     /// Sends a line of the watch that lists this runner only, with this weight.
-    pub fn list_runner(&mut self, runner: &TcpListener, weight: f64) {
+    pub fn list_runner_with_weight(&mut self, runner: &TcpListener, weight: f64) {
         let line = format!(
             "{{\"generation\":1,\"reset\":true,\"instances\":[{{\"instanceId\":\"s-a\",\"lifecycle\":\"up\",\
              \"weight\":{weight},\"hostPort\":\"{}\"}}]}}\n",
@@ -118,8 +118,8 @@
     watch
 }
 
-/// Interval of discovery's heartbeats: every 2 s by the protocol, half of that here so that a slow machine does
-/// not delay one for too long.
+/// Interval of discovery's heartbeats: every 2 s by the protocol, half of that here so that a slow machine
+/// does not delay one for too long.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sends heartbeats on a watch until it is dropped.
@@ -234,9 +234,12 @@
 /// A program under test with its configuration file, its log and the listener of its discovery.
 pub struct Node {
     pub program: Program,
+    /// When the program was started.
     pub started: Instant,
+    /// The address on which the program listens for clients.
     pub listen: SocketAddr,
     pub configuration_path: PathBuf,
+    /// Log lines of the program that have not been read yet.
     log: Receiver<String>,
     pub discovery: TcpListener,
 }
--- a/node/tests/leaving.rs
+++ b/node/tests/leaving.rs
@@ -55,12 +55,12 @@
     assert!(runner.accept().is_err(), "the runner was sent something after the lease lapsed");
     // Discovery answers the last request.
     node.discovery.set_nonblocking(true).unwrap();
-    let mut calls: Vec<Connection> = Vec::new();
+    let mut connections: Vec<Connection> = Vec::new();
     while let Ok((stream, _)) = node.discovery.accept() {
         stream.set_nonblocking(false).unwrap();
-        calls.push(Connection::new(stream));
+        connections.push(Connection::new(stream));
     }
-    let last = calls.last_mut().unwrap();
+    let last = connections.last_mut().unwrap();
     last.send(WATCH_HEAD);
     list_runner(last, 2, runner.local_addr().unwrap(), "up");
     node.wait_for_log("lease state=renewed");
@@ -82,10 +82,10 @@
     drop(watch);
     let down = Instant::now();
     while down.elapsed() < Duration::from_millis(6500) {
-        let mut call = Connection::accept(&node.discovery);
-        call.receive();
-        call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        assert!(call.is_closed());
+        let mut connection = Connection::accept(&node.discovery);
+        connection.receive();
+        connection.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        assert!(connection.is_closed(), "the program kept a connection after a 503");
     }
     let _client = node.send_invocation("i2");
     assert_eq!(Connection::accept(&runner).receive(), "POST /plan HTTP/1.1 i2 ");
@@ -264,28 +264,28 @@
             self.unblock_dials();
             return dialled;
         }
-        let mut call = Connection::accept(&self.listener);
-        assert!(call.receive().starts_with("GET /v1/servers?follow=1"));
+        let mut connection = Connection::accept(&self.listener);
+        assert!(connection.receive().starts_with("GET /v1/servers?follow=1"));
         let line = "{\"generation\":1,\"instances\":[]}\n";
         match how {
             Failure::Unavailable => {
-                call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+                connection.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             }
-            Failure::SilentWithinHead => call.send(&WATCH_HEAD[..20]),
+            Failure::SilentWithinHead => connection.send(&WATCH_HEAD[..20]),
             Failure::SilentAfterLine | Failure::SilentWithinLine => {
-                call.send(WATCH_HEAD);
-                call.send_chunk(line);
+                connection.send(WATCH_HEAD);
+                connection.send_chunk(line);
                 if how == Failure::SilentWithinLine {
-                    call.send_chunk("{\"gener");
+                    connection.send_chunk("{\"gener");
                 }
             }
             Failure::Reset => {
-                call.reset();
+                connection.reset();
                 return Instant::now();
             }
             Failure::DialTimeout | Failure::SilentBeforeHead => {}
         }
-        self.left_open.push(call);
+        self.left_open.push(connection);
         Instant::now()
     }
 }
@@ -312,11 +312,11 @@
             discovery.block_dials();
         }
         let recovered = discovery.fail_next(second, &mut node);
-        let mut call = Connection::accept(&discovery.listener);
-        call.receive();
+        let mut connection = Connection::accept(&discovery.listener);
+        connection.receive();
         let runner = TcpListener::bind("127.0.0.1:0").unwrap();
-        call.send(WATCH_HEAD);
-        list_runner(&mut call, 2, runner.local_addr().unwrap(), "up");
+        connection.send(WATCH_HEAD);
+        list_runner(&mut connection, 2, runner.local_addr().unwrap(), "up");
         node.wait_for_log("watch-up generation=2");
         let took = recovered.elapsed();
         // The list is in force: the waiting invocation goes to the runner at its next attempt to find one.
@@ -332,7 +332,7 @@
         for finished in runs {
             let (took, first, second) = finished.join().unwrap();
             // This leaves 1.5 s of the 6 s for the answer of discovery.
-            assert!(took < Duration::from_millis(4500), "{first:?}, {second:?}: {took:?}");
+            assert!(took < Duration::from_millis(4500), "in force {took:?} after {first:?} and {second:?}");
         }
     });
 }
--- a/node/tests/loopback.rs
+++ b/node/tests/loopback.rs
@@ -16,6 +16,8 @@
 
 use helper::*;
 
+/// One process from its start to SIGTERM: a forward, reloads of bad and good configurations, and a call-back
+/// that arrives during the shutdown.
 #[test]
 fn from_start_to_a_clean_exit() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -28,7 +30,7 @@
     let mut program = Program(command.spawn().unwrap());
 
     let mut watch = accept_watch(&discovery);
-    watch.list_runner(&runner, 1.0);
+    watch.list_runner_with_weight(&runner, 1.0);
 
     let mut client = Connection::new(TcpStream::connect(listen).unwrap());
     client.send("GET /healthz HTTP/1.1\r\n\r\n");
@@ -96,7 +98,7 @@
     // it.
     let mut first = start(&folder, listen, None);
     let mut watch = accept_watch(&discovery);
-    watch.list_runner(&runner, 1.0);
+    watch.list_runner_with_weight(&runner, 1.0);
     let mut client = Connection::new(TcpStream::connect(listen).unwrap());
     client.send("POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 25000\r\n\r\n");
     let mut forward = Connection::accept(&runner);
@@ -135,11 +137,15 @@
         if answer.contains(expected) {
             return answer;
         }
-        assert!(std::time::Instant::now() < deadline, "{command}: {answer}");
+        assert!(
+            std::time::Instant::now() < deadline,
+            "the answer to {command} never contained {expected}, the last one: {answer}"
+        );
         thread::sleep(Duration::from_millis(10));
     }
 }
 
+/// Guards against a store that is lost, or that two processes use, in an upgrade and after a kill.
 #[test]
 fn a_store_is_handed_over_and_its_contents_survive_every_exit() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -154,7 +160,7 @@
     fs::write(folder.join("config.json"), text.replacen('{', &with_store, 1)).unwrap();
     let mut first = start(&folder, listen, Some(admins[0]));
     let mut watch = accept_watch(&discovery);
-    watch.list_runner(&runner, 1.0);
+    watch.list_runner_with_weight(&runner, 1.0);
     assert_eq!(admin_command_until(admins[0], "status", "serving"), "YES stage=serving boot=1 store=well\n");
     assert_eq!(admin_command_until(admins[0], "maint-on s-a", "YES"), "YES\n");
 
@@ -222,7 +228,7 @@
     fs::write(folder.join("config.json"), text).unwrap();
     let mut first = start(&folder, listen, Some(admins[0]));
     let mut watch = accept_watch(&discovery);
-    watch.list_runner(&runner, 1.0);
+    watch.list_runner_with_weight(&runner, 1.0);
     let _heartbeats = send_heartbeats(&watch);
     let forwarded = Arc::new(Mutex::new(Vec::new()));
     let recorded = forwarded.clone();
@@ -264,11 +270,11 @@
     finished.store(true, Ordering::Relaxed);
     let sent = 1 + clients.into_iter().map(|client| client.join().unwrap()).sum::<usize>();
     let mut forwarded = forwarded.lock().unwrap().clone();
-    assert!(sent > 3);
-    assert_eq!(forwarded.len(), sent);
+    assert!(sent > 3, "the clients sent only {sent} requests");
+    assert_eq!(forwarded.len(), sent, "invocations were lost or repeated");
     forwarded.sort();
     forwarded.dedup();
-    assert_eq!(forwarded.len(), sent);
+    assert_eq!(forwarded.len(), sent, "invocations were repeated");
     fs::remove_dir_all(folder).unwrap();
 }
 
@@ -280,6 +286,8 @@
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
+/// Guards against a migration that drops a setting without a notice, overwrites a file, or writes a
+/// configuration that cannot be served.
 #[test]
 fn a_configuration_is_moved_to_the_new_shape_and_served() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -335,8 +343,8 @@
     let mut program =
         Program(command.args(["serve", "--config", &new]).stderr(Stdio::null()).spawn().unwrap());
     let mut watch = accept_watch(&discovery);
-    watch.list_runner(&runner, 3.0);
-    watch.list_runner(&runner, 0.5);
+    watch.list_runner_with_weight(&runner, 3.0);
+    watch.list_runner_with_weight(&runner, 0.5);
     let mut client = Connection::new(TcpStream::connect(listen).unwrap());
     client.send("POST /plan HTTP/1.1\r\nX-Request-Id: i1\r\nX-Deadline-Ms: 25000\r\nX-Cost-Hint: 120.5\r\n");
     client.send("Content-Length: 2\r\n\r\nhi");
--- a/node/tests/momentary_failures.rs
+++ b/node/tests/momentary_failures.rs
@@ -126,6 +126,7 @@
     read_status(&mut client, ANSWER_TIMEOUT)
 }
 
+/// Guards against a listener or a dial that is not retried after the host has failed the call for a moment.
 #[test]
 fn accept_failing_once_does_not_stop_new_connections_for_good() {
     for (octet, call, errno) in
@@ -143,6 +144,8 @@
     }
 }
 
+/// Guards against losing connections that wait in the accept queue at the shutdown because the process
+/// already has as many as its limit allows.
 #[test]
 fn a_request_on_a_queued_connection_is_answered_before_the_process_ends() {
     let mut node = Node::new(204, |text| text.replace("\"sockets\":256", "\"sockets\":64"));
@@ -158,6 +161,7 @@
     assert_eq!(answers.iter().filter(|status| status.is_some()).count(), 5, "{answers:?}");
 }
 
+/// The same while accepting itself fails.
 #[test]
 fn a_request_queued_while_accept_fails_is_answered_before_the_process_ends() {
     let mut node =
@@ -174,8 +178,10 @@
     assert_eq!(answers, [Some(503); 5]);
 }
 
+/// Like the three tests after it, guards against a job that is started for a client that no longer waits,
+/// because the runner was sent the client's deadline without the time already passed.
 #[test]
-fn the_deadline_passed_on_leaves_out_the_wait_before_accept() {
+fn the_forwarded_deadline_deducts_the_wait_before_accept() {
     let node =
         Node::with_faults(205, &plan([failing_rule(Call::Accept, "ENFILE", 1_000..1_600)]), |text| text);
     let (runner, _watch) = list_one_runner(&node);
@@ -184,7 +190,7 @@
 }
 
 #[test]
-fn the_deadline_passed_on_leaves_out_the_time_in_which_nothing_can_be_read() {
+fn the_forwarded_deadline_deducts_the_time_in_which_nothing_can_be_read() {
     let mut node =
         Node::with_faults(223, &plan([failing_rule(Call::Receive, "ENOMEM", 1_000..1_600)]), |text| text);
     let (runner, _watch) = list_one_runner(&node);
@@ -194,7 +200,7 @@
 }
 
 #[test]
-fn the_deadline_passed_on_leaves_out_the_time_in_which_writes_are_interrupted() {
+fn the_forwarded_deadline_deducts_the_time_in_which_writes_are_interrupted() {
     let interrupted = Rule { endpoint: Endpoint::Dialled, ..failing_rule(Call::Send, "EINTR", 1_000..1_600) };
     let mut node = Node::with_faults(224, &plan([interrupted]), |text| text);
     let (runner, _watch) = list_one_runner(&node);
@@ -204,7 +210,7 @@
 }
 
 #[test]
-fn the_deadline_passed_on_leaves_out_the_wait_behind_an_earlier_request() {
+fn the_forwarded_deadline_deducts_the_wait_behind_an_earlier_request() {
     let node = Node::new(206, |text| text);
     let (runner, _watch) = list_one_runner(&node);
     let mut client = node.connect_client();
@@ -261,7 +267,7 @@
     let mut forward = Connection::accept(&runner);
     read_head(&mut forward);
     assert!(is_served(&node, "i1", &mut forward, &mut client));
-    assert_eq!(node.program.0.try_wait().unwrap(), None);
+    assert_eq!(node.program.0.try_wait().unwrap(), None, "the program has ended");
 }
 
 #[test]
@@ -346,10 +352,15 @@
 #[test]
 fn transfers_that_are_short_interrupted_or_refused_for_a_moment_lose_nothing() {
     let short = |call| Rule { effect: Effect::Short, rate: 0.7, ..failing_rule(call, "EINTR", 0..u64::MAX) };
-    let some = |call, errno| Rule { rate: 0.2, ..failing_rule(call, errno, 0..u64::MAX) };
-    let rules = [Call::Receive, Call::Send]
-        .iter()
-        .flat_map(|call| [some(*call, "EINTR"), some(*call, "ENOBUFS"), some(*call, "ENOMEM"), short(*call)]);
+    let partly_failing = |call, errno| Rule { rate: 0.2, ..failing_rule(call, errno, 0..u64::MAX) };
+    let rules = [Call::Receive, Call::Send].iter().flat_map(|call| {
+        [
+            partly_failing(*call, "EINTR"),
+            partly_failing(*call, "ENOBUFS"),
+            partly_failing(*call, "ENOMEM"),
+            short(*call),
+        ]
+    });
     let mut node = Node::with_faults(217, &plan(rules.collect::<Vec<Rule>>()), |text| text);
     let (runner, _watch) = list_one_runner(&node);
     node.wait_for_log("watch-up");
@@ -376,13 +387,14 @@
     let sent = Instant::now();
     assert!(read_status(&mut client, STEP_TIMEOUT).is_some());
     let elapsed = sent.elapsed();
-    assert!(elapsed < Duration::from_millis(1_550), "{elapsed:?}");
+    assert!(elapsed < Duration::from_millis(1_550), "answered only after {elapsed:?}");
     let mut rest = Vec::new();
     client.0.get_ref().set_read_timeout(Some(Duration::from_millis(200))).unwrap();
     let _ = client.0.read_to_end(&mut rest);
     assert_eq!(String::from_utf8_lossy(&rest).matches("HTTP/1.1").count(), 0, "answered twice");
 }
 
+/// Guards against a signal that is lost because its handler cannot wake the event loop.
 #[test]
 fn a_signal_is_handled_although_its_pipe_cannot_be_written_for_a_moment() {
     let mut node =
@@ -396,6 +408,7 @@
     node.wait_for_log("going-down");
 }
 
+/// Guards against a shutdown that repeated signals cut short or keep from ending.
 #[test]
 fn signals_in_series_lose_nothing_at_the_end() {
     let mut node = Node::new(219, |text| text);
@@ -423,5 +436,9 @@
         }
         sleep(Duration::from_millis(5));
     }
-    assert_eq!(node.program.0.try_wait().unwrap().and_then(|status| status.code()), Some(0));
+    assert_eq!(
+        node.program.0.try_wait().unwrap().and_then(|status| status.code()),
+        Some(0),
+        "the program is still running or has failed"
+    );
 }
