--- a/node/src/net/http.rs
+++ b/node/src/net/http.rs
@@ -303,9 +303,9 @@
     }
 }
 
-/// Encodes a response. `more` holds further header lines, each with its line end; `keep_alive` says whether
-/// the connection stays open.
-pub fn encode_response(status: u16, more: &str, body: &[u8], keep_alive: bool) -> Vec<u8> {
+/// Encodes a response. `extra_headers` holds further header lines, each with its line end; `keep_alive` says
+/// whether the connection stays open.
+pub fn encode_response(status: u16, extra_headers: &str, body: &[u8], keep_alive: bool) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -320,7 +320,8 @@
     let close = if keep_alive { "" } else { "Connection: close\r\n" };
     let length = body.len();
     let mut out =
-        format!("HTTP/1.1 {status} {reason}\r\n{more}{close}Content-Length: {length}\r\n\r\n").into_bytes();
+        format!("HTTP/1.1 {status} {reason}\r\n{extra_headers}{close}Content-Length: {length}\r\n\r\n")
+            .into_bytes();
     out.extend_from_slice(body);
     out
 }
--- a/node/src/net/mod.rs
+++ b/node/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The event loop, its sockets and connections, HTTP messages, and the log.
+//! The event loop, its sockets and connections, HTTP messages, and the log. What is sent over a connection,
+//! and what an answer means, is decided by its owner in `ingress`, `upstream` or `lifecycle`.
 
 pub mod connection;
 pub mod dials;
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -56,7 +56,7 @@
 /// The longest wait of the poller. A bound is needed to distinguish an idle loop from a process that was not
 /// scheduled.
 const MAX_WAIT: Duration = Duration::from_millis(250);
-/// The wait of the last iteration before the process ends.
+/// How long the loop waits for anything that still arrives before the process ends.
 const FINAL_WAIT: Duration = Duration::from_millis(1);
 /// A wait that ends this many microseconds late means that the process was stalled: frozen, starved or
 /// swapped out. This is half of 0.1 s, which is the time after which no work may start for a client that has
