--- a/lab/src/judge.rs
+++ b/lab/src/judge.rs
@@ -1,8 +1,8 @@
-//! The judge: checks the four deployment rules by what was observed on the wires alone.
+//! The judge: checks the rules of the deployment ([`Rule`]) by what was observed on the wires alone.
 //!
-//! It holds the rules and the history of each open invocation. It shares no types and no code with the
-//! dispatcher except the ids on the wire, and uses no statement of the dispatcher about its own actions. It
-//! does no I/O and reads no clock. An observation that does not fit the earlier ones, such as the end of a
+//! It holds the rules and the history of each open invocation. It shares no code with the dispatcher, only
+//! the ids on the wire and the unit of time, and uses no statement of the dispatcher about its own actions.
+//! It does no I/O and reads no clock. An observation that does not fit the earlier ones, such as the end of a
 //! forward that nobody sent, is recorded as a fault of the lab.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -51,8 +51,8 @@
     Crossed { inv: InvocationId },
     /// The dispatcher that held the unanswered invocation was killed.
     Lost { inv: InvocationId },
-    /// A forward has left the dispatcher. `cold` is the present true capacity of a cold runner, none for a
-    /// warm one.
+    /// A forward has left the dispatcher. `work` is in microseconds. `cold` is the present true capacity of a
+    /// cold runner, in work per microsecond; none for a warm one.
     Forwarded { inv: InvocationId, dispatcher: u32, runner: u32, work: f64, cold: Option<f64> },
     /// A forward has stated to its runner how long its client will still wait, in microseconds.
     TimeTold { inv: InvocationId, told: Micros },
@@ -60,13 +60,13 @@
     Ended { inv: InvocationId, runner: u32, how: ForwardEnd },
     /// The dispatcher has cancelled a forward that was in flight.
     Withdrawn { inv: InvocationId, runner: u32 },
-    /// A runner has started the invocation and its effect is new there.
+    /// A runner has started the invocation and does not recognise it as a repeat: its effect takes place.
     Ran { inv: InvocationId, runner: u32 },
-    /// Discovery lists the runner in this state from now on; `wanted` if that is up.
+    /// Discovery lists the runner in this state from now on; `wanted` if the state is up.
     Listed { runner: u32, wanted: bool, launched: Option<Micros> },
     /// Discovery has written a runner's state to a dispatcher.
     Told { dispatcher: u32, runner: u32, wanted: bool },
-    /// A dispatcher's process has started and knows nothing.
+    /// A dispatcher has started as a new process. It does not know what earlier processes were notified of.
     Began { dispatcher: u32 },
     /// A dispatcher has confirmed an admin override that takes a runner out or back in; `None` if the call's
     /// result is unknown.
@@ -207,7 +207,7 @@
     left_at: Option<Micros>,
     sent: Vec<SentForward>,
     /// How many times its effect took place.
-    ran: u32,
+    effects: u32,
     work: f64,
     history: Vec<(Micros, Observation)>,
 }
@@ -229,15 +229,15 @@
     broken: bool,
 }
 
-/// Violations recorded in full; any more are only counted.
+/// Violations recorded in full, and faults of the lab recorded; further violations are only counted.
 const MAX_DETAILED_VIOLATIONS: usize = 20;
 /// How long a finished invocation is kept, in microseconds, to judge observations that come late.
 const RETENTION: Micros = 5_000_000;
 /// How long a process may take to catch up after it resumes, in microseconds.
 const RESUME_GRACE: Micros = 100_000;
 /// Factor by which the work sent to a cold runner may exceed its budget by chance: the length of a job is not
-/// known when it is sent. The number of calls has a limit of its own: N + 2 * sqrt(N) + 2 where the budget is
-/// N calls of mean work.
+/// known when it is sent. The number of calls has a limit of its own, the call limit: N + 2 * sqrt(N) + 2
+/// where the budget is N calls of mean work.
 const COLD_WORK_TOLERANCE: f64 = 1.15;
 
 /// How long after a client closes its connection a forward may still start for it, in microseconds; given by
@@ -245,7 +245,7 @@
 const CLIENT_LEFT_GRACE: Micros = 100_000;
 /// By how much the time stated to a runner may exceed the time that its client has left, in microseconds;
 /// given by the platform's terms.
-const REPORTED_TIME_SLACK: Micros = 150_000;
+const STATED_TIME_SLACK: Micros = 150_000;
 
 /// Takes observations in order of time and records every violation of a rule.
 pub struct Judge {
@@ -276,19 +276,19 @@
     pub cold_work: f64,
     /// The largest share of one runner's budget that all dispatchers together used.
     pub max_cold_share: f64,
-    /// The calls sent to cold runners, against the random limit.
+    /// The calls sent to cold runners, against the call limit.
     pub cold_calls: ColdCalls,
 }
 
-/// The calls that cold runners received in each span that ends with a call, against the random limit: the N
-/// calls of mean work that the rule allows, plus 2 * sqrt(N) + 2.
+/// The calls that cold runners received in each span that ends with a call, against the call limit: the N
+/// calls of mean work that the rule allows, plus 2 * sqrt(N) + 2 for chance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdCalls {
     /// Number of spans.
     pub spans: u64,
-    /// Spans with more calls than the random limit.
+    /// Spans with more calls than the call limit.
     pub over: u64,
-    /// The largest share of the random limit in any span.
+    /// The largest share of the call limit in any span.
     pub most: f64,
 }
 
@@ -413,7 +413,7 @@
             Observation::Forwarded { inv, dispatcher, runner, work, cold } => {
                 self.record_forward(at, inv, (dispatcher, runner), work, cold);
             }
-            Observation::TimeTold { inv, told } => self.check_reported_time(at, inv, told),
+            Observation::TimeTold { inv, told } => self.check_stated_time(at, inv, told),
             Observation::Ended { inv, runner, how } => self.record_forward_end(at, inv, runner, Some(how)),
             Observation::Withdrawn { inv, runner } => self.record_forward_end(at, inv, runner, None),
             Observation::Ran { inv, runner } => self.record_start(at, inv, runner),
@@ -433,8 +433,8 @@
                 self.notified.retain(|(d, _), _| *d != dispatcher);
                 self.suspended.remove(&dispatcher);
                 self.first_forwards.remove(&dispatcher);
-                let (before, now) = self.boots.entry(dispatcher).or_default();
-                *before = (*before).max(now.take().unwrap_or(0));
+                let (earlier, present) = self.boots.entry(dispatcher).or_default();
+                *earlier = (*earlier).max(present.take().unwrap_or(0));
             }
             Observation::Hand { dispatcher, runner, out: Some(true) } => {
                 self.overrides.entry((dispatcher, runner)).or_insert(at);
@@ -490,10 +490,11 @@
 
     /// Checks that a boot number is higher than those of earlier process runs.
     fn record_boot(&mut self, at: Micros, dispatcher: u32, boot: u64) {
-        let (before, now) = self.boots.entry(dispatcher).or_default();
-        let (before, known) = (*before, now.replace(boot));
-        if boot <= before || known.is_some_and(|known| known > boot) {
-            let what = format!("d{dispatcher} has the boot number {boot}, after {}", known.unwrap_or(before));
+        let (earlier, present) = self.boots.entry(dispatcher).or_default();
+        let (earlier, present) = (*earlier, present.replace(boot));
+        if boot <= earlier || present.is_some_and(|present| present > boot) {
+            let what =
+                format!("d{dispatcher} has the boot number {boot}, after {}", present.unwrap_or(earlier));
             self.record_violation(at, Rule::BootRises, 0, what);
         }
     }
@@ -516,7 +517,7 @@
             excused: false,
             left_at: None,
             sent: Vec::new(),
-            ran: 0,
+            effects: 0,
             work: 0.0,
             history: vec![(at, seen)],
         };
@@ -575,10 +576,10 @@
     }
 
     /// Checks the remaining time stated to a runner against what the client will still wait.
-    fn check_reported_time(&mut self, at: Micros, inv: InvocationId, stated: Micros) {
+    fn check_stated_time(&mut self, at: Micros, inv: InvocationId, stated: Micros) {
         let Some(record) = self.invocations.get(&inv) else { return };
         let left = record.expires_at - at;
-        if stated > left + REPORTED_TIME_SLACK + self.observation_delay {
+        if stated > left + STATED_TIME_SLACK + self.observation_delay {
             let what = format!("its runner was told {stated} us with {left} us left");
             self.record_violation(at, Rule::DeadlineTold, inv, what);
         }
@@ -598,17 +599,18 @@
         let Some(record) = self.invocations.get_mut(&inv) else {
             return self.record_lab_fault(at, format!("a forward of {inv:x}, which nobody took"));
         };
-        let mut breaches: Vec<(Rule, String)> = Vec::new();
+        let mut violations: Vec<(Rule, String)> = Vec::new();
         if let Some((answered, _)) = record.answered.filter(|(answered, _)| at > answered + slack) {
-            breaches.push((Rule::OneAnswer, format!("forwarded after its answer at {answered}")));
+            violations.push((Rule::OneAnswer, format!("forwarded after its answer at {answered}")));
         }
         if let Some(left) =
             record.left_at.filter(|left| at > left + CLIENT_LEFT_GRACE + self.observation_delay)
         {
-            breaches.push((Rule::OneAnswer, format!("forwarded {} us after its client had left", at - left)));
+            violations
+                .push((Rule::OneAnswer, format!("forwarded {} us after its client had left", at - left)));
         }
         if record.sent.iter().any(SentForward::is_in_flight) {
-            breaches.push((Rule::NoEffectTwice, "two forwards out at once".into()));
+            violations.push((Rule::NoEffectTwice, "two forwards out at once".into()));
         }
         let op = &self.parameters.operations[record.operation];
         let location =
@@ -618,7 +620,7 @@
             (_, None) | (Effect::Idempotent, _) => {}
             (Effect::NonIdempotent, Some(first)) => {
                 let what = format!("forwarded again, though it may have run at r{}", first.runner);
-                breaches.push((Rule::NoEffectTwice, what));
+                violations.push((Rule::NoEffectTwice, what));
             }
             (Effect::Deduplicated, Some(first)) => {
                 let (there, here) = (location(first.runner), location(runner));
@@ -629,11 +631,11 @@
                 };
                 if !is_in_scope {
                     let what = format!("forwarded again outside the group of r{}", first.runner);
-                    breaches.push((Rule::NoEffectTwice, what));
+                    violations.push((Rule::NoEffectTwice, what));
                 }
                 if at > first.at + op.memory_span.0 + slack {
                     let what = format!("forwarded again, {} us after the first", at - first.at);
-                    breaches.push((Rule::NoEffectTwice, what));
+                    violations.push((Rule::NoEffectTwice, what));
                 }
             }
         }
@@ -647,16 +649,16 @@
             .filter(|(_, wanted, _)| !wanted)
             .map(|(at, ..)| at + self.parameters.notification_deadline);
         let since = [notification.and_then(|(since, _)| since), deadline].into_iter().flatten().min();
-        let knows = since.filter(|since| at > since + self.parameters.drain_grace + slack);
-        if let Some(since) = knows {
+        let past_grace = since.filter(|since| at > since + self.parameters.drain_grace + slack);
+        if let Some(since) = past_grace {
             let what = format!("forwarded to r{runner} {} us after it was told to leave it", at - since);
-            breaches.push((Rule::NothingToDraining, what));
+            violations.push((Rule::NothingToDraining, what));
         }
         self.first_forwards.entry(dispatcher).or_insert(at);
         let out = self.overrides.get(&(dispatcher, runner)).copied();
         if let Some(since) = out.filter(|since| at > since + slack) {
             let what = format!("d{dispatcher} forwarded to r{runner}, out by hand for {} us", at - since);
-            breaches.push((Rule::HandHolds, what));
+            violations.push((Rule::HandHolds, what));
         }
         if let Some(capacity) = cold {
             let knows_start = notification.is_some_and(|(_, wanted)| wanted);
@@ -666,35 +668,36 @@
                 cold.sends.pop_front();
             }
             cold.sends.push_back((at, work, knows_start));
-            let all: f64 = cold.sends.iter().map(|(_, work, _)| work).sum();
-            let knowing_work: f64 =
+            let total_work: f64 = cold.sends.iter().map(|(_, work, _)| work).sum();
+            let notified_work: f64 =
                 cold.sends.iter().filter(|(.., knows)| *knows).map(|(_, work, _)| work).sum();
             let budget = self.parameters.overload_factor * capacity * span as f64;
             self.cold_work += work;
-            self.max_cold_share = self.max_cold_share.max(all / budget);
+            self.max_cold_share = self.max_cold_share.max(total_work / budget);
             let allowed = budget / self.parameters.mean_work;
-            let (calls, random_limit) = (cold.sends.len() as f64, allowed + 2.0 * allowed.sqrt() + 2.0);
+            let (calls, call_limit) = (cold.sends.len() as f64, allowed + 2.0 * allowed.sqrt() + 2.0);
             let counted = &mut self.cold_calls;
             counted.spans += 1;
-            counted.over += u64::from(calls > random_limit);
-            counted.most = counted.most.max(calls / random_limit);
-            // Dispatchers are at fault only if those that knew of the start sent at least two thirds of the
+            counted.over += u64::from(calls > call_limit);
+            counted.most = counted.most.max(calls / call_limit);
+            // The rule is broken only if dispatchers that knew of the start sent at least two thirds of the
             // work.
-            let is_at_fault = knowing_work * 3.0 >= all * 2.0;
-            if calls > random_limit && is_at_fault && !cold.broken {
+            let is_at_fault = notified_work * 3.0 >= total_work * 2.0;
+            if calls > call_limit && is_at_fault && !cold.broken {
                 cold.broken = true;
                 let what =
                     format!("r{runner} was sent {calls} calls in a span in which it bears {allowed:.1}");
-                breaches.push((Rule::ColdBudget, what));
+                violations.push((Rule::ColdBudget, what));
             }
             let budget = budget * COLD_WORK_TOLERANCE;
-            if all > budget && is_at_fault && cold.sends.len() > 3 && !cold.broken {
+            if total_work > budget && is_at_fault && cold.sends.len() > 3 && !cold.broken {
                 cold.broken = true;
-                let what = format!("r{runner} was sent {all:.0} us of work in a span worth {budget:.0}");
-                breaches.push((Rule::ColdBudget, what));
+                let what =
+                    format!("r{runner} was sent {total_work:.0} us of work in a span worth {budget:.0}");
+                violations.push((Rule::ColdBudget, what));
             }
         }
-        for (rule, what) in breaches {
+        for (rule, what) in violations {
             self.record_violation(at, rule, inv, what);
         }
     }
@@ -720,8 +723,8 @@
     /// Checks that an effect that must not take place twice has not done so.
     fn record_start(&mut self, at: Micros, inv: InvocationId, runner: u32) {
         let Some(record) = self.invocations.get_mut(&inv) else { return };
-        record.ran += 1;
-        if record.ran > 1 && self.parameters.operations[record.operation].effect != Effect::Idempotent {
+        record.effects += 1;
+        if record.effects > 1 && self.parameters.operations[record.operation].effect != Effect::Idempotent {
             self.record_violation(
                 at,
                 Rule::NoEffectTwice,
--- a/lab/src/judge/tests.rs
+++ b/lab/src/judge/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Judges a sequence of observations of one invocation. The tests break each rule in the smallest way and
-/// compare with the same sequence without the breach.
+/// Judges a sequence of observations of one invocation; `text` adds settings of its operation. The tests
+/// break each rule in the smallest way and compare with the same sequence without the violation.
 fn verdict(text: &str, seen: &[(Micros, Observation)]) -> Verdict {
     verdict_with_delay(0, text, seen)
 }
 
-/// The same with observations that are late by `behind` microseconds.
+/// The same with observations that are late by `delay` microseconds.
 fn verdict_with_delay(delay: Micros, text: &str, seen: &[(Micros, Observation)]) -> Verdict {
     let base = r#"
             name = "t"
@@ -26,8 +26,8 @@
             client-timeout = "5s"
         "#;
     let scenario = Scenario::parse("t", &format!("{base}{text}")).unwrap();
-    let places = vec![(0, 0), (1, 1), (0, 0), (1, 1)];
-    let mut judge = Judge::new(JudgeParameters::of(&scenario, places, 0, 0));
+    let locations = vec![(0, 0), (1, 1), (0, 0), (1, 1)];
+    let mut judge = Judge::new(JudgeParameters::of(&scenario, locations, 0, 0));
     judge.observation_delay = delay;
     judge.observe(0, Observation::Taken { inv: 1, dispatcher: 0, operation: 0, expires_at: 5_000_000 });
     for (at, seen) in seen {
@@ -49,10 +49,10 @@
     (at, Observation::Answered { inv: 1, how })
 }
 
-const ZONE: &str = "effect = \"deduplicated\"\ngroup = \"zone\"\nmemory-span = \"3s\"";
-const ONCE: &str = "effect = \"non-idempotent\"";
+const DEDUPLICATED_IN_ZONE: &str = "effect = \"deduplicated\"\ngroup = \"zone\"\nmemory-span = \"3s\"";
+const NON_IDEMPOTENT: &str = "effect = \"non-idempotent\"";
 
-fn rules(verdict: &Verdict) -> Vec<Rule> {
+fn broken_rules(verdict: &Verdict) -> Vec<Rule> {
     verdict.violations.keys().copied().collect()
 }
 
@@ -67,7 +67,7 @@
         vec![answered(20, FinalStatus::Throttled), sent(21, 0)],
         vec![(9, Observation::Forged { inv: 1 }), answered(20, FinalStatus::Succeeded)],
     ] {
-        assert_eq!(rules(&verdict("", &bad)), [Rule::OneAnswer], "{bad:?}");
+        assert_eq!(broken_rules(&verdict("", &bad)), [Rule::OneAnswer], "{bad:?}");
     }
     let killed = verdict("", &[sent(10, 0), (20, Observation::Lost { inv: 1 })]);
     assert!(killed.is_clean() && killed.lost_by_kill == 1);
@@ -92,33 +92,39 @@
     let clean = |text, seen: &[(Micros, Observation)], end: &(Micros, Observation)| {
         verdict(text, &[seen, std::slice::from_ref(end)].concat()).is_clean()
     };
-    assert!(clean(ONCE, &never, &throttled));
-    assert!(!clean(ONCE, &perhaps, &throttled));
-    assert!(clean(ONCE, &perhaps, &end));
-    assert!(!clean(ONCE, &[&perhaps[..], &[sent(30, 1)]].concat(), &end));
+    assert!(clean(NON_IDEMPOTENT, &never, &throttled));
+    assert!(!clean(NON_IDEMPOTENT, &perhaps, &throttled));
+    assert!(clean(NON_IDEMPOTENT, &perhaps, &end));
+    assert!(!clean(NON_IDEMPOTENT, &[&perhaps[..], &[sent(30, 1)]].concat(), &end));
     // A cancelled forward may have run, but it is no longer in flight.
     let withdrawn = [sent(10, 0), (20, Observation::Withdrawn { inv: 1, runner: 0 }), sent(30, 1)];
-    assert!(!clean(ONCE, &withdrawn, &end) && clean("", &withdrawn, &end));
-    assert!(!clean("", &[sent(10, 0), sent(30, 1)], &end), "two out at once");
-    assert!(clean(ZONE, &[&perhaps[..], &[sent(30, 2)]].concat(), &end));
-    assert!(!clean(ZONE, &[&perhaps[..], &[sent(30, 1)]].concat(), &end), "outside the zone");
+    assert!(!clean(NON_IDEMPOTENT, &withdrawn, &end) && clean("", &withdrawn, &end));
+    assert!(!clean("", &[sent(10, 0), sent(30, 1)], &end), "a second forward while the first is in flight");
+    assert!(clean(DEDUPLICATED_IN_ZONE, &[&perhaps[..], &[sent(30, 2)]].concat(), &end));
+    assert!(
+        !clean(DEDUPLICATED_IN_ZONE, &[&perhaps[..], &[sent(30, 1)]].concat(), &end),
+        "a repeat outside the zone"
+    );
     let after = answered(4_000_000, FinalStatus::Errored);
-    assert!(!clean(ZONE, &[&perhaps[..], &[sent(3_000_011, 2)]].concat(), &after), "after the span");
+    assert!(
+        !clean(DEDUPLICATED_IN_ZONE, &[&perhaps[..], &[sent(3_000_011, 2)]].concat(), &after),
+        "a repeat after the memory span"
+    );
     let ran = |runner| (50, Observation::Ran { inv: 1, runner });
-    assert!(!clean(ZONE, &[ran(0), ran(1)], &end) && clean("", &[ran(0), ran(1)], &end));
+    assert!(!clean(DEDUPLICATED_IN_ZONE, &[ran(0), ran(1)], &end) && clean("", &[ran(0), ran(1)], &end));
 }
 
 #[test]
-fn nothing_to_a_runner_past_the_grace() {
+fn nothing_is_forwarded_to_a_runner_past_the_drain_grace() {
     let notified = |wanted| (100, Observation::Told { dispatcher: 0, runner: 0, wanted });
     let end = answered(900_000, FinalStatus::Errored);
     assert!(verdict("", &[notified(false), sent(500_100, 0), end.clone()]).is_clean());
     let late = verdict("", &[notified(false), sent(500_101, 0), end.clone()]);
-    assert_eq!(rules(&late), [Rule::NothingToDraining]);
+    assert_eq!(broken_rules(&late), [Rule::NothingToDraining]);
     assert!(verdict("", &[notified(false), notified(true), sent(800_000, 0), end.clone()]).is_clean());
     // Not notified, but listed for longer than the notification deadline.
     let listed = (-12_000_000, Observation::Listed { runner: 0, wanted: false, launched: None });
-    assert_eq!(rules(&verdict("", &[listed, sent(800_000, 0), end])), [Rule::NothingToDraining]);
+    assert_eq!(broken_rules(&verdict("", &[listed, sent(800_000, 0), end])), [Rule::NothingToDraining]);
 }
 
 #[test]
@@ -129,10 +135,10 @@
     assert!(verdict("", &[still(1_000_000, true), still(5_500_000, false), late.clone()]).is_clean());
     // It resumed early enough to answer in time.
     let early = verdict("", &[still(1_000_000, true), still(4_000_000, false), late]);
-    assert_eq!(rules(&early), [Rule::OneAnswer]);
-    let frozen = [still(1_000_000, true), notified, still(2_000_000, false)];
+    assert_eq!(broken_rules(&early), [Rule::OneAnswer]);
+    let suspended = [still(1_000_000, true), notified, still(2_000_000, false)];
     let end = answered(4_000_000, FinalStatus::Errored);
-    let clean = |at| verdict("", &[&frozen[..], &[sent(at, 0), end.clone()]].concat()).is_clean();
+    let clean = |at| verdict("", &[&suspended[..], &[sent(at, 0), end.clone()]].concat()).is_clean();
     assert!(clean(2_400_000) && !clean(2_600_000));
 }
 
@@ -141,8 +147,9 @@
     let hand = |at, out| (at, Observation::Hand { dispatcher: 0, runner: 0, out });
     let began = (200, Observation::Began { dispatcher: 0 });
     let end = answered(900, FinalStatus::Errored);
-    let broken =
-        |seen: &[(Micros, Observation)]| rules(&verdict("", &[seen, std::slice::from_ref(&end)].concat()));
+    let broken = |seen: &[(Micros, Observation)]| {
+        broken_rules(&verdict("", &[seen, std::slice::from_ref(&end)].concat()))
+    };
     assert_eq!(broken(&[hand(100, Some(true)), began.clone(), sent(300, 0)]), [Rule::HandHolds]);
     assert_eq!(broken(&[hand(100, Some(true)), sent(300, 1)]), []);
     for back in [Some(false), None] {
@@ -157,8 +164,9 @@
     let boot = |boot| (10, Observation::Boot { dispatcher: 0, boot });
     let began = (20, Observation::Began { dispatcher: 0 });
     let end = answered(900, FinalStatus::Errored);
-    let broken =
-        |seen: &[(Micros, Observation)]| rules(&verdict("", &[seen, std::slice::from_ref(&end)].concat()));
+    let broken = |seen: &[(Micros, Observation)]| {
+        broken_rules(&verdict("", &[seen, std::slice::from_ref(&end)].concat()))
+    };
     assert_eq!(broken(&[boot(3), boot(3), began.clone(), boot(4)]), []);
     assert_eq!(broken(&[boot(3), began.clone(), boot(3)]), [Rule::BootRises]);
     assert_eq!(broken(&[boot(3), began.clone(), began.clone(), boot(2)]), [Rule::BootRises]);
@@ -169,10 +177,10 @@
     assert_eq!(broken(&[sent(300, 0), (350, Observation::Began { dispatcher: 0 }), unlisted(400)]), []);
 }
 
-/// The budget of 3 x 0.2 x 2 s is twelve calls of the mean 100 ms: 20 calls are within the random limit, 21
+/// The budget of 3 x 0.2 x 2 s is twelve calls of the mean 100 ms: 20 calls are within the call limit, 21
 /// are not, however short they are.
 #[test]
-fn cold_runners_are_sent_no_more_calls_than_the_random_limit() {
+fn cold_runners_are_sent_no_more_calls_than_the_call_limit() {
     let sent = |count: i64, notified: bool| {
         let mut seen = vec![(5, Observation::Listed { runner: 0, wanted: true, launched: Some(5) })];
         seen.extend(notified.then_some((6, Observation::Told { dispatcher: 0, runner: 0, wanted: true })));
@@ -182,7 +190,7 @@
             seen.extend([(at, forwarded), (at + 1, ended(11, 0, ForwardEnd::NeverRan).1)]);
         }
         seen.push(answered(900, FinalStatus::Throttled));
-        rules(&verdict("", &seen))
+        broken_rules(&verdict("", &seen))
     };
     assert_eq!(sent(20, true), []);
     assert_eq!(sent(21, true), [Rule::ColdBudget]);
@@ -190,27 +198,27 @@
 }
 
 #[test]
-fn cold_runners_keep_their_budget() {
-    let began = (5, Observation::Listed { runner: 0, wanted: true, launched: Some(5) });
+fn cold_runners_are_sent_no_more_work_than_their_budget() {
+    let listed = (5, Observation::Listed { runner: 0, wanted: true, launched: Some(5) });
     let notified = (6, Observation::Told { dispatcher: 0, runner: 0, wanted: true });
     // The budget of 3 x 0.2 x 2 s is 1.2 s of work; 1.38 s with the tolerance for random lengths.
     let send = |nth: i64, work: f64| {
         let (inv, at) = (1, 10 + nth);
         (at, Observation::Forwarded { inv, dispatcher: 0, runner: 0, work, cold: Some(0.2) })
     };
-    let back = ended(11, 0, ForwardEnd::NeverRan);
+    let rejected = ended(11, 0, ForwardEnd::NeverRan);
     let flood = |work: f64, notified: &[(Micros, Observation)]| {
         let mut seen = notified.to_vec();
         for nth in 0..5 {
-            seen.extend([send(nth * 2, work), (11 + nth * 2, back.1.clone())]);
+            seen.extend([send(nth * 2, work), (11 + nth * 2, rejected.1.clone())]);
         }
         seen.push(answered(900, FinalStatus::Throttled));
-        rules(&verdict("", &seen))
+        broken_rules(&verdict("", &seen))
     };
-    assert_eq!(flood(300_000.0, &[began.clone(), notified.clone()]), [Rule::ColdBudget]);
-    assert_eq!(flood(270_000.0, &[began.clone(), notified]), []);
+    assert_eq!(flood(300_000.0, &[listed.clone(), notified.clone()]), [Rule::ColdBudget]);
+    assert_eq!(flood(270_000.0, &[listed.clone(), notified]), []);
     // A dispatcher that was not notified of the start is not at fault.
-    assert_eq!(flood(300_000.0, &[began]), []);
+    assert_eq!(flood(300_000.0, &[listed]), []);
 }
 
 #[test]
@@ -228,11 +236,11 @@
         )
     };
     assert!(stated(1_000_000, 4_150_000).is_clean());
-    assert_eq!(rules(&stated(1_000_000, 4_150_001)), [Rule::DeadlineTold]);
+    assert_eq!(broken_rules(&stated(1_000_000, 4_150_001)), [Rule::DeadlineTold]);
 }
 
 #[test]
-fn nothing_begins_for_a_client_that_has_left() {
+fn nothing_is_forwarded_for_a_client_that_has_left() {
     let left_at = |left, begun| {
         let left = (left, Observation::Left { inv: 1 });
         let mut seen = vec![left, sent(begun, 0)];
@@ -240,7 +248,7 @@
         verdict("", &[seen, vec![ended(begun + 10, 0, ForwardEnd::MayHaveRun)]].concat())
     };
     assert!(left_at(1_000_000, 1_100_000).is_clean());
-    assert_eq!(rules(&left_at(1_000_000, 1_100_001)), [Rule::OneAnswer]);
+    assert_eq!(broken_rules(&left_at(1_000_000, 1_100_001)), [Rule::OneAnswer]);
 }
 
 #[test]
@@ -248,7 +256,7 @@
     let crossed = (30, Observation::Crossed { inv: 1 });
     assert!(verdict("", std::slice::from_ref(&crossed)).is_clean());
     let read = [sent(10, 0), ended(20, 0, ForwardEnd::Succeeded), crossed.clone()];
-    assert_eq!(rules(&verdict("", &read)), [Rule::OneAnswer]);
+    assert_eq!(broken_rules(&verdict("", &read)), [Rule::OneAnswer]);
     let late = [crossed, sent(100_031, 0), ended(100_040, 0, ForwardEnd::MayHaveRun)];
-    assert_eq!(rules(&verdict("", &late)), [Rule::OneAnswer]);
+    assert_eq!(broken_rules(&verdict("", &late)), [Rule::OneAnswer]);
 }
