--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -1,10 +1,13 @@
 //! The lab in virtual time: the decision module runs in process, and everything around it is played as events
 //! on a heap.
 //!
-//! This module owns the clock, the messages on the links, and the part that the request table has on sockets:
-//! numbers of forwards, forwards in flight and unanswered invocations. It makes no decision for a dispatcher,
-//! never iterates in hash order where that could change a result, and lets no wall-clock time into one: the
-//! same scenario and seed give the same bytes.
+//! This module owns the clock, the messages on the links, and what the request table does on sockets: it
+//! numbers forwards, and knows those in flight and the unanswered invocations. It makes no decision for a
+//! dispatcher, never iterates in hash order where that could change a result, and lets no wall-clock time
+//! into a result: the same scenario and seed give the same bytes.
+//!
+//! In this module `d` is the number of a dispatcher, `r` that of a runner, `inv` that of an invocation, and
+//! `number` that of a forward within its invocation.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,7 +18,7 @@
 use rand_pcg::Pcg32;
 use rustc_hash::FxHashMap;
 use topazsail::{
-    Action, Arrival, Event, ForwardResult, Id, Listing, Micros, Outcome as Ended, Readiness, Roster,
+    Action, Arrival, Event, ForwardResult, Id, Listing, Micros, Outcome as ForwardOutcome, Readiness, Roster,
     RosterEntry, Settings,
 };
 
@@ -29,8 +32,8 @@
 use crate::tally::{Outcome, RequestResult, RunDetails, RunnerOutcome, Tally, round};
 use crate::world::{Change, ListingState, World};
 
-/// Time in microseconds reserved for the way of an answer to its client: an answer still on the way when the
-/// client times out is lost. The dispatcher on sockets reserves the same.
+/// Time in microseconds reserved for the transit of an answer to its client: an answer still in transit when
+/// the client times out is lost. The dispatcher on sockets reserves the same.
 const ANSWER_TRANSIT: Micros = 20_000;
 /// Delay in microseconds after which a machine's agent reports a process that died.
 const AGENT_NOTICE_DELAY: Micros = 100_000;
@@ -40,18 +43,19 @@
 const TERM_NOTICE_DELAY: Micros = 300_000;
 /// Span of virtual time that the heap holds at once, in microseconds.
 const HEAP_WINDOW: Micros = 50_000;
-/// Bits of an invocation's number that count its client's attempts.
+/// Low bits of an invocation's number, which count the attempts of its request from 1. The bits above them
+/// are the number of the request.
 const ATTEMPT_BITS: u32 = 4;
 
 /// One process run of one dispatcher; events for an earlier run are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Incarnation {
-    d: u32,
+    dispatcher: u32,
     epoch: u32,
 }
 
-/// An event on the heap. Numbers stand for invocations (`u64`), and for forwards, runners and dispatchers
-/// (`u32`).
+/// An event on the heap. A `u64` is the number of an invocation, where nothing else is said; a `u32` that of
+/// a forward, a runner or a dispatcher. Where an event has both, the forward comes before the runner.
 #[derive(Clone, Debug)]
 enum ClockEvent {
     /// The next request of the clients is due.
@@ -60,9 +64,9 @@
     RequestArrived(u64, u32),
     /// The result of an attempt has reached its client.
     ResultArrived(u64, load::AttemptResult),
-    /// A client sends its next attempt.
+    /// A client sends the next attempt of a request, given by the request's number.
     Retry(u64),
-    /// The client timeout of a request has passed.
+    /// The client timeout of a request, given by its number, has passed.
     ClientTimeout(u64),
     /// A dispatcher's own deadline for an invocation has passed.
     DeadlineReached(Incarnation, u64),
@@ -78,17 +82,18 @@
     Progress(Incarnation, u64, u32),
     /// A cancel has reached its runner.
     Cancel(Incarnation, u64, u32, u32),
-    /// A probe has reached its runner.
+    /// A probe, with its serial number, has reached its runner.
     Probe(Incarnation, u32, u64),
     /// The result of a probe has reached its dispatcher; without a report it has failed.
     ProbeEnded(Incarnation, u32, u64, Option<LoadReport>),
-    /// A runner's next event is due, unless it was rescheduled since.
+    /// A runner's next event is due, unless it was rescheduled: the second number is then not the runner's
+    /// latest.
     RunnerDue(u32, u32),
     /// The timer of a dispatcher's decision module has fired.
     TimerFired(Incarnation),
     /// A dispatcher's periodic messages to its peers are due.
     PeerRound(Incarnation),
-    /// Receiver, sender and bytes.
+    /// A datagram has arrived: receiver, sender and bytes.
     Datagram(u32, u32, Rc<[u8]>),
     /// A change of the world's schedule is due.
     Change(usize),
@@ -135,6 +140,7 @@
     /// Its bytes have been sent: it waits for no new connection any more.
     bytes_sent: bool,
     runner: u32,
+    /// When the decision module asked for it.
     at: Micros,
     in_flight: bool,
 }
@@ -142,6 +148,7 @@
 /// An invocation that is unanswered or has a forward in flight.
 struct OpenInvocation {
     id: Id,
+    /// When it reached its dispatcher.
     at: Micros,
     answered: bool,
     sent: Vec<SentForward>,
@@ -149,14 +156,17 @@
 
 /// A dispatcher's process.
 struct Dispatcher {
-    decide: Box<dyn DecisionMaker>,
+    decision_maker: Box<dyn DecisionMaker>,
     alive: bool,
+    /// Grows with each start and each kill, so that events for an earlier process run are recognised.
     epoch: u32,
+    /// Number of earlier starts.
     starts: u64,
     zone: usize,
     invocations: FxHashMap<u64, OpenInvocation>,
     /// Idle connections and all connections, by runner.
     connections: FxHashMap<u32, (u32, u32)>,
+    /// By runner, the serial number of the probe that has not ended.
     probes: FxHashMap<u32, u64>,
     subscribed: bool,
     /// Events held while the process is suspended; none while it runs.
@@ -238,8 +248,8 @@
     client_rng: Pcg32,
     judge: Judge,
     tally: Tally,
-    /// When the effect of deduplicated work first took place, by request and scope.
-    marks: FxHashMap<(u64, i64), Micros>,
+    /// When the effect of deduplicated work first took place within the memory span, by request and scope.
+    first_effects: FxHashMap<(u64, i64), Micros>,
     /// A buffer for job events, reused between calls.
     job_event_buffer: Vec<(u64, JobEvent)>,
     /// Number of samples, and how often each number of jobs was seen.
@@ -278,7 +288,7 @@
             settings.push(own_settings);
         }
         let runners = world.runners.len();
-        let places = world.places();
+        let locations = world.places();
         let arrivals = ArrivalGenerator::new(scenario, world.capacity(), seed);
         Ok(Clock {
             scenario,
@@ -304,9 +314,9 @@
             network_rng: seeded_generator(seed, 5),
             datagram_rng: seeded_generator(seed, 7),
             client_rng: seeded_generator(seed, 6),
-            judge: Judge::new(JudgeParameters::of(scenario, places, 0, 0)),
+            judge: Judge::new(JudgeParameters::of(scenario, locations, 0, 0)),
             tally: Tally::new(scenario),
-            marks: FxHashMap::default(),
+            first_effects: FxHashMap::default(),
             job_event_buffer: Vec::new(),
             sampled: (0, Vec::new()),
             options,
@@ -320,11 +330,11 @@
     /// Schedules an event.
     fn push(&mut self, at: Micros, event: ClockEvent) {
         self.serial += 1;
-        let (at, window) = (ScheduledEvent(at, self.serial, event), at.div_euclid(HEAP_WINDOW));
+        let (scheduled, window) = (ScheduledEvent(at, self.serial, event), at.div_euclid(HEAP_WINDOW));
         if window > self.now.div_euclid(HEAP_WINDOW) {
-            self.later.entry(window).or_default().push(at);
+            self.later.entry(window).or_default().push(scheduled);
         } else {
-            self.heap.push(Reverse(at));
+            self.heap.push(Reverse(scheduled));
         }
     }
 
@@ -335,7 +345,7 @@
         {
             self.heap = due.into_iter().map(Reverse).collect::<Vec<_>>().into();
         }
-        self.heap.pop().map(|Reverse(at)| at)
+        self.heap.pop().map(|Reverse(scheduled)| scheduled)
     }
 
     /// Sends a message between two zones: it arrives after the link's delay, or is held until a cut link is
@@ -363,8 +373,8 @@
         for d in 0..self.scenario.dispatchers {
             self.start_dispatcher(d);
         }
-        for at in 0..self.world.schedule.len() {
-            self.push(self.world.schedule[at].0, ClockEvent::Change(at));
+        for nth in 0..self.world.schedule.len() {
+            self.push(self.world.schedule[nth].0, ClockEvent::Change(nth));
         }
         if self.options.sample_interval > 0 {
             self.push(self.scenario.length.0 / 5, ClockEvent::Sample);
@@ -373,8 +383,8 @@
         if let Some(request) = &self.next_request {
             self.push(request.at, ClockEvent::NextRequest);
         }
-        let longest = self.scenario.operation.iter().map(|op| op.client_timeout.0).max().unwrap_or(0);
-        let end = self.scenario.length.0 + longest + 5_000_000;
+        let longest_timeout = self.scenario.operation.iter().map(|op| op.client_timeout.0).max().unwrap_or(0);
+        let end = self.scenario.length.0 + longest_timeout + 5_000_000;
         while let Some(ScheduledEvent(at, _, event)) = self.pop() {
             if at > end
                 || self.next_request.is_none() && self.requests.is_empty() && at > self.scenario.length.0
@@ -400,7 +410,7 @@
             | ClockEvent::PeerRound(incarnation)
             | ClockEvent::RosterChange(incarnation, ..)
             | ClockEvent::WholeRoster(incarnation)
-            | ClockEvent::DiscoveryRefused(incarnation) => Some(incarnation.d),
+            | ClockEvent::DiscoveryRefused(incarnation) => Some(incarnation.dispatcher),
             _ => None,
         }
     }
@@ -440,8 +450,11 @@
                     .running_dispatcher(incarnation)
                     .and_then(|dispatcher| dispatcher.invocations.get(&inv));
                 if let Some(open) = open.filter(|open| open.sent[number as usize].in_flight) {
-                    let inv = open.id.clone();
-                    self.handle_event(incarnation.d, Event::Progress { invocation: inv, forward: number });
+                    let id = open.id.clone();
+                    self.handle_event(
+                        incarnation.dispatcher,
+                        Event::Progress { invocation: id, forward: number },
+                    );
                 }
             }
             ClockEvent::ProbeEnded(incarnation, r, nth, load) => {
@@ -452,7 +465,7 @@
                 dispatcher.probes.remove(&r);
                 let (runner_id, alive) = (self.ids[r as usize].clone(), load.is_some());
                 self.handle_event(
-                    incarnation.d,
+                    incarnation.dispatcher,
                     Event::ProbeEnded { runner: runner_id, alive, report: report_values(load) },
                 );
             }
@@ -464,7 +477,7 @@
             }
             ClockEvent::TimerFired(incarnation) => {
                 if self.running_dispatcher(incarnation).is_some() {
-                    self.handle_event(incarnation.d, Event::TimerFired);
+                    self.handle_event(incarnation.dispatcher, Event::TimerFired);
                 }
             }
             ClockEvent::PeerRound(incarnation) => self.peer_round(incarnation),
@@ -486,18 +499,18 @@
                     let wanted = state == ListingState::Up;
                     self.judge.observe(
                         self.now,
-                        Observation::Told { dispatcher: incarnation.d, runner: r, wanted },
+                        Observation::Told { dispatcher: incarnation.dispatcher, runner: r, wanted },
                     );
                     let (now, launched) = (self.now, self.world.runners[r as usize].launched);
-                    if let Some(startup) = &mut self.dispatchers[incarnation.d as usize].startup {
+                    if let Some(startup) = &mut self.dispatchers[incarnation.dispatcher as usize].startup {
                         startup.update_roster(std::iter::once((r, wanted, launched)), false, now);
                     }
                     let entries = vec![self.entry(r, state)];
                     self.handle_event(
-                        incarnation.d,
+                        incarnation.dispatcher,
                         Event::Roster(Roster { listing: Listing::Changes, entries }),
                     );
-                    self.update_slow_start_shares(incarnation.d);
+                    self.update_slow_start_shares(incarnation.dispatcher);
                 }
             }
             ClockEvent::DiscoveryCall(incarnation) => self.discovery_called(incarnation),
@@ -510,7 +523,7 @@
                         startup.discovery_refused(now);
                     }
                     let roster = Roster { listing: Listing::Refused, entries: Vec::new() };
-                    self.handle_event(incarnation.d, Event::Roster(roster));
+                    self.handle_event(incarnation.dispatcher, Event::Roster(roster));
                 }
             }
             ClockEvent::SuspensionNoticed(incarnation) => {
@@ -518,12 +531,12 @@
                     .running_dispatcher(incarnation)
                     .is_some_and(|dispatcher| dispatcher.suspended_events.is_some())
                 {
-                    self.front[incarnation.d as usize] = false;
+                    self.front[incarnation.dispatcher as usize] = false;
                 }
             }
             ClockEvent::FrontNotice(incarnation, up) => {
-                if self.dispatchers[incarnation.d as usize].epoch == incarnation.epoch {
-                    self.front[incarnation.d as usize] = up;
+                if self.dispatchers[incarnation.dispatcher as usize].epoch == incarnation.epoch {
+                    self.front[incarnation.dispatcher as usize] = up;
                 }
             }
             ClockEvent::Sample => self.sample(),
@@ -532,12 +545,14 @@
 
     /// The dispatcher, if this process run of it still exists.
     fn running_dispatcher(&mut self, incarnation: Incarnation) -> Option<&mut Dispatcher> {
-        self.dispatchers.get_mut(incarnation.d as usize).filter(|d| d.alive && d.epoch == incarnation.epoch)
+        self.dispatchers
+            .get_mut(incarnation.dispatcher as usize)
+            .filter(|dispatcher| dispatcher.alive && dispatcher.epoch == incarnation.epoch)
     }
 
     /// The present process run of a dispatcher.
     fn incarnation(&self, d: u32) -> Incarnation {
-        Incarnation { d, epoch: self.dispatchers[d as usize].epoch }
+        Incarnation { dispatcher: d, epoch: self.dispatchers[d as usize].epoch }
     }
 
     // Peer messages.
@@ -550,8 +565,8 @@
         let datagrams = peers.tick(now);
         let due = peers.core.next_tick();
         self.push(due, ClockEvent::PeerRound(incarnation));
-        self.update_slow_start_shares(incarnation.d);
-        self.send_datagrams(incarnation.d, datagrams);
+        self.update_slow_start_shares(incarnation.dispatcher);
+        self.send_datagrams(incarnation.dispatcher, datagrams);
     }
 
     /// Passes a dispatcher its shares of the cold runners' slow-start budgets.
@@ -659,7 +674,7 @@
         }
     }
 
-    // The part of the request table.
+    // What the request table does on sockets.
 
     /// Handles an invocation that has reached its dispatcher.
     fn request_arrived(&mut self, inv: u64, d: u32) {
@@ -684,11 +699,11 @@
             return self.answer(d, inv, FinalStatus::Throttled, None);
         }
         let now = self.now;
-        let taken = self.dispatchers[d as usize]
+        let admission = self.dispatchers[d as usize]
             .startup
             .as_mut()
             .map_or(Ok(()), |startup| startup.admit(operation, now));
-        if let Err(retry_after) = taken {
+        if let Err(retry_after) = admission {
             return self.answer(d, inv, FinalStatus::Throttled, retry_after);
         }
         let incarnation = self.incarnation(d);
@@ -722,7 +737,7 @@
                 ClockEvent::Cancel(incarnation, inv, number as u32, r),
             );
             self.report_outcome(
-                incarnation.d,
+                incarnation.dispatcher,
                 (inv, id),
                 (number as u32, r),
                 ForwardResult::TimedOut,
@@ -730,13 +745,15 @@
                 None,
             );
         }
-        // An invocation that the module has not ended by now gets its error nevertheless.
-        if let Some(open) =
-            self.dispatchers[incarnation.d as usize].invocations.get(&inv).filter(|open| !open.answered)
+        // The decision module may leave the invocation unanswered, but its client still gets an answer.
+        if let Some(open) = self.dispatchers[incarnation.dispatcher as usize]
+            .invocations
+            .get(&inv)
+            .filter(|open| !open.answered)
         {
             let id = open.id.clone();
-            self.answer(incarnation.d, inv, FinalStatus::Errored, None);
-            self.handle_event(incarnation.d, Event::ClientLeft { invocation: id });
+            self.answer(incarnation.dispatcher, inv, FinalStatus::Errored, None);
+            self.handle_event(incarnation.dispatcher, Event::ClientLeft { invocation: id });
         }
     }
 
@@ -757,7 +774,7 @@
             self.answer(d, inv, FinalStatus::Succeeded, None);
         }
         let runner_id = self.ids[r as usize].clone();
-        let ended = Ended {
+        let outcome = ForwardOutcome {
             invocation: id,
             forward,
             runner: runner_id,
@@ -767,7 +784,7 @@
             report: report_values(load),
         };
         self.remove_if_finished(d, inv);
-        self.handle_event(d, Event::Outcome(ended));
+        self.handle_event(d, Event::Outcome(outcome));
     }
 
     /// Removes an invocation that is answered and has no forward in flight.
@@ -802,9 +819,9 @@
         self.decisions += 1;
         let dispatcher = &mut self.dispatchers[d as usize];
         let began = self.options.measure_time.then(Instant::now);
-        let kind = usize::from(!matches!(event, Event::Roster(_)));
-        let actions = dispatcher.decide.decide(self.now, event, &self.world.runners);
-        self.decision_time[kind] += began.map_or(Duration::ZERO, |began| began.elapsed());
+        let time_index = usize::from(!matches!(event, Event::Roster(_)));
+        let actions = dispatcher.decision_maker.decide(self.now, event, &self.world.runners);
+        self.decision_time[time_index] += began.map_or(Duration::ZERO, |began| began.elapsed());
         let incarnation = self.incarnation(d);
         for action in actions {
             match action {
@@ -869,7 +886,7 @@
     /// as void.
     fn forward(&mut self, incarnation: Incarnation, id: &Id, runner_id: &Id) {
         let (inv, r, now) = (invocation_number(id), runner_number(runner_id), self.now);
-        let dispatcher = &mut self.dispatchers[incarnation.d as usize];
+        let dispatcher = &mut self.dispatchers[incarnation.dispatcher as usize];
         let Some(open) = dispatcher.invocations.get_mut(&inv) else { return };
         let number = open.sent.len() as u32;
         let sendable = !open.answered && !open.sent.iter().any(|sent| sent.in_flight);
@@ -892,7 +909,7 @@
 
     /// Opens a connection: schedules the event `connected` or `failed`.
     fn dial(&mut self, incarnation: Incarnation, r: u32, connected: ClockEvent, failed: ClockEvent) {
-        let (from, to) = self.zones_of(incarnation.d, r);
+        let (from, to) = self.zones_of(incarnation.dispatcher, r);
         let round_trip = self.delay(from, to) + self.delay(to, from);
         let runner = &self.world.runners[r as usize];
         // A link that works in one direction only establishes no connection.
@@ -910,15 +927,15 @@
     fn open_connection(&mut self, incarnation: Incarnation, r: u32) -> bool {
         let now = self.now;
         let runner = &mut self.world.runners[r as usize];
-        let up = runner.state == ProcessState::Up && runner.connect(now);
-        if up {
+        let accepted = runner.state == ProcessState::Up && runner.connect(now);
+        if accepted {
             self.tally.traffic.connections += 1;
             self.reschedule(r);
             if let Some(dispatcher) = self.running_dispatcher(incarnation) {
                 dispatcher.connections.entry(r).or_default().1 += 1;
             }
         }
-        up
+        accepted
     }
 
     /// Uses a new connection for its forward, or leaves it idle if the forward has ended meanwhile.
@@ -943,16 +960,16 @@
 
     /// Sends a forward to its runner.
     fn send_forward(&mut self, incarnation: Incarnation, inv: u64, number: u32, r: u32) {
-        if let Some(open) = self.dispatchers[incarnation.d as usize].invocations.get_mut(&inv) {
+        if let Some(open) = self.dispatchers[incarnation.dispatcher as usize].invocations.get_mut(&inv) {
             open.sent[number as usize].bytes_sent = true;
         }
-        let (from, to) = self.zones_of(incarnation.d, r);
+        let (from, to) = self.zones_of(incarnation.dispatcher, r);
         let runner = &self.world.runners[r as usize];
         let cold = (runner.warmth(self.now) < 1.0).then(|| runner.capacity(self.now));
         let work = self.requests.get(&(inv >> ATTEMPT_BITS)).map_or(0.0, |open| open.request.work);
         self.judge.observe(
             self.now,
-            Observation::Forwarded { inv, dispatcher: incarnation.d, runner: r, work, cold },
+            Observation::Forwarded { inv, dispatcher: incarnation.dispatcher, runner: r, work, cold },
         );
         self.tally.traffic.forwards += 1;
         self.tally.traffic.crossings += u64::from(from != to);
@@ -965,19 +982,20 @@
         self.tally.traffic.probes += 1;
         self.serial += 1;
         let nth = self.serial;
-        let (from, to) = self.zones_of(incarnation.d, r);
-        let dispatcher = &mut self.dispatchers[incarnation.d as usize];
+        let (from, to) = self.zones_of(incarnation.dispatcher, r);
+        let dispatcher = &mut self.dispatchers[incarnation.dispatcher as usize];
         dispatcher.probes.insert(r, nth);
         let has_idle_connection = dispatcher.connections.get(&r).is_some_and(|(idle, _)| *idle > 0);
-        let late = self.now + self.scenario.limits.probe_timeout.0;
-        self.push(late, ClockEvent::ProbeEnded(incarnation, r, nth, None));
+        let timeout_at = self.now + self.scenario.limits.probe_timeout.0;
+        self.push(timeout_at, ClockEvent::ProbeEnded(incarnation, r, nth, None));
         if has_idle_connection {
             self.send(from, to, ClockEvent::Probe(incarnation, r, nth));
         } else if self.world.runners[r as usize].state == ProcessState::Up
             && self.open_connection(incarnation, r)
         {
             let delay = 2 * self.delay(from, to) + self.world.runners[r as usize].handshake();
-            if let Some((idle, _)) = self.dispatchers[incarnation.d as usize].connections.get_mut(&r) {
+            if let Some((idle, _)) = self.dispatchers[incarnation.dispatcher as usize].connections.get_mut(&r)
+            {
                 *idle += 1;
             }
             if self.world.linked(from, to) {
@@ -1023,11 +1041,11 @@
             self.judge.observe(now, Observation::Ended { inv, runner: r, how });
         }
         if was_in_flight || result == ForwardResult::Void {
-            self.report_outcome(incarnation.d, (inv, id), (number, r), result, elapsed, load);
+            self.report_outcome(incarnation.dispatcher, (inv, id), (number, r), result, elapsed, load);
         } else if result == ForwardResult::Succeeded {
             // It was cancelled but succeeded nevertheless: this result answers the invocation.
-            self.answer(incarnation.d, inv, FinalStatus::Succeeded, None);
-            self.handle_event(incarnation.d, Event::ClientLeft { invocation: id });
+            self.answer(incarnation.dispatcher, inv, FinalStatus::Succeeded, None);
+            self.handle_event(incarnation.dispatcher, Event::ClientLeft { invocation: id });
         }
     }
 
@@ -1059,7 +1077,7 @@
                     self.job_event_buffer = job_events;
                     self.reschedule(r);
                 }
-                let (to, from) = self.zones_of(incarnation.d, r);
+                let (to, from) = self.zones_of(incarnation.dispatcher, r);
                 self.send(
                     from,
                     to,
@@ -1068,7 +1086,7 @@
             }
             ClockEvent::Probe(incarnation, r, nth) => {
                 let load = self.world.runners[r as usize].report(self.now);
-                let (to, from) = self.zones_of(incarnation.d, r);
+                let (to, from) = self.zones_of(incarnation.dispatcher, r);
                 self.send(from, to, ClockEvent::ProbeEnded(incarnation, r, nth, Some(load)));
             }
             _ => {}
@@ -1079,7 +1097,7 @@
     fn reset_connection(&mut self, event: ClockEvent) {
         match event {
             ClockEvent::Submit(incarnation, inv, number, r) => {
-                let (to, from) = self.zones_of(incarnation.d, r);
+                let (to, from) = self.zones_of(incarnation.dispatcher, r);
                 self.send(
                     from,
                     to,
@@ -1088,7 +1106,7 @@
             }
             ClockEvent::Cancel(incarnation, inv, number, r) => {
                 self.judge.observe(self.now, Observation::Withdrawn { inv, runner: r });
-                let (to, from) = self.zones_of(incarnation.d, r);
+                let (to, from) = self.zones_of(incarnation.dispatcher, r);
                 self.send(
                     from,
                     to,
@@ -1096,7 +1114,7 @@
                 );
             }
             ClockEvent::Probe(incarnation, r, nth) => {
-                let (to, from) = self.zones_of(incarnation.d, r);
+                let (to, from) = self.zones_of(incarnation.dispatcher, r);
                 self.send(from, to, ClockEvent::ProbeEnded(incarnation, r, nth, None));
             }
             _ => {}
@@ -1105,7 +1123,7 @@
 
     /// Offers a forward to its runner and schedules the reply.
     fn submit(&mut self, incarnation: Incarnation, inv: u64, number: u32, r: u32) {
-        let (to, from) = self.zones_of(incarnation.d, r);
+        let (to, from) = self.zones_of(incarnation.dispatcher, r);
         let Some(open) = self.requests.get(&(inv >> ATTEMPT_BITS)) else {
             // The client has its answer or has left, and the work of the request is no longer stored: the job
             // fails at once.
@@ -1118,10 +1136,10 @@
         let (operation, work) = (open.request.operation, open.request.work);
         let mut job_events = std::mem::take(&mut self.job_event_buffer);
         let runner = &mut self.world.runners[r as usize];
-        let taken = runner.offer(self.now, inv, operation, work, &mut job_events);
+        let reply = runner.offer(self.now, inv, operation, work, &mut job_events);
         let load = runner.report(self.now);
         self.send(from, to, ClockEvent::ConnectionIdle(incarnation, r));
-        match taken {
+        match reply {
             OfferResult::Accepted => {
                 self.owners.insert((r, inv), (incarnation, number));
             }
@@ -1175,7 +1193,7 @@
                 continue;
             }
             let Some((incarnation, number)) = self.owners.get(&(r, inv)).copied() else { continue };
-            let (to, from) = self.zones_of(incarnation.d, r);
+            let (to, from) = self.zones_of(incarnation.dispatcher, r);
             let load = Some(self.world.runners[r as usize].report(self.now));
             let result = match job_event {
                 JobEvent::Progress(_) => {
@@ -1207,12 +1225,12 @@
                     DeduplicationScope::Cell => runner.cell,
                 };
                 let now = self.now;
-                let known = self.marks.get(&(request, group)).copied();
+                let known = self.first_effects.get(&(request, group)).copied();
                 // Real runners remember the invocation from when it was first sent. Here the span begins at
                 // the start of the job, somewhat later, which errs in the dispatcher's favour.
                 let new = known.is_none_or(|at| now > at + op.memory_span.0);
                 if new {
-                    self.marks.insert((request, group), now);
+                    self.first_effects.insert((request, group), now);
                 }
                 new
             }
@@ -1264,8 +1282,8 @@
                 self.runner_reached(event);
             }
         }
-        for (r, inv, job_events) in effects.job_events {
-            self.handle_job_events(r as u32, &mut vec![(inv, job_events)]);
+        for (r, inv, job_event) in effects.job_events {
+            self.handle_job_events(r as u32, &mut vec![(inv, job_event)]);
         }
         for (r, state, after) in effects.listed {
             self.push(self.now + after, ClockEvent::Listed(r as u32, state));
@@ -1317,9 +1335,9 @@
             let delay = self.client_delay();
             self.push(self.now + delay, ClockEvent::ResultArrived(inv, load::AttemptResult::NoAnswer));
         }
-        let notice = self.scenario.clients.front_notice.0;
+        let notice_delay = self.scenario.clients.front_notice.0;
         let incarnation = self.incarnation(d);
-        self.push(self.now + notice, ClockEvent::FrontNotice(incarnation, false));
+        self.push(self.now + notice_delay, ClockEvent::FrontNotice(incarnation, false));
     }
 
     /// Suspends or resumes a dispatcher's process.
@@ -1355,7 +1373,7 @@
         }
     }
 
-    /// Starts a new process of a dispatcher, with the roster that it has stored.
+    /// Starts a new process of a dispatcher, which remembers the runners that are listed as up.
     fn start_dispatcher(&mut self, d: u32) {
         let nth = d as usize;
         let zone = nth % self.world.zones;
@@ -1365,7 +1383,7 @@
         let has_peers = settings.slow_start_is_shared;
         let seed = seeded_generator(self.seed, 1 << 41 | u64::from(d) << 8 | starts).random();
         let dispatcher = Dispatcher {
-            decide: new_decider(self.policy, self.settings[nth].clone(), seed),
+            decision_maker: new_decider(self.policy, self.settings[nth].clone(), seed),
             alive: true,
             epoch,
             starts,
@@ -1460,7 +1478,7 @@
         self.tally.record_discovery_call(self.now);
         let discovery = &self.scenario.discovery;
         let begins = self.discovery_busy_until.max(self.now);
-        let zone = self.dispatchers[incarnation.d as usize].zone;
+        let zone = self.dispatchers[incarnation.dispatcher as usize].zone;
         if !self.world.discovery_up || begins - self.now > discovery.call_most.0 {
             return self.send(0, zone, ClockEvent::DiscoveryRefused(incarnation));
         }
@@ -1482,8 +1500,10 @@
             let state = self.listing_states[r as usize];
             let wanted = state == ListingState::Up;
             if !wanted || self.world.runners[r as usize].launched.is_some() {
-                self.judge
-                    .observe(self.now, Observation::Told { dispatcher: incarnation.d, runner: r, wanted });
+                self.judge.observe(
+                    self.now,
+                    Observation::Told { dispatcher: incarnation.dispatcher, runner: r, wanted },
+                );
             }
             if state != ListingState::Gone {
                 entries.push(self.entry(r, state));
@@ -1491,7 +1511,7 @@
         }
         let now = self.now;
         let (states, runners) = (&self.listing_states, &self.world.runners);
-        if let Some(startup) = &mut self.dispatchers[incarnation.d as usize].startup {
+        if let Some(startup) = &mut self.dispatchers[incarnation.dispatcher as usize].startup {
             let listed = states.iter().zip(runners).enumerate();
             startup.update_roster(
                 listed.map(|(r, (state, runner))| (r as u32, *state == ListingState::Up, runner.launched)),
@@ -1499,8 +1519,8 @@
                 now,
             );
         }
-        self.handle_event(incarnation.d, Event::Roster(Roster { listing: Listing::All, entries }));
-        self.update_slow_start_shares(incarnation.d);
+        self.handle_event(incarnation.dispatcher, Event::Roster(Roster { listing: Listing::All, entries }));
+        self.update_slow_start_shares(incarnation.dispatcher);
     }
 
     /// Counts the jobs of all runners.
@@ -1521,12 +1541,12 @@
     /// Ends the run and computes its outcome.
     fn finish(mut self) -> Run {
         self.judge.finish(self.now);
-        let seen = (self.sampled.0 * self.world.runners.len() as u64).max(1) as f64;
+        let samples = (self.sampled.0 * self.world.runners.len() as u64).max(1) as f64;
         let mut tails: Tails = Vec::new();
         let mut above = 0;
         for count in self.sampled.1.iter().rev() {
             above += count;
-            tails.push(above as f64 / seen);
+            tails.push(above as f64 / samples);
         }
         tails.reverse();
         let runners = runner_outcomes(self.scenario, &self.world, &self.tally.forwards);
@@ -1534,7 +1554,7 @@
             Policy::Topazsail => "topazsail (module, in process)".to_owned(),
             other => format!("baseline {other:?}"),
         };
-        let kind = RunDetails {
+        let details = RunDetails {
             clock: "virtual".to_owned(),
             program,
             seed: self.seed,
@@ -1548,7 +1568,7 @@
             notes: Vec::new(),
         };
         Run {
-            outcome: self.tally.outcome(self.scenario, kind),
+            outcome: self.tally.outcome(self.scenario, details),
             tails,
             decisions: self.decisions,
             decision_time: self.decision_time,
@@ -1558,14 +1578,14 @@
 
 /// What each runner did, for the report.
 pub fn runner_outcomes(scenario: &Scenario, world: &World, forwards: &[u64]) -> Vec<RunnerOutcome> {
-    let of = |(r, runner): (usize, &crate::runner::Runner)| RunnerOutcome {
+    let outcome_of = |(r, runner): (usize, &crate::runner::Runner)| RunnerOutcome {
         name: format!("r{r}"),
         zone: scenario.zones.names[runner.zone].clone(),
         kind: scenario.pool[runner.kind].kind.clone(),
         forwards: forwards[r],
         used: round(runner.work_done / (scenario.length.0 as f64 * f64::from(runner.slots) * runner.speed)),
     };
-    world.runners.iter().enumerate().map(of).collect()
+    world.runners.iter().enumerate().map(outcome_of).collect()
 }
 
 /// The number of an invocation, from its id.
