--- a/lab/src/runner.rs
+++ b/lab/src/runner.rs
@@ -1,4 +1,4 @@
-//! One runner as it really is: slots, a FIFO queue, speed, warm-up and faults.
+//! One emulated runner: its slots, FIFO queue, speed, warm-up and faults.
 //!
 //! It does no I/O, reads no clock and draws random numbers only from its own generator; both clocks drive it.
 //! It knows nothing of dispatchers or policies.
@@ -64,7 +64,8 @@
     work: f64,
 }
 
-/// A fault of one operation, or of all if `operation` is none.
+/// A fault of one operation, or of all if `operation` is none. Its size is a factor or a share, as the field
+/// that holds it says.
 #[derive(Clone, Copy, Debug)]
 pub struct Impairment {
     pub operation: Option<usize>,
@@ -89,10 +90,13 @@
     pub slots: u32,
     queue_limit: u32,
     pub speed: f64,
+    /// Cost of a new connection, in microseconds.
     handshake: Micros,
     pub max_connections: u32,
     pub connections: u32,
+    /// Share of full capacity when the process starts.
     cold_from: f64,
+    /// Time from its start until the process has full capacity, in microseconds.
     warm_within: Micros,
     pub state: ProcessState,
     /// The process is frozen: it reads nothing and makes no progress.
@@ -106,6 +110,7 @@
     pub errors: Option<Impairment>,
     /// Accepts this share of forwards and never ends them.
     pub loses: Option<Impairment>,
+    /// Interval of progress reports in microseconds; 0 for none.
     progress_interval: Micros,
     /// Position of the service clock, in work of one slot at speed 1.
     service: f64,
@@ -121,6 +126,7 @@
     /// When the next progress report of each job is due.
     progress_due: BTreeMap<(Micros, Job), ()>,
     rng: Pcg32,
+    /// Age of load reports in microseconds.
     report_delay: Micros,
     /// Recent loads, for delayed reports.
     past_loads: VecDeque<(Micros, LoadReport)>,
@@ -193,11 +199,13 @@
         f64::from(self.slots) * self.speed * self.warmth(now)
     }
 
+    /// Work that a running job gets in a microsecond.
     fn rate(&self, now: Micros) -> f64 {
         let slow = self.slow.filter(|fault| fault.operation.is_none()).map_or(1.0, |fault| fault.size);
         if self.frozen || self.state != ProcessState::Up { 0.0 } else { self.speed * self.warmth(now) / slow }
     }
 
+    /// When the next step of the warm-up comes, from the time of the service clock's position.
     fn next_step(&self) -> Option<Micros> {
         let launched = self.launched?;
         if self.at >= launched + self.warm_within {
@@ -217,6 +225,7 @@
         self.run_until(now);
     }
 
+    /// Advances the service clock to `now` at the present rate.
     fn run_until(&mut self, now: Micros) {
         let done = self.rate(self.at) * (now - self.at).max(0) as f64;
         self.service += done;
@@ -316,9 +325,9 @@
         if self.running.len() >= self.slots as usize && self.waiting.len() >= self.queue_limit as usize {
             return OfferResult::Full;
         }
-        let only =
+        let slowdown =
             self.slow.filter(|fault| fault.operation == Some(operation)).map_or(1.0, |fault| fault.size);
-        self.waiting.push_back((job, operation, work.max(1.0) * only));
+        self.waiting.push_back((job, operation, work.max(1.0) * slowdown));
         self.fill(now, events);
         self.record_load(now);
         OfferResult::Accepted
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -1,8 +1,11 @@
 //! The deployment that a scenario describes: its runners, its links, what discovery lists, and the schedule
 //! of its faults.
 //!
-//! It does no I/O and reads no clock. Both clocks build it from scenario and seed, and apply the same changes
-//! at the same times. It holds no state of dispatchers, as they are what is tested.
+//! It does no I/O and reads no clock. Both clocks, virtual time and sockets, build it from scenario and seed,
+//! and apply the same changes at the same times. It holds no state of dispatchers, as they are what is
+//! tested.
+//!
+//! In this module `d` is the number of a dispatcher and `r` that of a runner.
 
 use std::collections::BTreeMap;
 
@@ -136,12 +139,14 @@
     cut: Vec<(bool, bool)>,
     /// Whether discovery answers.
     pub discovery_up: bool,
-    links: Vec<LinkFault>,
+    link_faults: Vec<LinkFault>,
     /// All changes, in order of time in microseconds.
     pub schedule: Vec<(Micros, Change)>,
     /// The faults as played, for the report.
     pub bands: Vec<FaultBand>,
+    /// Delay in microseconds after which discovery learns of the start or end of a process.
     notice: Micros,
+    /// The same for a machine that becomes silent.
     silent_notice: Micros,
 }
 
@@ -177,7 +182,7 @@
             zones,
             cut: vec![(false, false); zones],
             discovery_up: true,
-            links: Vec::new(),
+            link_faults: Vec::new(),
             schedule: Vec::new(),
             bands: Vec::new(),
             runners,
@@ -193,8 +198,10 @@
         world
     }
 
-    /// Merges overlapping outages of the same thing into one: down with the first, up after the last.
+    /// Merges overlapping outages of the same process or service into one: down with the first, up after the
+    /// last.
     fn merge_overlapping_outages(&mut self) {
+        // How many outages are under way, by kind and number.
         let mut depth: BTreeMap<(u8, u32), u32> = BTreeMap::new();
         self.schedule.retain(|(_, change)| {
             let (key, down) = match *change {
@@ -219,10 +226,16 @@
         all.filter(|d| zone.is_none_or(|zone| *d as usize % self.zones == zone)).collect()
     }
 
-    /// Schedules the kill and restart of dispatchers; returns when the last may be back.
-    fn plan_kills(&mut self, mut dispatchers: Vec<u32>, fault: &Fault, all: u32, rng: &mut Pcg32) -> Micros {
+    /// Schedules the kill and restart of some of the `total` dispatchers; returns when the last may be back.
+    fn plan_kills(
+        &mut self,
+        mut dispatchers: Vec<u32>,
+        fault: &Fault,
+        total: u32,
+        rng: &mut Pcg32,
+    ) -> Micros {
         use rand::RngExt;
-        let all = dispatchers.len() == all as usize;
+        let all_killed = dispatchers.len() == total as usize;
         dispatchers.shuffle(rng);
         let away = (dispatchers.len() as f64 * fault.away).round() as usize;
         let (at, back) = (fault.at.0, fault.at.0 + fault.lasts.0);
@@ -233,8 +246,8 @@
             }
             if nth >= away {
                 let after = rng.random_range(0..=fault.spread.0);
-                let power = fault.kind == FaultKind::PowerLoss;
-                let prepare = Change::PrepareDisk(d, fault.disk, power, all);
+                let machine_restarted = fault.kind == FaultKind::PowerLoss;
+                let prepare = Change::PrepareDisk(d, fault.disk, machine_restarted, all_killed);
                 self.schedule.push((back + after, prepare));
                 self.schedule.push((back + after, Change::StartDispatcher(d)));
             }
@@ -270,27 +283,29 @@
         if !self.linked(near, far) {
             return Vec::new();
         }
-        let mut after = vec![World::delay(scenario, near, far, rng.random())];
-        for fault in self.links.iter().filter(|fault| fault.on) {
-            let (sender, either) =
+        let mut delays = vec![World::delay(scenario, near, far, rng.random())];
+        for fault in self.link_faults.iter().filter(|fault| fault.on) {
+            let (sender_affected, any_affected) =
                 (fault.affected[from as usize], fault.affected[from as usize] || fault.affected[to as usize]);
-            if !either || fault.kind == LinkFaultKind::OneWay && !sender {
+            if !any_affected || fault.kind == LinkFaultKind::OneWay && !sender_affected {
                 continue;
             }
-            let span = (fault.size * 1000.0) as Micros;
-            let hit = fault.size > 0.0 && rng.random::<f64>() < fault.size;
+            let size_as_time = (fault.size * 1000.0) as Micros;
+            let is_hit = fault.size > 0.0 && rng.random::<f64>() < fault.size;
             match fault.kind {
                 LinkFaultKind::Cut | LinkFaultKind::OneWay => return Vec::new(),
-                LinkFaultKind::Flap if (now / span.max(1)) % 2 == 0 => return Vec::new(),
+                LinkFaultKind::Flap if (now / size_as_time.max(1)) % 2 == 0 => return Vec::new(),
                 LinkFaultKind::Flap => {}
-                LinkFaultKind::Loss if hit => return Vec::new(),
-                LinkFaultKind::Repeat if hit => after.push(after[0] + rng.random_range(0..MAX_REORDER_DELAY)),
-                LinkFaultKind::Reorder if hit => after[0] += rng.random_range(0..MAX_REORDER_DELAY),
+                LinkFaultKind::Loss if is_hit => return Vec::new(),
+                LinkFaultKind::Repeat if is_hit => {
+                    delays.push(delays[0] + rng.random_range(0..MAX_REORDER_DELAY))
+                }
+                LinkFaultKind::Reorder if is_hit => delays[0] += rng.random_range(0..MAX_REORDER_DELAY),
                 LinkFaultKind::Loss | LinkFaultKind::Repeat | LinkFaultKind::Reorder => {}
-                LinkFaultKind::Delay => after.iter_mut().for_each(|after| *after += span),
+                LinkFaultKind::Delay => delays.iter_mut().for_each(|delay| *delay += size_as_time),
             }
         }
-        after
+        delays
     }
 
     /// One-way delay of a link in microseconds; `jitter_draw` from 0 to 1 sets the jitter.
@@ -311,32 +326,32 @@
         let mut all: Vec<usize> = (0..self.runners.len()).collect();
         all.retain(|r| zone.is_none_or(|zone| self.runners[*r].zone == zone));
         all.shuffle(rng);
-        let most = ((all.len() as f64 * fault.part).round() as usize).clamp(1, all.len().max(1));
-        let part = &all[..most.min(all.len())];
+        let count = ((all.len() as f64 * fault.part).round() as usize).clamp(1, all.len().max(1));
+        let affected_runners = &all[..count.min(all.len())];
         let parameters = FaultParameters { operation, size: fault.size };
-        let mut to = until;
+        let mut ends_at = until;
         let plan = &mut self.schedule;
         let mut begin_and_end = |r: usize, change: fn(usize, Option<FaultParameters>) -> Change| {
             plan.push((at, change(r, Some(parameters))));
             plan.push((until, change(r, None)));
         };
         match fault.kind {
-            FaultKind::Slow => part.iter().for_each(|r| begin_and_end(*r, Change::Slow)),
-            FaultKind::FastErrors => part.iter().for_each(|r| begin_and_end(*r, Change::Errors)),
-            FaultKind::Loses => part.iter().for_each(|r| begin_and_end(*r, Change::Loses)),
+            FaultKind::Slow => affected_runners.iter().for_each(|r| begin_and_end(*r, Change::Slow)),
+            FaultKind::FastErrors => affected_runners.iter().for_each(|r| begin_and_end(*r, Change::Errors)),
+            FaultKind::Loses => affected_runners.iter().for_each(|r| begin_and_end(*r, Change::Loses)),
             FaultKind::Crash => {
-                for &r in part {
+                for &r in affected_runners {
                     plan.extend([(at, Change::Stop(r, ProcessState::Down)), (until, Change::Start(r))]);
                 }
             }
             FaultKind::Hang => {
-                for &r in part {
+                for &r in affected_runners {
                     plan.extend([(at, Change::Freeze(r, true)), (until, Change::Freeze(r, false))]);
                 }
             }
             FaultKind::Pauses => {
                 use rand::RngExt;
-                for &r in part {
+                for &r in affected_runners {
                     let mut next = at + rng.random_range(0..MEAN_PAUSE_INTERVAL);
                     let pause = (fault.size * 1000.0) as Micros;
                     while next < until {
@@ -368,14 +383,14 @@
                 plan.extend([(at, Change::Discovery(false)), (until, Change::Discovery(true))]);
             }
             FaultKind::Deploy => {
-                let gap = fault.lasts.0 / part.len().max(1) as Micros;
-                for (nth, &r) in part.iter().enumerate() {
+                let gap = fault.lasts.0 / affected_runners.len().max(1) as Micros;
+                for (nth, &r) in affected_runners.iter().enumerate() {
                     let at = at + gap * nth as Micros;
                     plan.push((at, Change::Drain(r)));
                     plan.push((at + DRAIN_DURATION, Change::Retire(r)));
                     plan.push((at + DRAIN_DURATION + RESTART_DURATION, Change::Start(r)));
                 }
-                to = until + DRAIN_DURATION + RESTART_DURATION;
+                ends_at = until + DRAIN_DURATION + RESTART_DURATION;
             }
             FaultKind::RollTerm | FaultKind::RollKill => {
                 let gap = fault.lasts.0 / Micros::from(scenario.dispatchers);
@@ -392,24 +407,24 @@
                         plan.push((at + TERM_TO_KILL + ROLL_DOWNTIME, Change::StartDispatcher(d)));
                     }
                 }
-                to = until + ROLL_DOWNTIME;
+                ends_at = until + ROLL_DOWNTIME;
             }
             FaultKind::Kill | FaultKind::Freeze | FaultKind::Disk | FaultKind::Link => {
                 let mut all = self.dispatchers(scenario, zone);
                 all.shuffle(rng);
                 all.truncate(((all.len() as f64 * fault.part).round() as usize).max(1));
                 if fault.kind == FaultKind::Kill {
-                    to = self.plan_kills(all, fault, scenario.dispatchers, rng);
+                    ends_at = self.plan_kills(all, fault, scenario.dispatchers, rng);
                 } else if let Some(kind) = fault.link {
                     let mut affected = vec![false; scenario.dispatchers as usize];
                     all.iter().for_each(|d| affected[*d as usize] = true);
-                    let nth = self.links.len();
-                    self.links.push(LinkFault { kind, size: fault.size, affected, on: false });
+                    let nth = self.link_faults.len();
+                    self.link_faults.push(LinkFault { kind, size: fault.size, affected, on: false });
                     let changes = [(at, Change::Link(nth, true)), (until, Change::Link(nth, false))];
                     self.schedule.extend(changes);
                 } else if let Some(wrong) = fault.wrong {
-                    let slow = (fault.size * 1000.0) as Micros;
-                    let change = |on| all.iter().map(move |d| Change::DiskFault(*d, wrong, slow, on));
+                    let sync_time = (fault.size * 1000.0) as Micros;
+                    let change = |on| all.iter().map(move |d| Change::DiskFault(*d, wrong, sync_time, on));
                     self.schedule.extend(change(true).map(|change| (at, change)));
                     self.schedule.extend(change(false).map(|change| (until, change)));
                 } else {
@@ -425,7 +440,7 @@
                 if zone.is_none_or(|zone| zone == 0) {
                     plan.extend([(at, Change::Discovery(false)), (until, Change::Discovery(true))]);
                 }
-                to = self.plan_kills(self.dispatchers(scenario, zone), fault, scenario.dispatchers, rng);
+                ends_at = self.plan_kills(self.dispatchers(scenario, zone), fault, scenario.dispatchers, rng);
             }
             FaultKind::Reload => plan.push((at, Change::Reload)),
             FaultKind::BadClients => {
@@ -437,7 +452,7 @@
         self.bands.push(FaultBand {
             what: what.collect::<Vec<_>>().join(" "),
             from: at as f64 / 1e6,
-            to: to.max(at) as f64 / 1e6,
+            to: ends_at.max(at) as f64 / 1e6,
         });
     }
 
@@ -445,7 +460,7 @@
     pub fn apply(&mut self, now: Micros, change: &Change) -> ChangeEffects {
         let mut effects = ChangeEffects::default();
         let mut job_events = Vec::new();
-        let mut of = None;
+        let mut drained = None;
         match *change {
             Change::Stop(r, state) => {
                 let lost = self.runners[r].stop(now, state);
@@ -480,7 +495,7 @@
             }
             Change::Drain(r) => {
                 self.runners[r].drain(now, &mut job_events);
-                of = Some(r);
+                drained = Some(r);
                 effects.listed.push((r, ListingState::Draining, self.notice / 10));
             }
             Change::Retire(r) => {
@@ -497,7 +512,7 @@
                 effects.healed = !cut;
             }
             Change::Discovery(up) => self.discovery_up = up,
-            Change::Link(nth, on) => self.links[nth].on = on,
+            Change::Link(nth, on) => self.link_faults[nth].on = on,
             Change::Term(_)
             | Change::Kill(_)
             | Change::StartDispatcher(_)
@@ -508,19 +523,20 @@
             | Change::Reload
             | Change::BadClients(_) => {}
         }
-        if let Some(r) = of {
-            effects.job_events.extend(job_events.into_iter().map(|(job, job_events)| (r, job, job_events)));
+        if let Some(r) = drained {
+            effects.job_events.extend(job_events.into_iter().map(|(job, job_event)| (r, job, job_event)));
         }
         effects
     }
 
-    /// One entry of discovery's list, in the platform's format.
+    /// One entry of discovery's list, in the platform's format. `run_start` is the Unix time of the start of
+    /// the run, in microseconds.
     pub fn entry(
         &self,
         scenario: &Scenario,
         r: usize,
         state: ListingState,
-        unix: Micros,
+        run_start: Micros,
         address: &str,
     ) -> serde_json::Value {
         let runner = &self.runners[r];
@@ -528,7 +544,7 @@
             "instanceId": format!("r{r}"), "hostPort": address, "zone": scenario.zones.names[runner.zone],
             "machineType": scenario.pool[runner.kind].kind, "cell": runner.cell, "weight": 1.0,
             "lifecycle": match state { ListingState::Up => "up", ListingState::Draining => "draining", ListingState::Gone => "removed" },
-            "startedAtMs": runner.launched.map_or(0, |at| (unix + at) / 1000),
+            "startedAtMs": runner.launched.map_or(0, |at| (run_start + at) / 1000),
         })
     }
 }
