--- a/lab/src/disks.rs
+++ b/lab/src/disks.rs
@@ -62,7 +62,7 @@
     folder.with_extension("disk")
 }
 
-/// Whether a file is a log. Other files are rewritten as a whole or only held, and are never damaged.
+/// Whether a file is a log. Other files are replaced as a whole or hold only a lock, and are never damaged.
 fn is_log(name: &str) -> bool {
     name.starts_with("log-")
 }
@@ -72,6 +72,7 @@
     path: PathBuf,
     /// The present condition, to be written with [`DispatcherDirectory::write_control_file`].
     pub condition: DiskCondition,
+    /// The files as last saved, for the state `old`.
     saved: Vec<(String, Vec<u8>)>,
 }
 
@@ -126,7 +127,8 @@
         files.iter().try_for_each(|(name, bytes)| fs::write(self.path.join(name), bytes))
     }
 
-    /// Puts the disk into the state that the next process run finds.
+    /// Puts the disk into the state that the next process run finds; `other` is the directory to copy for
+    /// `Copied`.
     pub fn prepare(
         &self,
         state: DiskState,
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -69,9 +69,9 @@
         }
         let differences: Vec<f64> = pairs.iter().map(|(a, b)| a - b).collect();
         let mean = differences.iter().sum::<f64>() / n;
-        let square = differences.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (n - 1.0);
+        let variance = differences.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (n - 1.0);
         let t = StudentsT::new(0.0, 1.0, n - 1.0).ok()?.inverse_cdf(0.975);
-        Some(Difference { mean: round(mean), half_width: round(t * (square / n).sqrt()) })
+        Some(Difference { mean: round(mean), half_width: round(t * (variance / n).sqrt()) })
     }
 
     /// Whether the interval excludes zero.
@@ -106,7 +106,7 @@
     pub broken: (u64, u64),
 }
 
-/// Plays the same seeds with both; a pair with a void run is left out and counted.
+/// Plays the same seeds with both systems; a pair with a void run is left out and counted.
 pub fn compare(
     scenario: &Scenario,
     ours: &SystemUnderTest,
@@ -115,17 +115,17 @@
     progress: &(dyn Fn(f64) + Sync),
 ) -> Result<Comparison, String> {
     let seeds: Vec<u64> = (0..u64::from(pairs)).map(|nth| scenario.seed + nth).collect();
-    let one = |seed: &u64| -> Result<(Outcome, Outcome), String> {
+    let play_pair = |seed: &u64| -> Result<(Outcome, Outcome), String> {
         Ok((ours.play(scenario, *seed, &|_| ())?, against.play(scenario, *seed, &|_| ())?))
     };
-    let in_memory = |system: &SystemUnderTest| matches!(system, SystemUnderTest::Policy(_));
-    let played: Vec<(Outcome, Outcome)> = if in_memory(ours) && in_memory(against) {
-        seeds.par_iter().map(one).collect::<Result<_, _>>()?
+    let is_virtual = |system: &SystemUnderTest| matches!(system, SystemUnderTest::Policy(_));
+    let played: Vec<(Outcome, Outcome)> = if is_virtual(ours) && is_virtual(against) {
+        seeds.par_iter().map(play_pair).collect::<Result<_, _>>()?
     } else {
         // Programs run in real time: one after the other, as parallel runs would compete for the processor.
         let mut played = Vec::new();
         for (nth, seed) in seeds.iter().enumerate() {
-            played.push(one(seed)?);
+            played.push(play_pair(seed)?);
             progress((nth + 1) as f64 / seeds.len() as f64);
         }
         played
@@ -142,13 +142,14 @@
             broken: (broken(a), broken(b)),
         })
         .collect();
-    let of = |figure: fn(&Pair) -> (f64, f64)| Difference::of(&pairs.iter().map(figure).collect::<Vec<_>>());
+    let difference_of =
+        |figure: fn(&Pair) -> (f64, f64)| Difference::of(&pairs.iter().map(figure).collect::<Vec<_>>());
     Ok(Comparison {
         scenario: scenario.name.clone(),
         ours: ours.name(),
         against: against.name(),
-        goodput: of(|pair| pair.goodput),
-        p99: of(|pair| pair.p99),
+        goodput: difference_of(|pair| pair.goodput),
+        p99: difference_of(|pair| pair.p99),
         void,
         pairs,
     })
@@ -176,26 +177,26 @@
     let whole = toml::to_string(&Scenario::load(path)?).map_err(|error| format!("{name}: {error}"))?;
     let table: toml::Table =
         toml::from_str(&whole).map_err(|error| format!("{name}: {}", error.message()))?;
-    let one = |value: &String| {
+    let with_value = |value: &String| {
         let mut table = table.clone();
-        set(&mut table, field, value).map_err(|fault| format!("{name}: {fault}"))?;
+        set_field(&mut table, field, value).map_err(|fault| format!("{name}: {fault}"))?;
         let text = toml::to_string(&table).map_err(|error| format!("{name}: {error}"))?;
         let scenario = Scenario::parse(&format!("{name} with {field}={value}"), &text)?;
         Ok((value.clone(), scenario))
     };
-    values.iter().map(one).collect()
+    values.iter().map(with_value).collect()
 }
 
 /// Sets a field by its dotted path, with numbers for places in lists: `clients.load`, `fault.0.size`.
-fn set(table: &mut toml::Table, field: &str, value: &str) -> Result<(), String> {
+fn set_field(table: &mut toml::Table, field: &str, value: &str) -> Result<(), String> {
     let parsed = format!("v = {value}").parse::<toml::Table>().ok().and_then(|mut table| table.remove("v"));
     let value = parsed.unwrap_or_else(|| toml::Value::String(value.to_owned()));
     let (parents, last) = field.rsplit_once('.').unwrap_or(("", field));
-    let mut at = table;
+    let mut parent = table;
     let mut parts = parents.split('.').filter(|part| !part.is_empty());
     while let Some(part) = parts.next() {
-        let next = at.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()));
-        at = match next {
+        let next = parent.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+        parent = match next {
             toml::Value::Table(table) => table,
             toml::Value::Array(items) => {
                 let nth =
@@ -206,7 +207,7 @@
             _ => return Err(format!("{field}: {part} holds no fields")),
         };
     }
-    at.insert(last.to_owned(), value);
+    parent.insert(last.to_owned(), value);
     Ok(())
 }
 
--- a/lab/src/experiment/tests.rs
+++ b/lab/src/experiment/tests.rs
@@ -13,11 +13,11 @@
 fn a_field_is_set_by_its_path_or_refused() {
     let text = "a = 1\n[clients]\nload = 0.5\n[[fault]]\nsize = 1.0\n";
     let mut table: toml::Table = toml::from_str(text).unwrap();
-    set(&mut table, "clients.load", "0.7").unwrap();
-    set(&mut table, "fault.0.at", "5s").unwrap();
+    set_field(&mut table, "clients.load", "0.7").unwrap();
+    set_field(&mut table, "fault.0.at", "5s").unwrap();
     assert_eq!(table["clients"]["load"].as_float(), Some(0.7));
     assert_eq!(table["fault"][0]["at"].as_str(), Some("5s"));
     for bad in ["fault.size", "fault.3.size", "a.b"] {
-        assert!(set(&mut table, bad, "1").unwrap_err().starts_with(bad), "{bad}");
+        assert!(set_field(&mut table, bad, "1").unwrap_err().starts_with(bad), "{bad}");
     }
 }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -25,6 +25,7 @@
 }
 
 /// A separate generator for each purpose, so that the draws of one purpose never shift those of another.
+/// `purpose` is an arbitrary number, different for each purpose of a seed.
 pub fn seeded_generator(seed: u64, purpose: u64) -> Pcg32 {
     let mixed = topazsail::hash(&[seed.to_le_bytes(), purpose.to_le_bytes()].concat());
     Pcg32::seed_from_u64(mixed)
@@ -45,7 +46,9 @@
     mean_gap: f64,
     /// The highest rate, as a multiple of the mean.
     peak: f64,
+    /// The time of the latest arrival, in microseconds.
     at: f64,
+    /// When clients stop sending new requests, in microseconds.
     end: Micros,
     rng: Pcg32,
     /// The present phase of `bursts`: when it ends, and whether its rate is high.
@@ -88,7 +91,7 @@
         }
     }
 
-    /// The rate at a time, as a share of the mean.
+    /// The rate at a time, as a multiple of the mean.
     fn level(&mut self, at: f64) -> f64 {
         let (swing, period) = (self.clients.swing, self.clients.period.0.max(1) as f64);
         match self.clients.arrivals {
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -1,7 +1,8 @@
 //! The policies that decide in virtual time: the decision module itself, or a baseline to compare it with.
 //!
-//! Baselines take the same events and return the same actions. They obey the rules on repeats and nothing
-//! else, by intent. Those with true state see what no real dispatcher can see.
+//! Baselines take the same events and return the same kinds of actions. Deliberately, they obey the rules on
+//! repeats and no others. `LeastTrue` and `LeastOfAll` read the true state of the runners, which no real
+//! dispatcher can.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -81,7 +82,7 @@
             rng: seeded_generator(seed, 4),
             listed: Vec::new(),
             reported: HashMap::new(),
-            next_turn: 0,
+            turn: 0,
             invocations: HashMap::new(),
             subscribed: false,
         }),
@@ -100,9 +101,12 @@
     policy: Policy,
     settings: Settings,
     rng: Pcg32,
+    /// Runners that discovery lists as up, by number and id.
     listed: Vec<(u32, Id)>,
+    /// Queued and running jobs of each runner, by its latest load report.
     reported: HashMap<u32, f64>,
-    next_turn: usize,
+    /// The latest turn of round-robin.
+    turn: usize,
     invocations: HashMap<Id, OpenInvocation>,
     subscribed: bool,
 }
@@ -119,19 +123,19 @@
             return None;
         }
         let all = self.listed.len();
-        let count =
+        let load =
             |(r, _): &(u32, Id)| truth[*r as usize].jobs() as f64 / f64::from(truth[*r as usize].slots);
         let nth = match self.policy {
             Policy::Topazsail | Policy::Random => self.rng.random_range(0..all),
             Policy::RoundRobin => {
-                self.next_turn += 1;
-                self.next_turn % all
+                self.turn += 1;
+                self.turn % all
             }
             Policy::LeastOfAll => {
                 // Ties are broken at random, or the first of the list would win them all.
                 let first = self.rng.random_range(0..all);
                 let order = (0..all).map(|step| (first + step) % all);
-                order.min_by(|a, b| count(&self.listed[*a]).total_cmp(&count(&self.listed[*b])))?
+                order.min_by(|a, b| load(&self.listed[*a]).total_cmp(&load(&self.listed[*b])))?
             }
             Policy::LeastReported(draws) => {
                 let drawn: Vec<usize> = (0..draws).map(|_| self.rng.random_range(0..all)).collect();
@@ -140,14 +144,13 @@
             }
             Policy::LeastTrue(draws) => {
                 let drawn: Vec<usize> = (0..draws).map(|_| self.rng.random_range(0..all)).collect();
-                drawn
-                    .into_iter()
-                    .min_by(|a, b| count(&self.listed[*a]).total_cmp(&count(&self.listed[*b])))?
+                drawn.into_iter().min_by(|a, b| load(&self.listed[*a]).total_cmp(&load(&self.listed[*b])))?
             }
         };
         Some(self.listed[nth].1.clone())
     }
 
+    /// Forwards an invocation, or answers it if no runner is listed or no further forward is allowed.
     fn forward(&mut self, inv: Id, truth: &[Runner]) -> Vec<Action> {
         let runner = self.choose(truth);
         let Some(open) = self.invocations.get_mut(&inv) else { return Vec::new() };
@@ -192,17 +195,17 @@
                     self.invocations.remove(&outcome.invocation);
                     return Vec::new();
                 }
-                let never = matches!(
+                let never_ran = matches!(
                     outcome.result,
                     ForwardResult::Overloaded | ForwardResult::Unreachable | ForwardResult::Void
                 );
                 let Some(open) = self.invocations.get_mut(&outcome.invocation) else { return Vec::new() };
-                open.may_have_run |= !never;
+                open.may_have_run |= !never_ran;
                 let effect = self.settings.operations[open.operation].effect;
                 // Deduplication scopes and windows are ignored: what may have run is repeated only where any
                 // runner will do.
-                let again = !open.may_have_run || effect == Effect::Idempotent;
-                if again && outcome.result != ForwardResult::TimedOut {
+                let may_repeat = !open.may_have_run || effect == Effect::Idempotent;
+                if may_repeat && outcome.result != ForwardResult::TimedOut {
                     self.forward(outcome.invocation, truth)
                 } else {
                     self.answer_failure(outcome.invocation)
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -368,14 +368,14 @@
             &format!("  discovery was called {} times, {} in a second\n", traffic.calls, traffic.calls_most);
     }
     if traffic.datagrams > 0 {
-        let each = traffic.datagram_bytes as f64 / outcome.seconds / f64::from(outcome.dispatchers.max(1));
+        let rate = traffic.datagram_bytes as f64 / outcome.seconds / f64::from(outcome.dispatchers.max(1));
         let sent = traffic.datagrams;
-        text += &format!("  {sent} datagrams between dispatchers, {each:.0} bytes a second from each\n");
+        text += &format!("  {sent} datagrams between dispatchers, {rate:.0} bytes a second from each\n");
     }
     for process in &outcome.processes {
-        let share = process.cpu_ms * 1000.0 * outcome.processes.len() as f64 / counts.asked.max(1) as f64;
+        let cpu_us = process.cpu_ms * 1000.0 * outcome.processes.len() as f64 / counts.asked.max(1) as f64;
         text += &format!(
-            "  {}: {:.0} ms of CPU (about {share:.0} us an invocation), {} MB at most, {} starts\n",
+            "  {}: {:.0} ms of CPU (about {cpu_us:.0} us an invocation), {} MB at most, {} starts\n",
             process.name, process.cpu_ms, process.peak_mb, process.starts
         );
     }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -61,18 +61,22 @@
     }
 }
 
+/// Reads a share from 0 to 1.
 fn share<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     bounded(from, 0.0, 1.0)
 }
 
+/// Reads a factor from 0.001 to a million.
 fn factor<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     bounded(from, 1e-3, 1e6)
 }
 
+/// Reads an amount from 0 to a million.
 fn amount<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     bounded(from, 0.0, 1e6)
 }
 
+/// Reads a count from 1 to 100000.
 fn count<'de, D: Deserializer<'de>>(from: D) -> Result<u32, D::Error> {
     let value = u32::deserialize(from)?;
     if (1..=100_000).contains(&value) {
@@ -158,7 +162,8 @@
     1
 }
 
-/// A scenario with a base: each field that it names replaces that whole field of the base.
+/// A scenario with a base: each field that it names replaces that whole field of the base. The description
+/// and the faults are not taken from the base.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct Overlay {
@@ -321,7 +326,7 @@
     pub client_timeout: Span,
     #[serde(default = "Pool::speed", deserialize_with = "factor")]
     pub billed_value: f64,
-    /// The value of an answer after the objective, as a share of the billed value.
+    /// The value of an answer after the latency objective, as a share of the billed value.
     #[serde(default, deserialize_with = "share")]
     pub late_share: f64,
     /// Number of distinct keys, drawn from a Zipf distribution; 0 for no keys.
@@ -440,7 +445,7 @@
     }
 }
 
-/// What the installation allows, and the parameters of the four deployment rules.
+/// What the installation allows, and the parameters of the deployment rules.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Limits {
@@ -771,12 +776,13 @@
             if fault.kind == FaultKind::Link && !self.store.as_ref().is_some_and(|store| store.peers) {
                 return table_error("there are no peers in [store]".to_owned());
             }
-            let share = matches!(
+            let is_share = matches!(
                 fault.link,
                 Some(LinkFaultKind::Loss | LinkFaultKind::Repeat | LinkFaultKind::Reorder)
             );
-            let needs_size = share || matches!(fault.link, Some(LinkFaultKind::Delay | LinkFaultKind::Flap));
-            if needs_size && (fault.size <= 0.0 || share && fault.size > 1.0) {
+            let needs_size =
+                is_share || matches!(fault.link, Some(LinkFaultKind::Delay | LinkFaultKind::Flap));
+            if needs_size && (fault.size <= 0.0 || is_share && fault.size > 1.0) {
                 return table_error("size is missing, or no share".to_owned());
             }
             if (fault.disk == DiskState::Old || fault.wrong == Some(DiskFault::Slow)) && fault.size <= 0.0 {
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -141,16 +141,17 @@
 /// What all dispatchers together sent to cold runners, against what the rule on them allows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ColdUsage {
+    /// Work sent, as a share of the budgets of all cold runners.
     pub used: f64,
     /// The largest share of a budget used in any span that the rule covers.
     pub most: f64,
     /// Spans that end with a call to a cold runner.
     #[serde(default)]
     pub spans: u64,
-    /// Spans with more calls than the random limit.
+    /// Spans with more calls than the call limit.
     #[serde(default)]
     pub over: u64,
-    /// The largest share of the random limit in any span.
+    /// The largest share of the call limit in any span.
     #[serde(default)]
     pub most_by_chance: f64,
 }
@@ -179,7 +180,8 @@
     pub verdict: serde_json::Value,
     /// Violations by rule; empty if all rules were kept.
     pub broken: BTreeMap<String, u64>,
-    /// Why the run is void, if it is: the lab itself was late, or lost count.
+    /// Why the run is void, if it is: for example, the lab itself was late, or its observations contradict
+    /// each other.
     pub void: Vec<String>,
     /// CPU time and peak memory by dispatcher; on sockets only.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -203,7 +205,7 @@
 /// The figures of one window.
 struct WindowTally {
     counts: Counts,
-    asked_value: f64,
+    requested_value: f64,
     achieved_value: f64,
     latency: Histogram<u64>,
 }
@@ -238,7 +240,7 @@
         let windows = (scenario.length.0 + WINDOW - 1) / WINDOW;
         let window = || WindowTally {
             counts: Counts::default(),
-            asked_value: 0.0,
+            requested_value: 0.0,
             achieved_value: 0.0,
             latency: histogram(),
         };
@@ -266,18 +268,18 @@
             _ => 0.0,
         };
         let hundredths = (after.max(0) / 10) as u64;
-        let of = &mut self.operations[request.operation];
-        of.0.add(end, in_time);
-        of.1 += value;
-        of.2 += achieved;
+        let operation = &mut self.operations[request.operation];
+        operation.0.add(end, in_time);
+        operation.1 += value;
+        operation.2 += achieved;
         if end == RequestResult::Succeeded {
-            let _ = of.3.record(hundredths);
+            let _ = operation.3.record(hundredths);
             let _ = self.all.record(hundredths);
         }
         let nth = ((request.at / WINDOW) as usize).min(self.windows.len() - 1);
         let window = &mut self.windows[nth];
         window.counts.add(end, in_time);
-        window.asked_value += value;
+        window.requested_value += value;
         window.achieved_value += achieved;
         if end == RequestResult::Succeeded {
             let _ = window.latency.record(hundredths);
@@ -300,20 +302,20 @@
             |achieved: f64, requested: f64| if requested > 0.0 { round(achieved / requested) } else { 1.0 };
         let (mut counts, mut requested, mut achieved) = (Counts::default(), 0.0, 0.0);
         let mut operations = Vec::new();
-        for ((of, value, operation_achieved, histogram), op) in
+        for ((operation_counts, value, operation_achieved, histogram), op) in
             self.operations.iter().zip(&scenario.operation)
         {
-            counts.asked += of.asked;
-            counts.in_time += of.in_time;
-            counts.late += of.late;
-            counts.throttled += of.throttled;
-            counts.errored += of.errored;
-            counts.nothing += of.nothing;
+            counts.asked += operation_counts.asked;
+            counts.in_time += operation_counts.in_time;
+            counts.late += operation_counts.late;
+            counts.throttled += operation_counts.throttled;
+            counts.errored += operation_counts.errored;
+            counts.nothing += operation_counts.nothing;
             requested += value;
             achieved += operation_achieved;
             operations.push(OperationOutcome {
                 name: op.name.clone(),
-                counts: of.clone(),
+                counts: operation_counts.clone(),
                 goodput: ratio(*operation_achieved, *value),
                 latency: Latency::of(histogram),
             });
@@ -323,7 +325,7 @@
             let latency = Latency::of(&window.latency);
             Window {
                 at: (nth as Micros * WINDOW) as f64 / 1e6,
-                goodput: ratio(window.achieved_value, window.asked_value),
+                goodput: ratio(window.achieved_value, window.requested_value),
                 counts: window.counts,
                 p50: latency.p50,
                 p99: latency.p99,
