--- a/lab/tests/cold.rs
+++ b/lab/tests/cold.rs
@@ -1,5 +1,6 @@
 //! Guards against dispatchers that together send too much to cold runners, in virtual time: no time span may
-//! hold more calls than chance explains, for any number of dispatchers, and also during a rolling restart.
+//! hold more calls than the judge's call limit, which allows for chance. That holds for several numbers of
+//! dispatchers, and also during a rolling restart.
 
 use std::path::Path;
 
@@ -8,7 +9,7 @@
 use topazsail_lab::virtual_clock::{Options, play};
 
 #[test]
-fn the_sum_stays_within_what_chance_explains() {
+fn the_calls_of_all_dispatchers_to_a_cold_runner_stay_within_the_call_limit() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/cold-sum.toml");
     // With prompt reports; with late ones, which do not show what the other dispatchers send; and also with
     // restarts.
@@ -20,8 +21,14 @@
             for seed in 1..4 {
                 let outcome = play(&scenario, Policy::Topazsail, seed, Options::default()).unwrap().outcome;
                 let cold = outcome.cold.unwrap();
-                assert!(cold.spans > 50, "{dispatchers} {seed}: hardly anything was sent: {cold:?}");
-                assert_eq!(cold.over, 0, "{dispatchers} {seed} {faults}: {cold:?}");
+                assert!(
+                    cold.spans > 50,
+                    "{dispatchers} dispatchers, seed {seed}, {faults} faults: too few calls to cold runners: {cold:?}"
+                );
+                assert_eq!(
+                    cold.over, 0,
+                    "{dispatchers} dispatchers, seed {seed}, {faults} faults: over the call limit: {cold:?}"
+                );
             }
         }
     }
--- a/lab/tests/input.rs
+++ b/lab/tests/input.rs
@@ -25,7 +25,7 @@
 
 /// Checks the error for a valid scenario in which `from` is replaced by `to`.
 fn assert_rejected(from: &str, to: &str, expected: Expect) {
-    assert!(GOOD.contains(from));
+    assert!(GOOD.contains(from), "the valid scenario does not contain {from}");
     let error = Scenario::parse("t.toml", &GOOD.replacen(from, to, 1)).unwrap_err();
     assert!(!error.contains('\n'), "{error}");
     expected.assert_eq(&error);
@@ -131,19 +131,22 @@
     std::fs::write(&scenario, GOOD).unwrap();
     std::fs::write(path("file"), "").unwrap();
     std::fs::write(path("over.toml"), "base = \"gone.toml\"\nname = \"o\"\n").unwrap();
-    let exits = path("ends");
-    std::fs::write(&exits, "#!/bin/sh\nexit 3\n").unwrap();
-    std::fs::set_permissions(&exits, std::os::unix::fs::PermissionsExt::from_mode(0o755)).unwrap();
-    let (missing, file, over) = (path("gone"), path("file"), path("over.toml"));
+    let failing_program = path("ends");
+    std::fs::write(&failing_program, "#!/bin/sh\nexit 3\n").unwrap();
+    std::fs::set_permissions(&failing_program, std::os::unix::fs::PermissionsExt::from_mode(0o755)).unwrap();
+    let (missing, file, overlay) = (path("gone"), path("file"), path("over.toml"));
     // Files may not grow, so that writes fail as on a full disk.
     let full_disk = "trap '' XFSZ; ulimit -f 0; exec LAB run";
     for (command, expected) in [
         (format!("LAB run {missing}"), "No such file"),
-        (format!("LAB run {over}"), "gone.toml"),
+        (format!("LAB run {overlay}"), "gone.toml"),
         (format!("LAB run {scenario} --policy best"), "unknown policy 'best'"),
         (format!("LAB run {scenario} --clock sockets --program {missing}"), "no such program"),
         (format!("LAB run {scenario} --clock sockets --program {file}"), "ermission denied"),
-        (format!("LAB run {scenario} --clock sockets --program {exits}"), "ended at once with Some(3)"),
+        (
+            format!("LAB run {scenario} --clock sockets --program {failing_program}"),
+            "ended at once with Some(3)",
+        ),
         (format!("LAB run {scenario} --report {file}/x"), "ot a directory"),
         (format!("{full_disk} {scenario} --json {missing}"), "too large"),
         (format!("LAB sweep {scenario} --vary clients.laod=1"), "laod"),
@@ -154,7 +157,7 @@
         assert_eq!(code, Some(1), "{command}: {stderr}");
         assert!(stderr.lines().count() == 1 && stderr.contains(expected), "{command}: {stderr}");
     }
-    assert!(!std::path::Path::new(&missing).exists(), "a file was left half written");
+    assert!(!std::path::Path::new(&missing).exists(), "a partly written file was left behind");
 }
 
 /// Counts the processes whose command line contains `path`.
@@ -176,15 +179,15 @@
         .spawn()
         .unwrap();
     // The dispatchers' configurations are in this directory, so that their command lines contain its path.
-    let below = folder.path().join("topazsail-lab-").display().to_string();
+    let configurations = folder.path().join("topazsail-lab-").display().to_string();
     let wait_for = |wanted: bool| {
         for _ in 0..1000 {
-            if (process_count(&below) > 0) == wanted {
+            if (process_count(&configurations) > 0) == wanted {
                 return;
             }
             std::thread::sleep(std::time::Duration::from_millis(10));
         }
-        panic!("processes: {}", process_count(&below));
+        panic!("expected dispatchers: {wanted}, processes found: {}", process_count(&configurations));
     };
     wait_for(true);
     lab.kill().unwrap();
--- a/lab/tests/theory.rs
+++ b/lab/tests/theory.rs
@@ -11,19 +11,19 @@
 /// Returns the mean wait in an M/M/k queue in service times (Erlang's second formula; for example L.
 /// Kleinrock, Queueing Systems, volume 1, 1975, section 3.5).
 fn erlang_c_wait(k: u32, load: f64) -> f64 {
-    let a = f64::from(k) * load;
+    let offered = f64::from(k) * load;
     let mut term = 1.0;
     let mut sum = 1.0;
     for n in 1..k {
-        term *= a / f64::from(n);
+        term *= offered / f64::from(n);
         sum += term;
     }
-    let last = term * a / f64::from(k) / (1.0 - load);
+    let last = term * offered / f64::from(k) / (1.0 - load);
     last / (sum + last) / (f64::from(k) * (1.0 - load))
 }
 
 #[test]
-fn one_runner_waits_as_erlang_says() {
+fn the_mean_wait_at_one_runner_is_that_of_erlang_c() {
     let text = |slots: u32| {
         format!(
             "name = \"t\"\nlength = \"1s\"\ndispatchers = 1\n[clients]\nload = 0.5\n[[pool]]\nkind = \"a\"\ncount = 1\n\
@@ -67,7 +67,7 @@
         println!("{slots} slots at {load}: waits {measured:.4}, known {expected:.4}");
         assert!(
             (measured / expected - 1.0).abs() < 0.03,
-            "{slots} slots at {load}: {measured:.4} against {expected:.4}"
+            "{slots} slots at load {load}: mean wait of {measured:.4} service times, expected {expected:.4}"
         );
     }
 }
@@ -96,7 +96,10 @@
         // A run's random work deviates a little from the requested load, and a tail such as load^40 amplifies
         // the deviation. The theoretical value is therefore computed for the load of this run.
         let actual_load = run.tails[1];
-        assert!((actual_load / load - 1.0).abs() < 0.01, "d {d}: load {actual_load}");
+        assert!(
+            (actual_load / load - 1.0).abs() < 0.01,
+            "d {d}: the actual load {actual_load} is not the requested one"
+        );
         for i in 2..=4u32 {
             let power =
                 if d == 1 { f64::from(i) } else { ((d as f64).powi(i as i32) - 1.0) / (d as f64 - 1.0) };
@@ -104,7 +107,7 @@
             let measured = run.tails.get(i as usize).copied().unwrap_or(0.0);
             println!("d {d}, at least {i} jobs: {measured:.5}, known {expected:.5}");
             let is_close = (measured - expected).abs() < 0.002 || (measured / expected - 1.0).abs() < 0.03;
-            assert!(is_close, "d {d}, at least {i} jobs: {measured:.5} against {expected:.5}");
+            assert!(is_close, "d {d}, share with at least {i} jobs: {measured:.5}, expected {expected:.5}");
         }
     }
 }
@@ -223,7 +226,11 @@
     let scenario = Scenario::parse("rough", ROUGH).unwrap();
     let bytes = |seed| {
         let run = play(&scenario, Policy::Topazsail, seed, Options::default()).unwrap();
-        assert!(run.outcome.broken.is_empty() && run.outcome.void.is_empty(), "{:?}", run.outcome.verdict);
+        assert!(
+            run.outcome.broken.is_empty() && run.outcome.void.is_empty(),
+            "seed {seed}: {:?}",
+            run.outcome.verdict
+        );
         serde_json::to_string(&run.outcome).unwrap()
     };
     assert_eq!(bytes(1), bytes(1));
@@ -241,6 +248,6 @@
     };
     let ours = asked("topazsail");
     for other in ["random", "round-robin", "least-of-2", "true-of-2", "least-of-all"] {
-        assert_eq!(asked(other), ours, "{other}");
+        assert_eq!(asked(other), ours, "{other} received another load");
     }
 }
