--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -73,7 +73,7 @@
 }
 
 /// Creates the policy of one dispatcher.
-pub fn new_decider(policy: Policy, settings: Settings, seed: u64) -> Box<dyn DecisionMaker> {
+pub fn new_decision_maker(policy: Policy, settings: Settings, seed: u64) -> Box<dyn DecisionMaker> {
     match policy {
         Policy::Topazsail => Box::new(RoutingPolicy::new(settings, seed)),
         _ => Box::new(Baseline {
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -25,7 +25,7 @@
 use crate::judge::{FinalStatus, ForwardEnd, Judge, JudgeParameters, Observation};
 use crate::load::{self, ArrivalGenerator, ClientRequest, retry_time, seeded_generator};
 use crate::peer_messages::{Datagram, PeerMessages};
-use crate::policy::{DecisionMaker, Policy, new_decider, runner_number};
+use crate::policy::{DecisionMaker, Policy, new_decision_maker, runner_number};
 use crate::runner::{JobEvent, LoadReport, OfferResult, ProcessState};
 use crate::scenario::{DispatcherParameters, Scenario};
 use crate::startup::Startup;
@@ -359,10 +359,12 @@
         }
     }
 
+    /// Draws the delay of a message between two zones.
     fn delay(&mut self, from: usize, to: usize) -> Micros {
         World::delay(self.scenario, from, to, self.network_rng.random())
     }
 
+    /// Draws the delay of a message between a client and its dispatcher.
     fn client_delay(&mut self) -> Micros {
         let zones = &self.scenario.zones;
         (zones.client.0 as f64 * (1.0 + zones.jitter * self.client_rng.random::<f64>())) as Micros
@@ -606,14 +608,14 @@
     /// Sends the next request of the clients and schedules the one after it.
     fn send_request(&mut self) {
         let Some(request) = self.next_request.take() else { return };
-        let number = self.request_count;
+        let request_number = self.request_count;
         self.request_count += 1;
         self.push(
             request.at + self.scenario.operation[request.operation].client_timeout.0,
-            ClockEvent::ClientTimeout(number),
+            ClockEvent::ClientTimeout(request_number),
         );
-        self.requests.insert(number, OpenRequest { request, attempts: 0 });
-        self.send_attempt(number);
+        self.requests.insert(request_number, OpenRequest { request, attempts: 0 });
+        self.send_attempt(request_number);
         self.next_request = self.arrivals.next();
         if let Some(request) = &self.next_request {
             self.push(request.at, ClockEvent::NextRequest);
@@ -622,10 +624,10 @@
 
     /// Sends the next attempt of a request, to a dispatcher in the client's zone if the front end knows one
     /// that is up.
-    fn send_attempt(&mut self, number: u64) {
-        let Some(open) = self.requests.get_mut(&number) else { return };
+    fn send_attempt(&mut self, request_number: u64) {
+        let Some(open) = self.requests.get_mut(&request_number) else { return };
         open.attempts += 1;
-        let inv = number << ATTEMPT_BITS | u64::from(open.attempts);
+        let inv = request_number << ATTEMPT_BITS | u64::from(open.attempts);
         let zone = open.request.zone;
         self.tally.traffic.tries += 1;
         let all = self.dispatchers.len();
@@ -646,18 +648,25 @@
 
     /// Handles the result of an attempt: the client retries or the request ends.
     fn result_arrived(&mut self, inv: u64, seen: load::AttemptResult) {
-        let number = inv >> ATTEMPT_BITS;
-        let Some(open) = self.requests.get(&number) else { return };
+        let request_number = inv >> ATTEMPT_BITS;
+        let Some(open) = self.requests.get(&request_number) else { return };
         if u64::from(open.attempts) != inv & ((1 << ATTEMPT_BITS) - 1) {
             return;
         }
         if seen == load::AttemptResult::Succeeded {
-            return self.end_request(number, RequestResult::Succeeded);
-        }
-        match retry_time(self.scenario, self.seed, (number, &open.request), open.attempts, seen, self.now) {
-            Some(at) => self.push(at, ClockEvent::Retry(number)),
+            return self.end_request(request_number, RequestResult::Succeeded);
+        }
+        match retry_time(
+            self.scenario,
+            self.seed,
+            (request_number, &open.request),
+            open.attempts,
+            seen,
+            self.now,
+        ) {
+            Some(at) => self.push(at, ClockEvent::Retry(request_number)),
             None => self.end_request(
-                number,
+                request_number,
                 match seen {
                     load::AttemptResult::Throttled(_) => RequestResult::Throttled,
                     load::AttemptResult::Errored => RequestResult::Errored,
@@ -668,8 +677,8 @@
     }
 
     /// Ends a request and records its result.
-    fn end_request(&mut self, number: u64, end: RequestResult) {
-        if let Some(open) = self.requests.remove(&number) {
+    fn end_request(&mut self, request_number: u64, end: RequestResult) {
+        if let Some(open) = self.requests.remove(&request_number) {
             self.tally.record_end(&open.request, end, self.now - open.request.at);
         }
     }
@@ -878,6 +887,7 @@
         }
     }
 
+    /// The zones of a dispatcher and of a runner.
     fn zones_of(&self, d: u32, r: u32) -> (usize, usize) {
         (self.dispatchers[d as usize].zone, self.world.runners[r as usize].zone)
     }
@@ -1383,7 +1393,7 @@
         let has_peers = settings.slow_start_is_shared;
         let seed = seeded_generator(self.seed, 1 << 41 | u64::from(d) << 8 | starts).random();
         let dispatcher = Dispatcher {
-            decision_maker: new_decider(self.policy, self.settings[nth].clone(), seed),
+            decision_maker: new_decision_maker(self.policy, self.settings[nth].clone(), seed),
             alive: true,
             epoch,
             starts,
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -122,8 +122,11 @@
 /// A fault of the links between some dispatchers and all others.
 struct LinkFault {
     kind: LinkFaultKind,
+    /// A share, or milliseconds where it is a time.
     size: f64,
+    /// By dispatcher.
     affected: Vec<bool>,
+    /// Whether the fault is under way.
     on: bool,
 }
 
