--- a/peers/src/admin_overrides.rs
+++ b/peers/src/admin_overrides.rs
@@ -84,10 +84,10 @@
         true
     }
 
-    /// Removes the oldest entry of a runner that is not out of use.
+    /// Removes the oldest entry among the runners in use. Entries of runners that are out of use always stay.
     fn evict_oldest(&mut self) {
-        let not_out = self.by_runner.values().filter(|entry| entry.out_since.is_none());
-        let oldest = not_out.min_by_key(|entry| (entry.was_out, entry.version));
+        let in_use = self.by_runner.values().filter(|entry| entry.out_since.is_none());
+        let oldest = in_use.min_by_key(|entry| (entry.was_out, entry.version));
         if let Some(runner) = oldest.map(|entry| entry.runner.clone())
             && let Some(evicted) = self.by_runner.remove(&runner)
         {
--- a/peers/src/packet.rs
+++ b/peers/src/packet.rs
@@ -47,7 +47,7 @@
 /// What a packet asks or reports. Dispatchers are named by their index in the sorted list of all names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the receiver for an [`Message::Answer`].
+    /// Asks the receiver for a [`Message::Answer`].
     Probe {
         /// Number that the answer repeats.
         number: u64,
@@ -105,12 +105,13 @@
     UnknownFormat,
 }
 
+/// CRC-32 over format and body, as the datagram holds it.
 fn checksum(format_and_body: &[u8]) -> [u8; 4] {
     crc32fast::hash(format_and_body).to_le_bytes()
 }
 
 /// Encodes a packet.
-pub fn seal(packet: &Packet) -> Vec<u8> {
+pub fn encode(packet: &Packet) -> Vec<u8> {
     // Plain types only: encoding cannot fail.
     let body = postcard::to_stdvec(packet).unwrap_or_default();
     let checked = [&[FORMAT][..], &body].concat();
@@ -118,7 +119,7 @@
 }
 
 /// Decodes a datagram and checks its length, checksum and format.
-pub fn open(bytes: &[u8]) -> Result<Packet, PacketError> {
+pub fn decode(bytes: &[u8]) -> Result<Packet, PacketError> {
     if bytes.len() > MAX_PACKET_BYTES {
         return Err(PacketError::TooLong);
     }
--- a/peers/src/packet/tests.rs
+++ b/peers/src/packet/tests.rs
@@ -23,23 +23,23 @@
 
 #[test]
 fn only_intact_packets_are_decoded() {
-    let sealed = seal(&packet());
-    assert_eq!(open(&sealed), Ok(packet()));
-    for end in 0..sealed.len() {
-        assert_eq!(open(&sealed[..end]), Err(PacketError::Malformed));
+    let datagram = encode(&packet());
+    assert_eq!(decode(&datagram), Ok(packet()));
+    for end in 0..datagram.len() {
+        assert_eq!(decode(&datagram[..end]), Err(PacketError::Malformed));
     }
-    for bit in 0..sealed.len() * 8 {
-        let mut damaged = sealed.clone();
+    for bit in 0..datagram.len() * 8 {
+        let mut damaged = datagram.clone();
         damaged[bit / 8] ^= 1 << (bit % 8);
-        assert!(open(&damaged).is_err(), "bit {bit}");
+        assert!(decode(&damaged).is_err(), "accepted although bit {bit} is flipped");
     }
-    assert_eq!(open(&[sealed.clone(), vec![0]].concat()), Err(PacketError::Malformed));
-    assert_eq!(open(&vec![0; MAX_PACKET_BYTES + 1]), Err(PacketError::TooLong));
-    let mut newer = sealed.clone();
+    assert_eq!(decode(&[datagram.clone(), vec![0]].concat()), Err(PacketError::Malformed));
+    assert_eq!(decode(&vec![0; MAX_PACKET_BYTES + 1]), Err(PacketError::TooLong));
+    let mut newer = datagram.clone();
     newer[2] = FORMAT + 1;
     let checksum = checksum(&newer[2..3].iter().chain(&newer[HEADER_BYTES..]).copied().collect::<Vec<u8>>());
     newer[3..HEADER_BYTES].copy_from_slice(&checksum);
-    assert_eq!(open(&newer), Err(PacketError::UnknownFormat));
+    assert_eq!(decode(&newer), Err(PacketError::UnknownFormat));
 }
 
 /// Random bodies under a valid checksum: decoding must accept or reject any bytes without panicking.
@@ -49,14 +49,14 @@
     for _ in 0..20_000 {
         let mut body: Vec<u8> = (0..random.random_range(0..200)).map(|_| random.random()).collect();
         if random.random_range(0..2) == 0 {
-            body = seal(&packet())[HEADER_BYTES..].to_vec();
+            body = encode(&packet())[HEADER_BYTES..].to_vec();
             let at = random.random_range(0..body.len());
             body[at] = random.random();
         }
-        let sealed = [&[FORMAT][..], &body].concat();
-        let bytes = [&MAGIC[..], &[FORMAT], &checksum(&sealed), &body].concat();
-        if let Ok(packet) = open(&bytes) {
-            assert_eq!(open(&seal(&packet)), Ok(packet));
+        let checked = [&[FORMAT][..], &body].concat();
+        let bytes = [&MAGIC[..], &[FORMAT], &checksum(&checked), &body].concat();
+        if let Ok(packet) = decode(&bytes) {
+            assert_eq!(decode(&encode(&packet)), Ok(packet));
         }
     }
 }
--- a/peers/src/peers.rs
+++ b/peers/src/peers.rs
@@ -20,7 +20,7 @@
 
 use crate::Micros;
 use crate::admin_overrides::{AdminOverrides, Version};
-use crate::packet::{AdminOverride, Digest, MAX_PACKET_BYTES, Message, Packet, PacketError, open, seal};
+use crate::packet::{AdminOverride, Digest, MAX_PACKET_BYTES, Message, Packet, PacketError, decode, encode};
 use crate::slow_start::{SlowStartAllocator, SlowStartShare};
 
 /// Time from one round of probes to the next.
@@ -33,7 +33,7 @@
 const ANSWER_TIMEOUT: Micros = 300_000;
 /// Time from then on within which an indirect answer must arrive; after it the peer is suspected.
 const INDIRECT_ANSWER_TIMEOUT: Micros = 600_000;
-/// Number of peers that are asked to probe.
+/// Number of peers that are asked to probe a peer that does not answer.
 const INDIRECT_PROBES: usize = 3;
 /// A suspected peer counts as gone this long after its last packet.
 const GONE_TIMEOUT: Micros = 5_000_000;
@@ -219,6 +219,8 @@
             by_address,
             overrides: AdminOverrides::default(),
             probe_order: Vec::new(),
+            // Derived from the nonce, so that an answer to an earlier process run matches no probe of this
+            // one.
             last_number: u64::from(nonce) << 20,
             next_round: now,
             indirect_probes: BTreeMap::new(),
@@ -347,7 +349,7 @@
 
     /// Queues a packet for the peer at `index`.
     fn send(&mut self, index: usize, message: Message) {
-        let bytes = seal(&self.packet(index, message));
+        let bytes = encode(&self.packet(index, message));
         self.counters.sent += 1;
         self.counters.sent_bytes += bytes.len() as u64;
         self.actions.push(Action::Send { to: self.peers[index].member.address, bytes });
@@ -382,12 +384,12 @@
         }
         let isolated = self.is_isolated(now);
         self.allocator.start_round(isolated, now);
-        let mut at_once = self.peers.len().div_ceil(PEERS_PER_PROBE).min(MAX_PROBES_PER_ROUND);
+        let mut probe_count = self.peers.len().div_ceil(PEERS_PER_PROBE).min(MAX_PROBES_PER_ROUND);
         if self.has_cold_runners {
             let rounds = (self.allocator.renewal_interval() / ROUND_INTERVAL).max(1) as usize;
-            at_once = at_once.max(self.peers.len().div_ceil(rounds));
+            probe_count = probe_count.max(self.peers.len().div_ceil(rounds));
         }
-        for _ in 0..at_once {
+        for _ in 0..probe_count {
             if self.probe_order.is_empty() {
                 self.probe_order = (0..self.peers.len()).collect();
                 self.probe_order.shuffle(&mut self.random);
@@ -461,7 +463,7 @@
             self.counters.unlisted += 1;
             return Vec::new();
         };
-        let packet = match open(bytes) {
+        let packet = match decode(bytes) {
             Ok(packet) => packet,
             Err(PacketError::TooLong | PacketError::Malformed | PacketError::UnknownFormat) => {
                 self.counters.bad += 1;
@@ -480,10 +482,10 @@
     /// Processes a valid packet of the peer at `index`.
     fn handle_packet(&mut self, index: usize, packet: Packet, now: Micros) {
         let peer = &mut self.peers[index];
-        let theirs = (packet.boot, packet.nonce);
-        let known = (peer.boot, peer.nonce);
-        let newer = packet.boot > peer.boot || known == (0, 0);
-        if !newer && theirs != known {
+        let sender_run = (packet.boot, packet.nonce);
+        let known_run = (peer.boot, peer.nonce);
+        let is_newer_run = packet.boot > peer.boot || known_run == (0, 0);
+        if !is_newer_run && sender_run != known_run {
             // From an earlier process run, or from another one that uses the same boot number. It is not
             // believed; the answer to a probe carries the newest known run, so that the sender learns of it.
             self.counters.old += 1;
@@ -492,7 +494,7 @@
             }
             return;
         }
-        if newer && theirs != known {
+        if is_newer_run && sender_run != known_run {
             (peer.boot, peer.nonce, peer.has_heard_us) = (packet.boot, packet.nonce, false);
             // Forces an event even if the peer was alive before: it is another process run.
             peer.state = PeerState::Unknown;
@@ -520,11 +522,11 @@
                 }
             }
             Message::Answer { number, on_behalf_of: Some(_), .. } => {
-                if let Some((asker, theirs, target)) = self.indirect_probes.remove(&number)
+                if let Some((asker, asker_number, target)) = self.indirect_probes.remove(&number)
                     && target == index
                 {
                     let (target, boot) = (self.name_index(index), self.peers[index].boot);
-                    self.send(asker, Message::IndirectAnswer { target, number: theirs, boot });
+                    self.send(asker, Message::IndirectAnswer { target, number: asker_number, boot });
                 }
             }
             Message::ProbeRequest { target, number } => self.probe_for(index, target, number),
@@ -542,15 +544,16 @@
         self.send_differing_overrides(index, now);
     }
 
-    /// Probes `target` on behalf of `asker`, which cannot reach it.
-    fn probe_for(&mut self, asker: usize, target: u16, theirs: u64) {
+    /// Probes `target` on behalf of `asker`, which cannot reach it and waits for an answer to its probe
+    /// `asker_number`.
+    fn probe_for(&mut self, asker: usize, target: u16, asker_number: u64) {
         let Some(target) = self.peer_at(target).filter(|target| *target != asker) else { return };
         if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
             self.indirect_probes.pop_first();
         }
         self.last_number += 1;
-        self.indirect_probes.insert(self.last_number, (asker, theirs, target));
-        let on_behalf_of = Some((self.name_index(asker), theirs));
+        self.indirect_probes.insert(self.last_number, (asker, asker_number, target));
+        let on_behalf_of = Some((self.name_index(asker), asker_number));
         let number = self.last_number;
         self.send(target, Message::Probe { number, on_behalf_of });
     }
@@ -579,9 +582,10 @@
         // If there are too many, continue where the previous batch ended.
         let start = entries.partition_point(|entry| entry.runner <= self.peers[index].last_sent_runner);
         entries.rotate_left(start);
-        let empty_length = seal(&self.packet(index, Message::AdminOverrides(Vec::new()))).len();
+        let empty_length = encode(&self.packet(index, Message::AdminOverrides(Vec::new()))).len();
         let mut entries = entries.into_iter().peekable();
         for _ in 0..MAX_OVERRIDE_PACKETS {
+            // 8 more bytes for the encoded number of entries.
             let (mut batch, mut length) = (Vec::new(), empty_length + 8);
             while let Some(entry) = entries.next_if(|entry| {
                 // The runner's id, and an upper bound for the encoded numbers.
--- a/peers/src/peers/tests.rs
+++ b/peers/src/peers/tests.rs
@@ -10,9 +10,9 @@
 
 type InFlight = (Micros, u64, usize, usize, Vec<u8>);
 
-struct Net {
+struct Network {
     now: Micros,
-    cores: Vec<Option<Peers>>,
+    dispatchers: Vec<Option<Peers>>,
     /// Arrival time, sequence number, sender, receiver, bytes.
     in_flight: BinaryHeap<Reverse<InFlight>>,
     sequence: u64,
@@ -31,36 +31,36 @@
 #[derive(Clone, Default)]
 struct Sender {
     /// Its clock is this far ahead.
-    ahead: Micros,
+    clock_ahead: Micros,
     /// Its clock runs faster by this many parts in a thousand.
-    faster: Micros,
+    clock_faster: Micros,
     share: Option<SlowStartShare>,
     /// Work sent: true time, time by its own clock, work.
     sent: Vec<(Micros, Micros, f64)>,
     paused_until: Micros,
     frozen: bool,
     /// A faulty variant that uses the whole budget.
-    takes_all: bool,
+    ignores_share: bool,
 }
 
 const OVERLOAD_WINDOW: Micros = 2_000_000;
 
 impl Sender {
     fn clock(&self, now: Micros) -> Micros {
-        self.ahead + now + now * self.faster / 1_000
+        self.clock_ahead + now + now * self.clock_faster / 1_000
     }
 
-    fn send_all(&mut self, now: Micros, job: f64, all: usize) {
+    fn send_allowed(&mut self, now: Micros, job: f64, dispatcher_count: usize) {
         let own = self.clock(now);
         if self.frozen || now < self.paused_until {
             return;
         }
-        let even = 1.0 / all as f64;
+        let equal_share = 1.0 / dispatcher_count as f64;
         let share = match self.share {
-            _ if self.takes_all => 1.0,
+            _ if self.ignores_share => 1.0,
             None => 0.0,
             Some(known) if own < known.until => known.share,
-            Some(_) => even,
+            Some(_) => equal_share,
         };
         let sent = self.sent.iter().rev().take_while(|(_, at, _)| *at >= own - OVERLOAD_WINDOW);
         let mut sent: f64 = sent.map(|(.., work)| work).sum();
@@ -79,11 +79,11 @@
     SocketAddr::from(([127, 0, 0, 1], 7_000 + nth as u16))
 }
 
-impl Net {
-    fn new(all: usize, seed: u64) -> Net {
-        let mut net = Net {
+impl Network {
+    fn new(all: usize, seed: u64) -> Network {
+        let mut net = Network {
             now: 0,
-            cores: (0..all).map(|_| None).collect(),
+            dispatchers: (0..all).map(|_| None).collect(),
             in_flight: BinaryHeap::new(),
             sequence: 0,
             random: Pcg32::seed_from_u64(seed),
@@ -93,25 +93,25 @@
             events: Vec::new(),
             senders: vec![Sender::default(); all],
         };
-        (0..all).for_each(|nth| net.begin(nth, 1));
+        (0..all).for_each(|nth| net.start(nth, 1));
         net
     }
 
-    fn begin(&mut self, nth: usize, boot: u64) {
-        let members = (0..self.cores.len())
+    fn start(&mut self, nth: usize, boot: u64) {
+        let members = (0..self.dispatchers.len())
             .filter(|other| *other != nth)
             .map(|other| Member { name: name(other), address: address(other) })
             .collect();
         let (nonce, seed) = (self.random.random(), self.random.random());
         let now = self.senders[nth].clock(self.now);
-        let mut core = Peers::new(&name(nth), members, (boot, nonce), seed, now);
-        core.configure(self.cores.len(), OVERLOAD_WINDOW);
-        self.cores[nth] = Some(core);
+        let mut dispatcher = Peers::new(&name(nth), members, (boot, nonce), seed, now);
+        dispatcher.configure(self.dispatchers.len(), OVERLOAD_WINDOW);
+        self.dispatchers[nth] = Some(dispatcher);
     }
 
     /// Restarts a process, which loses its state; the new run pauses cold runners as `recovery` does.
     fn restart(&mut self, nth: usize, boot: u64) {
-        self.begin(nth, boot);
+        self.start(nth, boot);
         self.senders[nth].share = None;
         self.senders[nth].paused_until = self.now + OVERLOAD_WINDOW;
     }
@@ -119,11 +119,11 @@
     /// All send what they may for a span. Returns the mean share of the budget that was used.
     fn send_all(&mut self, span: Micros, job: f64) -> f64 {
         const STEP: Micros = 10_000;
-        let (from, all) = (self.now, self.cores.len());
+        let (from, all) = (self.now, self.dispatchers.len());
         while self.now < from + span {
             self.run(STEP);
             let now = self.now;
-            self.senders.iter_mut().for_each(|sender| sender.send_all(now, job, all));
+            self.senders.iter_mut().for_each(|sender| sender.send_allowed(now, job, all));
         }
         let sent = self.senders.iter().flat_map(|sender| &sender.sent);
         let sent: f64 = sent.filter(|(at, ..)| *at > from).map(|(.., work)| work).sum();
@@ -152,7 +152,7 @@
             match action {
                 Action::PeerEvent(event) => self.events.push((nth, event)),
                 Action::Send { to, bytes } => {
-                    assert!(bytes.len() <= MAX_PACKET_BYTES, "{}", bytes.len());
+                    assert!(bytes.len() <= MAX_PACKET_BYTES, "datagram of {} bytes", bytes.len());
                     let to = usize::from(to.port() - 7_000);
                     for copy in 0..2 {
                         let lost = self.random.random_range(0..1_000) < self.loss;
@@ -173,23 +173,26 @@
         let end = self.now + span;
         loop {
             // In true time, whatever the clocks of the dispatchers say.
-            let due = |nth: usize, core: &Option<Peers>| {
+            let due = |nth: usize, dispatcher: &Option<Peers>| {
                 let sender = &self.senders[nth];
-                let left = core.as_ref()?.next_tick() - sender.clock(self.now);
-                Some((self.now + left.max(0) * 1_000 / (1_000 + sender.faster) + Micros::from(left > 0), nth))
+                let left = dispatcher.as_ref()?.next_tick() - sender.clock(self.now);
+                Some((
+                    self.now + left.max(0) * 1_000 / (1_000 + sender.clock_faster) + Micros::from(left > 0),
+                    nth,
+                ))
             };
             let awake = |nth: &usize| !self.senders[*nth].frozen;
-            let dues = self.cores.iter().enumerate().filter(|(nth, _)| awake(nth));
-            let dues = dues.filter_map(|(nth, core)| due(nth, core));
+            let dues = self.dispatchers.iter().enumerate().filter(|(nth, _)| awake(nth));
+            let dues = dues.filter_map(|(nth, dispatcher)| due(nth, dispatcher));
             let round = dues.min();
             let packet = self.in_flight.peek().map(|Reverse((at, ..))| *at);
             match (round, packet) {
                 (Some((due, nth)), packet) if due <= end && packet.is_none_or(|at| due <= at) => {
                     self.now = self.now.max(due);
                     let now = self.senders[nth].clock(self.now);
-                    let core = self.cores[nth].as_mut().unwrap();
-                    let actions = core.tick(now);
-                    self.senders[nth].share = core.slow_start_shares(["r1"].into_iter(), now).pop();
+                    let dispatcher = self.dispatchers[nth].as_mut().unwrap();
+                    let actions = dispatcher.tick(now);
+                    self.senders[nth].share = dispatcher.slow_start_shares(["r1"].into_iter(), now).pop();
                     self.act(nth, actions);
                 }
                 (_, Some(at)) if at <= end => {
@@ -199,8 +202,8 @@
                         // It waits in the socket until the process continues.
                         self.sequence += 1;
                         self.in_flight.push(Reverse((at + 50_000, self.sequence, from, to, bytes)));
-                    } else if let Some(core) = &mut self.cores[to] {
-                        let actions = core.receive(self.senders[to].clock(at), address(from), &bytes);
+                    } else if let Some(dispatcher) = &mut self.dispatchers[to] {
+                        let actions = dispatcher.receive(self.senders[to].clock(at), address(from), &bytes);
                         self.act(to, actions);
                     }
                 }
@@ -210,40 +213,40 @@
         self.now = end;
     }
 
-    fn core(&mut self, nth: usize) -> &mut Peers {
-        self.cores[nth].as_mut().unwrap()
+    fn dispatcher(&mut self, nth: usize) -> &mut Peers {
+        self.dispatchers[nth].as_mut().unwrap()
     }
 
-    fn call(&mut self, nth: usize, runner: &str, out: bool) {
+    fn set_override(&mut self, nth: usize, runner: &str, out: bool) {
         let now = self.now;
-        let (_, actions) = self.core(nth).set_override(runner, out.then_some(now), None, now);
+        let (_, actions) = self.dispatcher(nth).set_override(runner, out.then_some(now), None, now);
         self.act(nth, actions);
     }
 
-    fn out(&self, nth: usize, runner: &str) -> Option<bool> {
-        Some(self.cores[nth].as_ref()?.overrides.get(runner)?.out_since.is_some())
+    fn is_out(&self, nth: usize, runner: &str) -> Option<bool> {
+        Some(self.dispatchers[nth].as_ref()?.overrides.get(runner)?.out_since.is_some())
     }
 
     fn state(&self, at: usize, of: usize) -> PeerState {
-        let core = self.cores[at].as_ref().unwrap();
-        core.peer_states().find(|(known, ..)| *known == name(of)).unwrap().1
+        let dispatcher = self.dispatchers[at].as_ref().unwrap();
+        dispatcher.peer_states().find(|(known, ..)| *known == name(of)).unwrap().1
     }
 }
 
 #[test]
 fn all_peers_meet_and_an_override_reaches_all_immediately() {
-    let mut net = Net::new(9, 1);
+    let mut net = Network::new(9, 1);
     net.run(300_000);
     for nth in 0..9 {
-        assert_eq!(net.core(nth).agreement(), (8, 8));
+        assert_eq!(net.dispatcher(nth).agreement(), (8, 8));
     }
-    net.call(3, "r1", true);
+    net.set_override(3, "r1", true);
     net.run(50_000);
-    assert!((0..9).all(|nth| net.out(nth, "r1") == Some(true)));
+    assert!((0..9).all(|nth| net.is_out(nth, "r1") == Some(true)));
     // The later override wins, whichever dispatcher makes it.
-    net.call(5, "r1", false);
+    net.set_override(5, "r1", false);
     net.run(50_000);
-    assert!((0..9).all(|nth| net.out(nth, "r1") == Some(false)));
+    assert!((0..9).all(|nth| net.is_out(nth, "r1") == Some(false)));
     assert_eq!(
         net.events
             .iter()
@@ -255,28 +258,31 @@
 
 #[test]
 fn an_override_reaches_cut_off_peers_and_both_sides_converge() {
-    let mut net = Net::new(5, 2);
+    let mut net = Network::new(5, 2);
     net.run(500_000);
-    let sides: Vec<(usize, usize)> =
+    let links_between_sides: Vec<(usize, usize)> =
         (0..2).flat_map(|a| (2..5).flat_map(move |b| [(a, b), (b, a)])).collect();
-    net.cut_links = sides;
+    net.cut_links = links_between_sides;
     net.run(3_000_000);
     assert!((0..2).all(|a| (2..5).all(|b| net.state(a, b) != PeerState::Alive)));
-    net.call(0, "r1", true);
-    net.call(4, "r1", false);
-    net.call(4, "r2", true);
+    net.set_override(0, "r1", true);
+    net.set_override(4, "r1", false);
+    net.set_override(4, "r2", true);
     net.run(1_000_000);
-    assert_eq!((net.out(1, "r1"), net.out(3, "r1"), net.out(1, "r2")), (Some(true), Some(false), None));
+    assert_eq!(
+        (net.is_out(1, "r1"), net.is_out(3, "r1"), net.is_out(1, "r2")),
+        (Some(true), Some(false), None)
+    );
     net.cut_links.clear();
     net.run(5_000_000);
-    let agreed: Vec<Option<bool>> = (0..5).map(|nth| net.out(nth, "r1")).collect();
-    assert!(agreed.iter().all(|out| *out == agreed[0]), "{agreed:?}");
-    assert!((0..5).all(|nth| net.out(nth, "r2") == Some(true)));
+    let agreed: Vec<Option<bool>> = (0..5).map(|nth| net.is_out(nth, "r1")).collect();
+    assert!(agreed.iter().all(|out| *out == agreed[0]), "the dispatchers disagree on r1: {agreed:?}");
+    assert!((0..5).all(|nth| net.is_out(nth, "r2") == Some(true)));
 }
 
 #[test]
 fn a_cut_link_is_not_a_dead_peer_and_a_dead_peer_is_detected() {
-    let mut net = Net::new(6, 3);
+    let mut net = Network::new(6, 3);
     net.run(500_000);
     // d0 and d1 do not hear each other, all others hear both.
     net.cut_links = vec![(0, 1), (1, 0)];
@@ -289,7 +295,7 @@
     net.cut_links.clear();
     net.run(3_000_000);
     assert_eq!(net.state(2, 0), PeerState::Alive);
-    net.cores[5] = None;
+    net.dispatchers[5] = None;
     net.run(4_000_000);
     assert!((0..5).all(|nth| net.state(nth, 5) == PeerState::Suspected));
     net.run(8_000_000);
@@ -298,31 +304,34 @@
 
 #[test]
 fn a_run_with_a_taken_boot_number_learns_of_it_and_is_not_believed() {
-    let mut net = Net::new(4, 4);
-    (0..4).for_each(|nth| net.core(nth).set_boot(7));
+    let mut net = Network::new(4, 4);
+    (0..4).for_each(|nth| net.dispatcher(nth).set_boot(7));
     net.run(1_000_000);
     for boot in [7, 3] {
-        net.begin(2, boot);
-        net.call(2, "r9", true);
+        net.start(2, boot);
+        net.set_override(2, "r9", true);
         net.events.clear();
         net.run(600_000);
-        let numbered: Vec<&PeerEvent> =
+        let events_at_d2: Vec<&PeerEvent> =
             net.events.iter().filter(|(nth, _)| *nth == 2).map(|(_, event)| event).collect();
-        assert!(numbered.contains(&&PeerEvent::BootTaken(7)), "{boot}: {numbered:?}");
-        assert!([0, 1, 3].iter().all(|nth| net.out(*nth, "r9").is_none()));
+        assert!(
+            events_at_d2.contains(&&PeerEvent::BootTaken(7)),
+            "no report that boot number 7 is taken, started with {boot}: {events_at_d2:?}"
+        );
+        assert!([0, 1, 3].iter().all(|nth| net.is_out(*nth, "r9").is_none()));
     }
-    net.core(2).set_boot(8);
+    net.dispatcher(2).set_boot(8);
     net.run(2_000_000);
-    assert!((0..4).all(|nth| net.out(nth, "r9") == Some(true)));
-    assert_eq!(net.core(2).agreement(), (3, 3));
+    assert!((0..4).all(|nth| net.is_out(nth, "r9") == Some(true)));
+    assert_eq!(net.dispatcher(2).agreement(), (3, 3));
 }
 
 #[test]
 fn packets_of_an_earlier_run_are_dropped() {
-    let mut net = Net::new(3, 5);
+    let mut net = Network::new(3, 5);
     net.run(1_000_000);
     // A packet that d1 sent in its first process run arrives only now.
-    let late = seal(&net.core(1).packet(
+    let late = encode(&net.dispatcher(1).packet(
         0,
         Message::AdminOverrides(vec![AdminOverride {
             runner: "r1".into(),
@@ -331,63 +340,63 @@
             was_out: None,
         }]),
     ));
-    net.begin(1, 2);
+    net.start(1, 2);
     net.run(1_000_000);
     let now = net.now;
-    assert_eq!(net.core(0).receive(now, address(1), &late), []);
-    assert!(net.out(0, "r1").is_none() && net.core(0).counters.old == 1);
+    assert_eq!(net.dispatcher(0).receive(now, address(1), &late), []);
+    assert!(net.is_out(0, "r1").is_none() && net.dispatcher(0).counters.old == 1);
     // Packets from unlisted senders and malformed ones are counted and change nothing.
-    assert_eq!(net.core(0).receive(now, SocketAddr::from(([127, 0, 0, 9], 1)), &late), []);
-    assert_eq!(net.core(0).receive(now, address(2), &late), []);
-    assert_eq!(net.core(0).receive(now, address(2), b"tp"), []);
-    let counts = net.core(0).counters;
+    assert_eq!(net.dispatcher(0).receive(now, SocketAddr::from(([127, 0, 0, 9], 1)), &late), []);
+    assert_eq!(net.dispatcher(0).receive(now, address(2), &late), []);
+    assert_eq!(net.dispatcher(0).receive(now, address(2), b"tp"), []);
+    let counts = net.dispatcher(0).counters;
     assert_eq!((counts.unlisted, counts.bad), (2, 1));
 }
 
 /// At several loss rates, an override must reach all dispatchers within a bound, with few false suspicions.
 #[test]
 fn under_loss_overrides_reach_all_and_few_peers_are_suspected() {
-    for (loss, within, suspected_most) in [(0, 100_000, 0), (200, 3_000_000, 10), (400, 6_000_000, 120)] {
-        let mut net = Net::new(9, 6);
+    for (loss, time_limit, max_suspicions) in [(0, 100_000, 0), (200, 3_000_000, 10), (400, 6_000_000, 120)] {
+        let mut net = Network::new(9, 6);
         (net.loss, net.duplicated) = (loss, 200);
         net.run(3_000_000);
         net.events.clear();
         for nth in 0..20 {
-            net.call(nth % 9, &format!("r{nth}"), true);
+            net.set_override(nth % 9, &format!("r{nth}"), true);
             net.run(200_000);
         }
-        net.run(within);
+        net.run(time_limit);
         for nth in 0..9 {
-            let known = (0..20).filter(|r| net.out(nth, &format!("r{r}")) == Some(true)).count();
-            assert_eq!(known, 20, "loss {loss}, d{nth}");
+            let known = (0..20).filter(|r| net.is_out(nth, &format!("r{r}")) == Some(true)).count();
+            assert_eq!(known, 20, "overrides known to d{nth} at {loss} of a thousand lost");
         }
         let suspected =
             |event: &PeerEvent| matches!(event, PeerEvent::StateChanged { state: PeerState::Suspected, .. });
         let count = net.events.iter().filter(|(_, event)| suspected(event)).count();
-        assert!(count <= suspected_most, "loss {loss}: {count} suspicions");
+        assert!(count <= max_suspicions, "{count} suspicions at {loss} of a thousand lost");
     }
 }
 
 #[test]
 fn thousands_of_overrides_reach_a_peer_that_starts_with_none() {
-    let mut net = Net::new(3, 7);
+    let mut net = Network::new(3, 7);
     net.run(500_000);
     for nth in 0..2_000 {
         let now = net.now;
-        net.core(0).set_override(&format!("runner-{nth}"), Some(now), None, now);
+        net.dispatcher(0).set_override(&format!("runner-{nth}"), Some(now), None, now);
     }
     net.run(20_000_000);
-    assert_eq!(net.core(2).overrides.iter().count(), 2_000);
-    assert_eq!(net.core(0).agreement(), (2, 2));
+    assert_eq!(net.dispatcher(2).overrides.iter().count(), 2_000);
+    assert_eq!(net.dispatcher(0).agreement(), (2, 2));
 }
 
 #[test]
 fn an_idle_large_fleet_sends_little() {
-    let mut net = Net::new(100, 8);
+    let mut net = Network::new(100, 8);
     net.run(2_000_000);
-    let before = net.core(0).counters;
+    let before = net.dispatcher(0).counters;
     net.run(10_000_000);
-    let after = net.core(0).counters;
+    let after = net.dispatcher(0).counters;
     let bytes = (after.sent_bytes - before.sent_bytes) / 10;
     assert!(bytes < 8_000, "{bytes} bytes a second");
 }
@@ -399,13 +408,13 @@
     let mut used = Vec::new();
     for (loss, seed) in [(0, 1), (200, 5), (400, 3)] {
         let all = 9;
-        let mut net = Net::new(all, seed);
+        let mut net = Network::new(all, seed);
         for sender in &mut net.senders {
             // Two of three runs set the clocks wrong; all clocks run at rates of their own.
-            sender.ahead = [0, 5_000_000, -40_000_000_000][seed as usize % 3];
-            sender.faster = net.random.random_range(-5..=5);
+            sender.clock_ahead = [0, 5_000_000, -40_000_000_000][seed as usize % 3];
+            sender.clock_faster = net.random.random_range(-5..=5);
         }
-        (0..all).for_each(|nth| net.begin(nth, 1));
+        (0..all).for_each(|nth| net.start(nth, 1));
         net.loss = loss;
         net.duplicated = 100;
         net.run(3_000_000);
@@ -452,29 +461,29 @@
 /// Checks the test itself: a dispatcher that uses the whole budget must show up in the sum.
 #[test]
 fn a_dispatcher_that_uses_the_whole_budget_is_detected() {
-    let mut net = Net::new(9, 1);
-    net.senders[4].takes_all = true;
+    let mut net = Network::new(9, 1);
+    net.senders[4].ignores_share = true;
     net.run(3_000_000);
     net.send_all(10_000_000, 0.02);
-    assert!(net.max_sent_in_window() > 1.5, "{}", net.max_sent_in_window());
+    assert!(net.max_sent_in_window() > 1.5, "only {} was sent", net.max_sent_in_window());
 }
 
 /// A disk that opens after the peers have been met: its entries are sent to them, and do not undo an override
 /// made since the start.
 #[test]
 fn entries_of_a_late_disk_are_sent_and_undo_no_override() {
-    let mut net = Net::new(3, 1);
+    let mut net = Network::new(3, 1);
     net.run(300_000);
-    net.call(0, "r1", false);
+    net.set_override(0, "r1", false);
     net.run(50_000);
     let version = Version { count: 3, author: 9 };
     let stored =
         |runner: &str| AdminOverride { runner: runner.into(), version, out_since: Some(5), was_out: None };
-    assert_eq!(net.core(0).restore(stored("r1")), None);
-    assert_eq!(net.core(0).restore(stored("r2")), Some(stored("r2")));
-    assert_eq!(net.core(0).restore(stored("r2")), None);
+    assert_eq!(net.dispatcher(0).restore(stored("r1")), None);
+    assert_eq!(net.dispatcher(0).restore(stored("r2")), Some(stored("r2")));
+    assert_eq!(net.dispatcher(0).restore(stored("r2")), None);
     net.run(2_000_000);
     for nth in 0..3 {
-        assert_eq!((net.out(nth, "r1"), net.out(nth, "r2")), (Some(false), Some(true)));
+        assert_eq!((net.is_out(nth, "r1"), net.is_out(nth, "r2")), (Some(false), Some(true)));
     }
 }
--- a/peers/src/slow_start.rs
+++ b/peers/src/slow_start.rs
@@ -111,7 +111,8 @@
     }
 
     /// How long a received promise counts, from the probe that was answered. What is sent at the very end of
-    /// it has left the overload window before the giver sends anything again.
+    /// it has left the overload window before the giver sends anything again. 19/20 of the span allows for
+    /// clocks that run at different rates.
     fn counted_span(&self) -> Micros {
         self.promise_span() / 20 * 19 - self.overload_window - IN_FLIGHT_MARGIN
     }
@@ -125,8 +126,8 @@
     /// heard. An isolated dispatcher returns to its equal share once its own promise has ended.
     pub fn start_round(&mut self, isolated: bool, now: Micros) {
         if !isolated && now > self.withholds_until {
-            // It may have used its share until now: it withholds from now on, and promises that only once
-            // what it sent has left the overload window.
+            // This dispatcher may have used its share until now. It withholds from now on, but promises so
+            // only once what it sent has left the overload window.
             self.withholds_until = now + self.promise_span();
             self.promises_from = now + self.overload_window + IN_FLIGHT_MARGIN;
         }
@@ -162,7 +163,8 @@
         let share_of = |runner: &str| {
             let owners = self.owners_of(runner);
             if !owners.contains(&(self.own as u16)) {
-                // A promise may be made after this, before the next round.
+                // A promise made after this call extends the time; the margin lasts until the next round
+                // grants a new share.
                 return SlowStartShare { share: 0.0, until: self.withholds_until + SHARE_VALIDITY };
             }
             let non_owners = promising
@@ -170,8 +172,8 @@
                     .iter()
                     .filter(|dispatcher| self.promise_covers(usize::from(**dispatcher), now))
                     .count();
-            let shares = 1.0 + non_owners as f64 / owners.len() as f64;
-            SlowStartShare { share: shares / self.dispatcher_count as f64, until: now + SHARE_VALIDITY }
+            let equal_shares = 1.0 + non_owners as f64 / owners.len() as f64;
+            SlowStartShare { share: equal_shares / self.dispatcher_count as f64, until: now + SHARE_VALIDITY }
         };
         runners.map(share_of).collect()
     }
--- a/peers/src/slow_start/tests.rs
+++ b/peers/src/slow_start/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-fn names(all: usize) -> Vec<String> {
-    (0..all).map(|nth| format!("d{nth:03}")).collect()
+fn names(count: usize) -> Vec<String> {
+    (0..count).map(|nth| format!("d{nth:03}")).collect()
 }
 
-fn allocator(nth: usize, all: usize, now: Micros) -> SlowStartAllocator {
-    let names = names(all);
+fn allocator(nth: usize, count: usize, now: Micros) -> SlowStartAllocator {
+    let names = names(count);
     let mut allocator = SlowStartAllocator::new(&names, &names[nth], now);
-    allocator.configure(all, 2_000_000);
+    allocator.configure(count, 2_000_000);
     allocator
 }
 
@@ -23,7 +23,10 @@
         assert!(all.iter_mut().all(|allocator| allocator.owners_of(&format!("r{r}")) == owners));
         owners.iter().for_each(|nth| owned[usize::from(*nth)] += 1);
     }
-    assert!(owned.iter().all(|count| (50..130).contains(count)), "{owned:?}");
+    assert!(
+        owned.iter().all(|count| (50..130).contains(count)),
+        "runners owned by each dispatcher: {owned:?}"
+    );
 }
 
 #[test]
@@ -35,14 +38,14 @@
     let share = |allocator: &mut SlowStartAllocator, now| allocator.shares(["r1"].into_iter(), now)[0];
     assert_eq!(share(&mut all[owner], now).share, 1.0 / 9.0);
     let other = (0..9).find(|nth| !owners.contains(&(*nth as u16))).unwrap();
-    let held = share(&mut all[other], now);
+    let withheld = share(&mut all[other], now);
     assert!(
-        held.share == 0.0 && held.until > now + all[other].promise_span(),
+        withheld.share == 0.0 && withheld.until > now + all[other].promise_span(),
         "an earlier run may have promised"
     );
     for nth in 0..9 {
-        let gave = all[nth].try_promise(false, now + 10);
-        assert!(gave);
+        let promised = all[nth].try_promise(false, now + 10);
+        assert!(promised);
         all[owner].record_promise(nth, now);
     }
     // Its own share, and a third of each of the six non-owners' shares.
