--- a/store/src/disk.rs
+++ b/store/src/disk.rs
@@ -65,23 +65,25 @@
 /// A directory of the file system.
 pub struct DirectoryDisk {
     path: PathBuf,
+    /// The lock file, while this process holds the lock.
     lock: Option<File>,
-    /// The file written last, kept open.
-    open: Option<(String, File)>,
+    /// Name and handle of the file written last, kept open.
+    last_written: Option<(String, File)>,
 }
 
 impl DirectoryDisk {
     /// Uses the directory at `path`, which must exist.
     pub fn new(path: &Path) -> DirectoryDisk {
-        DirectoryDisk { path: path.to_owned(), lock: None, open: None }
+        DirectoryDisk { path: path.to_owned(), lock: None, last_written: None }
     }
 
-    fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if self.open.as_ref().is_none_or(|(known, _)| known != name) {
+    /// The file `name`, opened for appending unless it is the one written last.
+    fn file_for_append(&mut self, name: &str) -> io::Result<&mut File> {
+        if self.last_written.as_ref().is_none_or(|(known, _)| known != name) {
             let file = OpenOptions::new().append(true).open(self.path.join(name))?;
-            self.open = Some((name.to_owned(), file));
+            self.last_written = Some((name.to_owned(), file));
         }
-        self.open.as_mut().map(|(_, file)| file).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.last_written.as_mut().map(|(_, file)| file).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
@@ -102,25 +104,25 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.open = None;
+        self.last_written = None;
         File::create(self.path.join(name)).map(drop)
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.file(name)?.write_all(bytes)
+        self.file_for_append(name)?.write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.file(name)?.sync_data()
+        self.file_for_append(name)?.sync_data()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open = None;
+        self.last_written = None;
         fs::rename(self.path.join(from), self.path.join(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open = None;
+        self.last_written = None;
         fs::remove_file(self.path.join(name))
     }
 
--- a/store/src/faulty.rs
+++ b/store/src/faulty.rs
@@ -63,7 +63,9 @@
     persisted_names: BTreeMap<String, usize>,
     /// Changes of names since then.
     name_changes: Vec<NameChange>,
-    seed: u64,
+    /// State of the random generator.
+    random_state: u64,
+    /// Number of operations so far.
     operations: u64,
 }
 
@@ -78,7 +80,16 @@
         }
         let persisted_names = names.clone();
         let name_changes = Vec::new();
-        Ok(FaultyDisk { inner, faults, files, names, persisted_names, name_changes, seed, operations: 0 })
+        Ok(FaultyDisk {
+            inner,
+            faults,
+            files,
+            names,
+            persisted_names,
+            name_changes,
+            random_state: seed,
+            operations: 0,
+        })
     }
 
     /// Number of operations so far: the points at which a crash can be injected.
@@ -88,8 +99,8 @@
 
     /// A random number below `below`, by SplitMix64.
     fn random_below(&mut self, below: usize) -> usize {
-        self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.seed;
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.random_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (mixed ^ (mixed >> 31)) as usize % below.max(1)
@@ -109,6 +120,7 @@
         Ok(faults)
     }
 
+    /// Like [`FaultyDisk::begin_operation`], for an operation that fails on a read-only disk.
     fn begin_write(&mut self) -> io::Result<DiskFaults> {
         let faults = self.begin_operation()?;
         if faults.read_only {
@@ -123,16 +135,16 @@
 
     /// Writes the bytes of a file up to `up_to` to the disk.
     fn persist_bytes(&mut self, file: usize, up_to: usize) -> io::Result<()> {
-        let known = &mut self.files[file];
-        let from = std::mem::replace(&mut known.persisted, up_to);
-        let mut bytes = known.written[from..up_to].to_vec();
-        for (begin, end) in &known.lost {
+        let state = &mut self.files[file];
+        let from = std::mem::replace(&mut state.persisted, up_to);
+        let mut bytes = state.written[from..up_to].to_vec();
+        for (begin, end) in &state.lost {
             let (begin, end) = ((*begin).max(from), (*end).min(up_to));
             if begin < end {
                 bytes[begin - from..end - from].fill(0);
             }
         }
-        for (name, _) in self.persisted_names.iter().filter(|(_, known)| **known == file) {
+        for (name, _) in self.persisted_names.iter().filter(|(_, index)| **index == file) {
             self.inner.append(name, &bytes)?;
         }
         Ok(())
@@ -145,9 +157,9 @@
             match change {
                 NameChange::Create(name, file) => {
                     self.inner.create(&name)?;
-                    let known = &self.files[file];
-                    let mut bytes = known.written[..known.persisted].to_vec();
-                    for (begin, end) in &known.lost {
+                    let state = &self.files[file];
+                    let mut bytes = state.written[..state.persisted].to_vec();
+                    for (begin, end) in &state.lost {
                         let end = (*end).min(bytes.len());
                         if *begin < end {
                             bytes[*begin..end].fill(0);
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -24,7 +24,7 @@
 /// Largest record in bytes; a roster of 10,000 runners takes about 3 MB.
 pub const MAX_RECORD_BYTES: usize = 64 << 20;
 /// Start of the names of log files.
-const PREFIX: &str = "log-";
+const FILE_NAME_PREFIX: &str = "log-";
 
 /// Kind of a record. Numbers are never reused; those from 32 on are reserved for a journal of work that
 /// must not run twice.
@@ -64,15 +64,16 @@
 }
 
 /// Name of the file with this number.
-pub fn name(number: u64) -> String {
-    format!("{PREFIX}{number:016}")
+pub fn file_name(number: u64) -> String {
+    format!("{FILE_NAME_PREFIX}{number:016}")
 }
 
 /// Number of a log file by its name; none for other files.
-pub fn number(name: &str) -> Option<u64> {
-    name.strip_prefix(PREFIX).filter(|digits| digits.len() == 16)?.parse().ok()
+pub fn file_number(name: &str) -> Option<u64> {
+    name.strip_prefix(FILE_NAME_PREFIX).filter(|digits| digits.len() == 16)?.parse().ok()
 }
 
+/// Checksum of an entry; see the module description.
 fn checksum(file: u64, index: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&file.to_le_bytes());
@@ -127,7 +128,7 @@
 
 /// Decodes the entry at the start of `bytes` if its index is at least `from`. Returns its index, the entry
 /// and its length in bytes.
-fn open(bytes: &[u8], file: u64, from: u64) -> Option<(u64, LogEntry, usize)> {
+fn decode_entry(bytes: &[u8], file: u64, from: u64) -> Option<(u64, LogEntry, usize)> {
     if bytes.get(..2)? != MAGIC {
         return None;
     }
@@ -147,25 +148,25 @@
 /// Reads all valid entries of the file with number `file`.
 pub fn read(file: u64, bytes: &[u8]) -> LogContents {
     let mut contents = LogContents::default();
-    let (mut at, mut next, mut good_end) = (0, 0, 0);
-    while at < bytes.len() {
+    let (mut position, mut next_index, mut valid_end) = (0, 0, 0);
+    while position < bytes.len() {
         // Either the expected entry, or the first valid one after a damaged stretch.
-        match open(&bytes[at..], file, next) {
+        match decode_entry(&bytes[position..], file, next_index) {
             Some((index, entry, length)) => {
                 if let LogEntry::Head { form, .. } = entry
                     && form > FORMAT
                 {
                     contents.newer_format = Some(form);
                 }
-                contents.gaps += u64::from(at != good_end || index != next);
+                contents.gaps += u64::from(position != valid_end || index != next_index);
                 contents.entries.push(entry);
-                (at, next) = (at + length, index + 1);
-                good_end = at;
+                (position, next_index) = (position + length, index + 1);
+                valid_end = position;
             }
-            None => at += 1,
+            None => position += 1,
         }
     }
-    contents.torn_bytes = (bytes.len() - good_end) as u64;
+    contents.torn_bytes = (bytes.len() - valid_end) as u64;
     contents
 }
 
--- a/store/src/log/tests.rs
+++ b/store/src/log/tests.rs
@@ -35,15 +35,22 @@
 #[test]
 fn a_flipped_bit_loses_one_entry_and_invents_none() {
     let (bytes, entries) = file();
-    for at in 0..bytes.len() * 8 {
+    for bit in 0..bytes.len() * 8 {
         let mut damaged = bytes.clone();
-        damaged[at / 8] ^= 1 << (at % 8);
+        damaged[bit / 8] ^= 1 << (bit % 8);
         let read = read(3, &damaged);
-        let hit = at / 8 * 6 / bytes.len();
-        let left: Vec<&LogEntry> =
-            entries.iter().enumerate().filter(|(nth, _)| *nth != hit).map(|(_, entry)| entry).collect();
-        assert_eq!(read.entries.iter().collect::<Vec<_>>(), left);
-        assert!(if hit == 5 { read.torn_bytes > 0 } else { read.gaps == 1 });
+        let damaged_entry = bit / 8 * 6 / bytes.len();
+        let intact: Vec<&LogEntry> = entries
+            .iter()
+            .enumerate()
+            .filter(|(nth, _)| *nth != damaged_entry)
+            .map(|(_, entry)| entry)
+            .collect();
+        assert_eq!(read.entries.iter().collect::<Vec<_>>(), intact);
+        assert!(
+            if damaged_entry == 5 { read.torn_bytes > 0 } else { read.gaps == 1 },
+            "the damage of bit {bit} is not reported"
+        );
     }
 }
 
@@ -52,9 +59,9 @@
     let (bytes, entries) = file();
     assert_eq!(read(4, &bytes).entries, []);
     let half = bytes.len() / 2;
-    let turned = [&bytes[half..], &bytes[..half]].concat();
+    let swapped = [&bytes[half..], &bytes[..half]].concat();
     // After the first entry found, entries with a lower index are not accepted.
-    assert_eq!(read(3, &turned).entries, entries[3..]);
+    assert_eq!(read(3, &swapped).entries, entries[3..]);
     let twice = [&bytes[..], &bytes[..]].concat();
     assert_eq!(read(3, &twice).entries, entries);
 }
--- a/store/src/store.rs
+++ b/store/src/store.rs
@@ -14,8 +14,9 @@
 use crate::log::{self, FORMAT, LogEntry, MAX_RECORD_BYTES, Record, Table, Writer};
 
 /// Name under which a new file is written before it is renamed.
-const TEMPORARY: &str = "next";
-/// Two copies, as the latest boot number may be known nowhere else; each is read independently.
+const TEMPORARY_FILE: &str = "next";
+/// Files with the boot number. Two copies, as the latest number may be known nowhere else; each is read
+/// independently.
 const BOOT_FILES: [&str; 2] = ["boot-a", "boot-b"];
 /// File with the machine's uptime until which the process may have been running.
 const ALIVE_FILE: &str = "alive";
@@ -139,7 +140,7 @@
     /// Number in the file's name.
     number: u64,
     owner: String,
-    store: u64,
+    store_id: u64,
     boot: u64,
     /// Whether the last entry records a clean shutdown and nothing is missing.
     ended_cleanly: bool,
@@ -160,11 +161,11 @@
         LogEntry::Head { owner, store, boot, .. } => Some((owner.clone(), *store, *boot)),
         _ => None,
     });
-    let Some((owner, store, boot)) = head else { return Ok(None) };
+    let Some((owner, store_id, boot)) = head else { return Ok(None) };
     let mut file = LoadedFile {
         number,
         owner,
-        store,
+        store_id,
         boot,
         ended_cleanly: false,
         gaps: contents.gaps,
@@ -202,7 +203,7 @@
 pub fn inspect(disk: &mut dyn Disk) -> Result<StoreInspection, StoreError> {
     let names = disk.list()?;
     let mut files: Vec<(u64, String)> =
-        names.into_iter().filter_map(|name| Some((log::number(&name)?, name))).collect();
+        names.into_iter().filter_map(|name| Some((log::file_number(&name)?, name))).collect();
     files.sort_unstable();
     let mut inspection = StoreInspection::default();
     let mut best: Option<LoadedFile> = None;
@@ -223,10 +224,10 @@
         }
     }
     for name in BOOT_FILES {
-        let boot = disk.read(name).ok().and_then(|bytes| read_boot(&bytes));
+        let boot = disk.read(name).ok().and_then(|bytes| decode_boot(&bytes));
         inspection.summary.boot = inspection.summary.boot.max(boot.unwrap_or(0));
     }
-    let alive = disk.read(ALIVE_FILE).ok().and_then(|bytes| read_alive(&bytes));
+    let alive = disk.read(ALIVE_FILE).ok().and_then(|bytes| decode_alive(&bytes));
     if let Some(alive) = alive {
         inspection.summary.min_downtime = min_elapsed(&alive, &disk.machine());
     }
@@ -246,11 +247,11 @@
     }
     summary.ended_cleanly = best.ended_cleanly && summary.warnings.is_empty() && best.boot >= summary.boot;
     (summary.torn_bytes, summary.last_written) = (best.torn_bytes, best.last_written);
-    let last = best.records.values().map(|record| record.boot).max().unwrap_or(0);
-    summary.boot = summary.boot.max(best.boot).max(last);
+    let newest_record_boot = best.records.values().map(|record| record.boot).max().unwrap_or(0);
+    summary.boot = summary.boot.max(best.boot).max(newest_record_boot);
     inspection.file = Some(best.number);
     inspection.owner = Some(best.owner);
-    inspection.store = best.store;
+    inspection.store = best.store_id;
     inspection.records = best.records;
     Ok(inspection)
 }
@@ -264,20 +265,20 @@
     (crc32fast::hash(bytes) == u32::from_le_bytes(*checksum)).then_some(bytes)
 }
 
-fn read_boot(bytes: &[u8]) -> Option<u64> {
+fn decode_boot(bytes: &[u8]) -> Option<u64> {
     Some(u64::from_le_bytes(strip_checksum(bytes)?.try_into().ok()?))
 }
 
-/// Fixed length, as the file is overwritten in place.
+/// Length of the content of [`ALIVE_FILE`] without its checksum: fixed, as the file is overwritten in place.
 const ALIVE_BYTES: usize = 64;
 
-fn write_alive(machine: &Machine) -> Vec<u8> {
+fn encode_alive(machine: &Machine) -> Vec<u8> {
     let mut text = format!("{} {}", machine.uptime, machine.boot_id).into_bytes();
     text.resize(ALIVE_BYTES, b' ');
     add_checksum(&text)
 }
 
-fn read_alive(bytes: &[u8]) -> Option<Machine> {
+fn decode_alive(bytes: &[u8]) -> Option<Machine> {
     let text = std::str::from_utf8(strip_checksum(bytes)?).ok()?;
     let (uptime, boot_id) = text.trim_end().split_once(' ')?;
     Some(Machine { boot_id: boot_id.to_owned(), uptime: uptime.parse().ok()? })
@@ -288,7 +289,7 @@
     disk: Box<dyn Disk>,
     owner: String,
     /// Id of the store.
-    store: u64,
+    id: u64,
     boot: u64,
     /// Whether the boot number is on the disk, so that no later process run will use it.
     boot_is_stored: bool,
@@ -322,16 +323,17 @@
         if summary.last_written > now {
             summary.warnings.push(IntegrityWarning::ClockBehind { behind: summary.last_written - now });
         }
-        let last = inspection.files.iter().filter_map(|(name, _)| log::number(name)).max().unwrap_or(0);
+        let newest_file =
+            inspection.files.iter().filter_map(|(name, _)| log::file_number(name)).max().unwrap_or(0);
         let mut store = Store {
             disk,
             owner: owner.to_owned(),
-            store: if inspection.store == 0 { id } else { inspection.store },
+            id: if inspection.store == 0 { id } else { inspection.store },
             boot: summary.boot + 1,
             boot_is_stored: false,
             records: inspection.records,
             writer: None,
-            file_number: last,
+            file_number: newest_file,
             snapshot_bytes: 0,
             has_unsynced: false,
         };
@@ -359,17 +361,18 @@
         &self.records
     }
 
-    /// Writes one copy after the other: an error that damages one leaves the other intact.
+    /// Writes the boot number unless it is stored already. The copies are written one after the other: an
+    /// error that damages one leaves the other intact.
     fn write_boot(&mut self) -> io::Result<()> {
         if self.boot_is_stored {
             return Ok(());
         }
         let bytes = add_checksum(&self.boot.to_le_bytes());
         for name in BOOT_FILES {
-            self.disk.create(TEMPORARY)?;
-            self.disk.append(TEMPORARY, &bytes)?;
-            self.disk.sync(TEMPORARY)?;
-            self.disk.rename(TEMPORARY, name)?;
+            self.disk.create(TEMPORARY_FILE)?;
+            self.disk.append(TEMPORARY_FILE, &bytes)?;
+            self.disk.sync(TEMPORARY_FILE)?;
+            self.disk.rename(TEMPORARY_FILE, name)?;
             self.disk.sync_directory()?;
         }
         self.boot_is_stored = true;
@@ -382,7 +385,7 @@
     pub fn note_alive(&mut self, margin: Micros) {
         let mut machine = self.disk.machine();
         machine.uptime += margin;
-        let _ = self.disk.write_in_place(ALIVE_FILE, &write_alive(&machine));
+        let _ = self.disk.write_in_place(ALIVE_FILE, &encode_alive(&machine));
     }
 
     /// Changes a record, or deletes it if `value` is none. It is in force here immediately and stored once
@@ -394,7 +397,7 @@
         if let Some(writer) = &mut self.writer {
             let mut bytes = Vec::new();
             writer.append(&LogEntry::Record(record.clone()), &mut bytes);
-            let name = log::name(writer.file);
+            let name = log::file_name(writer.file);
             if self.disk.append(&name, &bytes).is_err() {
                 self.writer = None;
             }
@@ -418,7 +421,7 @@
         let result = match &self.writer {
             Some(_) if !self.has_unsynced => return Ok(()),
             Some(writer) if writer.length < self.snapshot_bytes * REWRITE_FACTOR + REWRITE_MIN_BYTES => {
-                let name = log::name(writer.file);
+                let name = log::file_name(writer.file);
                 self.disk.sync(&name)
             }
             _ => self.write_boot().and_then(|()| self.write_new_file()),
@@ -441,7 +444,7 @@
         if let Some(writer) = &mut self.writer {
             let mut bytes = Vec::new();
             writer.append(&LogEntry::CleanShutdown { written: now }, &mut bytes);
-            let name = log::name(writer.file);
+            let name = log::file_name(writer.file);
             let result = self.disk.append(&name, &bytes).and_then(|()| self.disk.sync(&name));
             result.map_err(|error| WriteError(error.to_string()))?;
         }
@@ -453,7 +456,7 @@
         self.writer = None;
         let mut writer = Writer::new(self.file_number + 1);
         let mut bytes = Vec::new();
-        let (owner, store, boot) = (self.owner.clone(), self.store, self.boot);
+        let (owner, store, boot) = (self.owner.clone(), self.id, self.boot);
         let head = LogEntry::Head { form: FORMAT, owner, store, boot };
         writer.append(&head, &mut bytes);
         for record in self.records.values() {
@@ -462,17 +465,19 @@
         // The head is written twice: the owner must not depend on a single entry.
         writer.append(&head, &mut bytes);
         writer.append(&LogEntry::SnapshotEnd { records: self.records.len() as u64 }, &mut bytes);
-        self.disk.create(TEMPORARY)?;
-        self.disk.append(TEMPORARY, &bytes)?;
-        self.disk.sync(TEMPORARY)?;
-        self.disk.rename(TEMPORARY, &log::name(writer.file))?;
+        self.disk.create(TEMPORARY_FILE)?;
+        self.disk.append(TEMPORARY_FILE, &bytes)?;
+        self.disk.sync(TEMPORARY_FILE)?;
+        self.disk.rename(TEMPORARY_FILE, &log::file_name(writer.file))?;
         self.disk.sync_directory()?;
         self.file_number = writer.file;
         self.snapshot_bytes = writer.length;
         self.writer = Some(writer);
         // The previous file is kept in case the new one is damaged.
         let names: Vec<String> = self.disk.list()?;
-        for name in names.iter().filter(|name| log::number(name).is_some_and(|n| n + 1 < self.file_number)) {
+        for name in
+            names.iter().filter(|name| log::file_number(name).is_some_and(|n| n + 1 < self.file_number))
+        {
             // Files that cannot be removed now are tried again next time.
             let _ = self.disk.remove(name);
         }
--- a/store/tests/crashes.rs
+++ b/store/tests/crashes.rs
@@ -11,11 +11,12 @@
     Disk, DiskFaults, FaultyDisk, IntegrityWarning, Machine, MemoryDisk, Store, StoreError, inspect,
 };
 
+/// The clock of all process runs, as Unix time in microseconds.
 const NOW: i64 = 1_700_000_000_000_000;
 
 type Overrides = BTreeMap<String, StoredOverride>;
 
-fn out(since: i64) -> StoredOverride {
+fn out_of_use(since: i64) -> StoredOverride {
     StoredOverride { out_since: Some(since), ..StoredOverride::default() }
 }
 
@@ -62,7 +63,11 @@
             self.later
         );
         if let Some(boot) = store.boot() {
-            assert!(self.boots.iter().all(|known| *known < boot), "{boot} again, {:?}", self.boots);
+            assert!(
+                self.boots.iter().all(|known| *known < boot),
+                "boot number {boot} is not above the earlier ones: {:?}",
+                self.boots
+            );
             self.boots.push(boot);
         }
         // What was found is in force from here on, and stored if the start could write it.
@@ -76,7 +81,7 @@
                 store.put_typed::<StoredOverride>(&runner, None, NOW);
                 now.remove(&runner);
             } else {
-                let entry = out(seed as i64 * 1000 + nth);
+                let entry = out_of_use(seed as i64 * 1000 + nth);
                 store.put_typed(&runner, Some(&entry), NOW);
                 now.insert(runner, entry);
             }
@@ -99,9 +104,9 @@
     ($($name:ident($($arg:ident: $type:ty),*) -> $result:ty;)*) => {
         impl<D: Disk> Disk for Counting<D> {
             $(fn $name(&mut self, $($arg: $type),*) -> $result {
-                let done = self.0.$name($($arg),*);
+                let result = self.0.$name($($arg),*);
                 *self.1.lock().unwrap() = self.0.operations();
-                done
+                result
             })*
         }
     };
@@ -126,35 +131,35 @@
     copy
 }
 
-/// Three process runs: the second is cut at every single operation, and for each of those the third at every
-/// one, or at every seventh.
+/// Three process runs: the second crashes at each of its operations, and for each of those the third at each,
+/// or at every seventh. A run without a crash then checks what is left.
 #[test]
 fn a_crash_at_every_operation_loses_nothing_reported_as_stored() {
     let mut crashes = 0;
     for seed in 0..12 {
         let (disk, mut history) = (MemoryDisk::default(), History::default());
         history.run(&disk, seed, None, DiskFaults::default());
-        let mut second = 0;
+        let mut second_crash = 0;
         loop {
             let (again, mut history_after) = (copy_of(&disk), history.clone());
-            let done = history_after.run(&again, seed + 100, Some(second), DiskFaults::default());
-            for third in (0..30).step_by(if seed == 0 { 1 } else { 7 }) {
+            let done = history_after.run(&again, seed + 100, Some(second_crash), DiskFaults::default());
+            for third_crash in (0..30).step_by(if seed == 0 { 1 } else { 7 }) {
                 let (again, mut history_after) = (copy_of(&again), history_after.clone());
-                history_after.run(&again, seed + 200, Some(third), DiskFaults::default());
+                history_after.run(&again, seed + 200, Some(third_crash), DiskFaults::default());
                 history_after.run(&again, seed + 300, None, DiskFaults::default());
                 crashes += 1;
             }
-            if done < second {
+            if done < second_crash {
                 break;
             }
-            second += 1;
+            second_crash += 1;
         }
     }
-    assert!(crashes > 2_000, "{crashes}");
+    assert!(crashes > 2_000, "only {crashes} crashes were tested");
 }
 
 #[test]
-fn random_histories_of_crashes_and_faults() {
+fn random_crashes_and_disk_faults_lose_nothing_reported_as_stored() {
     for seed in 0..400u64 {
         let (disk, mut history) = (MemoryDisk::default(), History::default());
         let mut random = Pcg32::seed_from_u64(seed);
@@ -169,34 +174,34 @@
             history.run(&disk, seed * 100 + nth, crash, faults);
         }
         history.run(&disk, seed * 100 + 99, None, DiskFaults::default());
-        assert!(history.boots.len() > 2, "{:?}", history.boots);
+        assert!(history.boots.len() > 2, "seed {seed}: only boot numbers {:?}", history.boots);
     }
 }
 
 /// A directory after two process runs, with three overrides, the last of them in the last entry.
-fn folder() -> MemoryDisk {
+fn directory_after_two_runs() -> MemoryDisk {
     let disk = MemoryDisk::default();
     let (mut store, found) = open(disk.clone()).unwrap();
     assert!(found.is_new && found.warnings.is_empty());
-    store.put_typed("r1", Some(&out(1)), NOW);
+    store.put_typed("r1", Some(&out_of_use(1)), NOW);
     store.close(NOW).unwrap();
     drop(store);
     let (mut store, found) = open(disk.clone()).unwrap();
     assert!(!found.is_new && found.ended_cleanly && found.boot == 1);
-    let list = StoredRoster { discovery: "127.0.0.1:1".into(), generation: 4, json: "{}".into() };
-    store.put_typed("", Some(&list), NOW);
-    store.put_typed("r2", Some(&out(2)), NOW);
+    let roster = StoredRoster { discovery: "127.0.0.1:1".into(), generation: 4, json: "{}".into() };
+    store.put_typed("", Some(&roster), NOW);
+    store.put_typed("r2", Some(&out_of_use(2)), NOW);
     store.sync().unwrap();
-    store.put_typed("r3", Some(&out(3)), NOW);
+    store.put_typed("r3", Some(&out_of_use(3)), NOW);
     store.sync().unwrap();
     disk
 }
 
 #[test]
 fn any_flipped_byte_gives_right_values_or_a_warning() {
-    let disk = folder();
+    let disk = directory_after_two_runs();
     let all_files = disk.files().clone();
-    let right: Overrides = [("r1", out(1)), ("r2", out(2)), ("r3", out(3))]
+    let expected: Overrides = [("r1", out_of_use(1)), ("r2", out_of_use(2)), ("r3", out_of_use(3))]
         .into_iter()
         .map(|(id, entry)| (id.to_owned(), entry))
         .collect();
@@ -205,17 +210,21 @@
             for flip in [0x01, 0x80, 0xff] {
                 let damaged = copy_of(&disk);
                 damaged.files().get_mut(name).unwrap()[at] ^= flip;
-                let (store, found) =
-                    open(damaged.clone()).unwrap_or_else(|error| panic!("{name} {at}: {error}"));
-                assert_eq!(store.boot(), Some(3), "{name} {at}");
+                let (store, found) = open(damaged.clone()).unwrap_or_else(|error| {
+                    panic!("cannot be opened after a change of byte {at} of {name}: {error}")
+                });
+                assert_eq!(store.boot(), Some(3), "after a change of byte {at} of {name}");
                 let overrides = overrides(&store);
                 assert!(
-                    overrides.iter().all(|(id, entry)| right[id] == *entry),
-                    "{name} {at}: {overrides:?}"
+                    overrides.iter().all(|(id, entry)| expected[id] == *entry),
+                    "wrong values after a change of byte {at} of {name}: {overrides:?}"
                 );
                 // Anything missing must be reported, as a gap or as a damaged end.
                 let reported = !found.warnings.is_empty() || found.torn_bytes > 0;
-                assert!(overrides == right || reported, "{name} {at}: {overrides:?} {found:?}");
+                assert!(
+                    overrides == expected || reported,
+                    "loss not reported after a change of byte {at} of {name}: {overrides:?} {found:?}"
+                );
             }
         }
     }
@@ -223,21 +232,24 @@
 
 #[test]
 fn a_truncated_file_is_read_up_to_its_end() {
-    let disk = folder();
+    let disk = directory_after_two_runs();
     let newest = disk.files().keys().rfind(|name| name.starts_with("log-")).cloned().unwrap();
     let length = disk.files()[&newest].len();
-    let mut least = 3;
+    let mut previous_count = 3;
     for end in (0..length).rev() {
         let cut = copy_of(&disk);
         cut.files().get_mut(&newest).unwrap().truncate(end);
         let (store, found) = open(cut).unwrap();
         let overrides = overrides(&store);
-        assert!(overrides.len() <= least && overrides.contains_key("r1"), "{end}: {overrides:?}");
+        assert!(
+            overrides.len() <= previous_count && overrides.contains_key("r1"),
+            "truncated to {end} bytes: {overrides:?}"
+        );
         assert!(
             overrides.len() == 3 || found.torn_bytes > 0 || !found.warnings.is_empty() || end > 0,
-            "{end}: {found:?}"
+            "truncated to {end} bytes: {found:?}"
         );
-        least = overrides.len();
+        previous_count = overrides.len();
     }
 }
 
@@ -246,12 +258,12 @@
     let (disk, faults) = (MemoryDisk::default(), Arc::new(Mutex::new(DiskFaults::default())));
     let faulty = FaultyDisk::new(disk.clone(), faults.clone(), 9).unwrap();
     let (mut store, _) = open(faulty).unwrap();
-    store.put_typed("r1", Some(&out(1)), NOW);
+    store.put_typed("r1", Some(&out_of_use(1)), NOW);
     faults.lock().unwrap().sync_fails = true;
     assert!(store.sync().is_err());
     // From here on every sync on this disk succeeds, though the bytes of the failed one are lost.
     faults.lock().unwrap().sync_fails = false;
-    store.put_typed("r2", Some(&out(2)), NOW);
+    store.put_typed("r2", Some(&out_of_use(2)), NOW);
     assert!(store.sync().is_ok());
     drop(store);
     let (store, found) = open(disk).unwrap();
@@ -264,12 +276,12 @@
         DiskFaults { full: true, ..DiskFaults::default() },
         DiskFaults { read_only: true, ..DiskFaults::default() },
     ] {
-        let disk = folder();
+        let disk = directory_after_two_runs();
         let faults = Arc::new(Mutex::new(faults));
         let (mut store, found) = open(FaultyDisk::new(disk.clone(), faults.clone(), 4).unwrap()).unwrap();
         assert!(found.write_error.is_some() && store.boot().is_none());
         assert_eq!(overrides(&store).len(), 3);
-        store.put_typed("r4", Some(&out(4)), NOW);
+        store.put_typed("r4", Some(&out_of_use(4)), NOW);
         assert!(store.sync().is_err() && overrides(&store).len() == 4);
         // The disk works again.
         *faults.lock().unwrap() = DiskFaults::default();
@@ -281,34 +293,34 @@
 
 #[test]
 fn another_dispatchers_store_is_refused_and_a_clock_set_back_is_reported() {
-    let refused = Store::open(Box::new(folder()), "d1", 1, NOW).map(|_| ()).unwrap_err();
+    let refused = Store::open(Box::new(directory_after_two_runs()), "d1", 1, NOW).map(|_| ()).unwrap_err();
     assert_eq!(refused.to_string(), "it is the store of \"d0\"");
-    let (_, found) = Store::open(Box::new(folder()), "d0", 1, NOW - 5_000_000).unwrap();
+    let (_, found) = Store::open(Box::new(directory_after_two_runs()), "d0", 1, NOW - 5_000_000).unwrap();
     assert_eq!(found.warnings, [IntegrityWarning::ClockBehind { behind: 5_000_000 }]);
-    let inspection = inspect(&mut folder()).unwrap();
+    let inspection = inspect(&mut directory_after_two_runs()).unwrap();
     assert_eq!((inspection.owner.as_deref(), inspection.store, inspection.summary.boot), (Some("d0"), 77, 2));
 }
 
 #[test]
 fn downtime_is_measured_by_the_machines_uptime_not_by_the_clock() {
     let machine = |boot_id: &str, uptime| Machine { boot_id: boot_id.to_owned(), uptime };
-    let away = |then: Machine, now: Machine| {
+    let downtime = |then: Machine, now: Machine| {
         let disk = MemoryDisk::default();
         disk.set_machine(then);
         drop(open(disk.clone()).unwrap());
         disk.set_machine(now);
         open(disk).unwrap().1.min_downtime
     };
-    assert_eq!(away(machine("a", 5_000_000), machine("a", 7_500_000)), 2_500_000);
+    assert_eq!(downtime(machine("a", 5_000_000), machine("a", 7_500_000)), 2_500_000);
     // After another boot of the machine: at least its uptime.
-    assert_eq!(away(machine("a", 90_000_000), machine("b", 3_000_000)), 3_000_000);
+    assert_eq!(downtime(machine("a", 90_000_000), machine("b", 3_000_000)), 3_000_000);
     // Without a boot id nothing is known.
-    assert_eq!(away(machine("", 1), machine("", 9_000_000)), 0);
+    assert_eq!(downtime(machine("", 1), machine("", 9_000_000)), 0);
 }
 
 #[test]
 fn a_higher_boot_number_known_to_a_peer_is_exceeded() {
-    let disk = folder();
+    let disk = directory_after_two_runs();
     let (mut store, _) = open(disk.clone()).unwrap();
     assert_eq!(store.boot(), Some(3));
     store.raise_boot_above(9).unwrap();
