--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -24,7 +24,7 @@
 /// Largest record in bytes; a roster of 10,000 runners takes about 3 MB.
 pub const MAX_RECORD_BYTES: usize = 64 << 20;
 /// Start of the names of log files.
-const FILE_NAME_PREFIX: &str = "log-";
+const PREFIX: &str = "log-";
 
 /// Kind of a record. Numbers are never reused; those from 32 on are reserved for a journal of work that
 /// must not run twice.
@@ -65,12 +65,12 @@
 
 /// Name of the file with this number.
 pub fn file_name(number: u64) -> String {
-    format!("{FILE_NAME_PREFIX}{number:016}")
+    format!("{PREFIX}{number:016}")
 }
 
 /// Number of a log file by its name; none for other files.
 pub fn file_number(name: &str) -> Option<u64> {
-    name.strip_prefix(FILE_NAME_PREFIX).filter(|digits| digits.len() == 16)?.parse().ok()
+    name.strip_prefix(PREFIX).filter(|digits| digits.len() == 16)?.parse().ok()
 }
 
 /// Checksum of an entry; see the module description.
