--- a/lab/src/sockets/http.rs
+++ b/lab/src/sockets/http.rs
@@ -46,7 +46,8 @@
 /// One TCP connection.
 pub struct Connection {
     stream: TcpStream,
-    read: Vec<u8>,
+    /// Bytes that have arrived and belong to no received message yet.
+    unparsed: Vec<u8>,
     /// The invocation that was last answered on this connection.
     pub last_answered: Option<u64>,
 }
@@ -63,7 +64,7 @@
 }
 
 /// Returns an error for a malformed message.
-fn bad(what: &str) -> io::Error {
+fn invalid_data(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what.to_owned())
 }
 
@@ -71,7 +72,7 @@
     /// Takes over a connected stream.
     pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true);
-        Connection { stream, read: Vec::new(), last_answered: None }
+        Connection { stream, unparsed: Vec::new(), last_answered: None }
     }
 
     /// Writes bytes.
@@ -85,14 +86,14 @@
 
     /// Waits until the peer closes the connection or sends more bytes.
     pub async fn wait_for_input(&mut self) {
-        let _ = self.stream.read_buf(&mut self.read).await;
+        let _ = self.stream.read_buf(&mut self.unparsed).await;
     }
 
     /// Returns the state between two messages, without waiting.
     pub fn idle_state(&mut self) -> IdleState {
         let mut byte = [0];
         match self.stream.try_read(&mut byte) {
-            _ if !self.read.is_empty() => IdleState::UnexpectedData,
+            _ if !self.unparsed.is_empty() => IdleState::UnexpectedData,
             Ok(0) => IdleState::Ended,
             Ok(_) => IdleState::UnexpectedData,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Quiet,
@@ -107,15 +108,15 @@
     /// Returns an error if reading fails, or if the message is malformed, too large or incomplete.
     pub async fn receive(&mut self) -> io::Result<Option<Message>> {
         loop {
-            if let Some((message, used)) = parse(&self.read)? {
-                self.read.drain(..used);
+            if let Some((message, used)) = parse(&self.unparsed)? {
+                self.unparsed.drain(..used);
                 return Ok(Some(message));
             }
-            if self.stream.read_buf(&mut self.read).await? == 0 {
-                return if self.read.is_empty() {
+            if self.stream.read_buf(&mut self.unparsed).await? == 0 {
+                return if self.unparsed.is_empty() {
                     Ok(None)
                 } else {
-                    Err(bad("connection closed inside a message"))
+                    Err(invalid_data("connection closed inside a message"))
                 };
             }
         }
@@ -132,21 +133,21 @@
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut message = Message::default();
     let is_response = bytes.starts_with(b"HTTP/");
-    let head = if is_response {
+    let parsed_head = if is_response {
         let mut parsed = httparse::Response::new(&mut headers);
-        let status = parsed.parse(bytes).map_err(|error| bad(&error.to_string()))?;
+        let status = parsed.parse(bytes).map_err(|error| invalid_data(&error.to_string()))?;
         message.status = parsed.code.unwrap_or(0);
         status
     } else {
         let mut parsed = httparse::Request::new(&mut headers);
-        let status = parsed.parse(bytes).map_err(|error| bad(&error.to_string()))?;
+        let status = parsed.parse(bytes).map_err(|error| invalid_data(&error.to_string()))?;
         message.method = parsed.method.unwrap_or_default().to_owned();
         message.target = parsed.path.unwrap_or_default().to_owned();
         status
     };
-    let httparse::Status::Complete(head) = head else {
+    let httparse::Status::Complete(head_length) = parsed_head else {
         return if bytes.len() > MAX_HEAD_BYTES {
-            Err(bad(&format!("head longer than {MAX_HEAD_BYTES} bytes")))
+            Err(invalid_data(&format!("head longer than {MAX_HEAD_BYTES} bytes")))
         } else {
             Ok(None)
         };
@@ -157,20 +158,22 @@
             .push((header.name.to_owned(), String::from_utf8_lossy(header.value).trim().to_owned()));
     }
     if message.header("transfer-encoding").is_some() {
-        return Err(bad("transfer-encoding is not supported"));
+        return Err(invalid_data("transfer-encoding is not supported"));
     }
     let length = match message.header("content-length") {
-        Some(text) => text.parse().map_err(|_| bad(&format!("content-length is not a number: {text}")))?,
+        Some(text) => {
+            text.parse().map_err(|_| invalid_data(&format!("content-length is not a number: {text}")))?
+        }
         None => 0usize,
     };
     if length > MAX_BODY_BYTES {
-        return Err(bad(&format!("body of {length} bytes, at most {MAX_BODY_BYTES} are allowed")));
+        return Err(invalid_data(&format!("body of {length} bytes, at most {MAX_BODY_BYTES} are allowed")));
     }
-    if bytes.len() < head + length {
+    if bytes.len() < head_length + length {
         return Ok(None);
     }
-    message.body = bytes[head..head + length].to_vec();
-    Ok(Some((message, head + length)))
+    message.body = bytes[head_length..head_length + length].to_vec();
+    Ok(Some((message, head_length + length)))
 }
 
 /// Formats a response; `more` holds complete header lines.
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -8,7 +8,7 @@
 //! Each dispatcher is configured with separate addresses for each runner and for discovery. The address
 //! identifies the dispatcher to the emulated part, which applies that link's delay and faults.
 //!
-//! Throughout, `d` is the index of a dispatcher and `r` that of a runner.
+//! Throughout, `d` is the index of a dispatcher, `r` that of a runner, and `inv` the id of an invocation.
 
 mod http;
 mod operators;
@@ -42,7 +42,7 @@
 use crate::runner::{JobEvent, LoadReport, OfferResult, ProcessState};
 use crate::scenario::{DeduplicationScope, DispatcherParameters, Effect, Scenario, StoreParameters};
 use crate::tally::{Outcome, RequestResult, RunDetails, Tally};
-use crate::virtual_clock::runner_outcomes as runner_results;
+use crate::virtual_clock::runner_outcomes;
 use crate::world::{Change, ListingState, World};
 
 /// Tolerance in microseconds on the judge's time limits for the transport through sockets. The platform's own
@@ -90,13 +90,13 @@
     judge: Judge,
     tally: Tally,
     /// Discovery's state of each runner.
-    states: Vec<ListingState>,
+    listing_states: Vec<ListingState>,
     /// Every change of discovery's states in order: generation, runner and new state.
-    changes: Vec<(u64, usize, ListingState)>,
+    listing_changes: Vec<(u64, usize, ListingState)>,
     /// Discovery's current generation.
     generation: u64,
     /// When discovery has finished its current call.
-    discovery_busy: Micros,
+    discovery_busy_until: Micros,
     /// The dispatcher that waits for the end of a job, by runner and invocation.
     owners: BTreeMap<(usize, u64), u32>,
     /// Number of process starts of each runner. Connections to an earlier process are reset.
@@ -111,13 +111,13 @@
     /// have.
     terminating: Vec<bool>,
     /// Where each dispatcher listens.
-    listen: Vec<SocketAddr>,
+    listen_addresses: Vec<SocketAddr>,
     /// Addresses of the runners, by dispatcher and runner.
-    addresses: Vec<Vec<SocketAddr>>,
+    runner_addresses: Vec<Vec<SocketAddr>>,
     /// Discovery's address for each dispatcher.
-    discoveries: Vec<SocketAddr>,
+    discovery_addresses: Vec<SocketAddr>,
     /// Idle connections to each dispatcher: those of clients, and those of runners.
-    idle: [Vec<Vec<Connection>>; 2],
+    idle_connections: [Vec<Vec<Connection>>; 2],
     /// When a request's effect was last applied, by request and deduplication scope.
     deduplication_marks: BTreeMap<(u64, i64), Micros>,
     /// Draws the links' delays.
@@ -131,7 +131,7 @@
     /// When the event loop last ran its check, and how late its observations were then.
     last_check: (Micros, Micros),
     /// Why the run is void.
-    void: Vec<String>,
+    void_reasons: Vec<String>,
     /// Remarks for the report.
     notes: Vec<String>,
     /// Ends of dispatchers' processes that the lab did not cause.
@@ -139,13 +139,13 @@
     /// Each dispatcher's address for operators; empty without a store.
     admin_addresses: Vec<SocketAddr>,
     /// Each dispatcher's disk; empty without a store.
-    folders: Vec<DispatcherDirectory>,
+    directories: Vec<DispatcherDirectory>,
     /// When each dispatcher was last killed.
     killed_at: Vec<Micros>,
     /// Where each dispatcher receives its peers' datagrams; empty without peers.
-    peers: Vec<SocketAddr>,
+    peer_addresses: Vec<SocketAddr>,
     /// Relay addresses, by sender and receiver: where the sender is configured to reach the receiver.
-    relays: Vec<Vec<SocketAddr>>,
+    relay_addresses: Vec<Vec<SocketAddr>>,
     /// Draws what the relays do with datagrams.
     relay_random: Pcg32,
     /// Operators' calls that were not answered `YES`, and those that were.
@@ -164,9 +164,9 @@
     }
 
     /// Passes an observation on a connection to the judge, with how late the lab may have been to make it.
-    fn record(&mut self, now: Micros, seen: Observation) {
+    fn record(&mut self, now: Micros, observation: Observation) {
         self.judge.observation_delay = self.observation_delay(now);
-        self.judge.observe(now, seen);
+        self.judge.observe(now, observation);
     }
 }
 
@@ -176,7 +176,7 @@
     shared: Rc<RefCell<Shared>>,
     /// When clients start, by the monotonic clock and as Unix time in microseconds; far in the future until
     /// all dispatchers are ready.
-    zero: Rc<Cell<(Instant, Micros)>>,
+    clients_start: Rc<Cell<(Instant, Micros)>>,
     /// Incremented with every change of the world, to wake the tasks that wait for one.
     changed: watch::Sender<u64>,
     /// One for each runner, notified when its work has changed.
@@ -187,17 +187,17 @@
     /// Microseconds since clients started; negative before that.
     fn now(&self) -> Micros {
         let now = Instant::now();
-        let zero = self.zero.get().0;
-        match now.checked_duration_since(zero) {
+        let clients_start = self.clients_start.get().0;
+        match now.checked_duration_since(clients_start) {
             Some(since) => since.as_micros() as Micros,
-            None => -(zero.duration_since(now).as_micros() as Micros),
+            None => -(clients_start.duration_since(now).as_micros() as Micros),
         }
     }
 
     /// Passes an observation to the judge.
-    fn record(&self, seen: Observation) {
+    fn record(&self, observation: Observation) {
         let now = self.now();
-        self.shared.borrow_mut().record(now, seen);
+        self.shared.borrow_mut().record(now, observation);
     }
 
     /// Waits until a time of the run.
@@ -208,10 +208,10 @@
         }
     }
 
-    /// Waits while `holds` returns true, checking at every change of the world.
-    async fn wait_while(&self, holds: impl Fn(&Shared) -> bool) {
+    /// Waits while `condition` returns true, checking at every change of the world.
+    async fn wait_while(&self, condition: impl Fn(&Shared) -> bool) {
         let mut changed = self.changed.subscribe();
-        while holds(&self.shared.borrow()) {
+        while condition(&self.shared.borrow()) {
             if changed.changed().await.is_err() {
                 return;
             }
@@ -287,9 +287,9 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| format!("cannot create the async runtime: {error}"))?;
     let local = tokio::task::LocalSet::new();
-    let played = local.block_on(&runtime, run(scenario, program, seed, (folder.path(), plans), progress));
+    let outcome = local.block_on(&runtime, run(scenario, program, seed, (folder.path(), plans), progress));
     drop(local);
-    played
+    outcome
 }
 
 /// Listens at a free port of `ip`.
@@ -313,13 +313,14 @@
     // well: dispatchers that were given the same port would share it.
     static RUNS: AtomicU8 = AtomicU8::new(0);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let first = 64 + RUNS.fetch_add(1, Ordering::Relaxed) % MAX_CONCURRENT_RUNS * 4;
-    let ip = |net: u8| Ipv4Addr::new(127, first + net, high, low | 1);
+    let first_network = 64 + RUNS.fetch_add(1, Ordering::Relaxed) % MAX_CONCURRENT_RUNS * 4;
+    let ip = |network: u8| Ipv4Addr::new(127, first_network + network, high, low | 1);
     let world = World::new(scenario, seed);
     let (dispatcher_count, runner_count) = (scenario.dispatchers as usize, scenario.runners());
     let mut listeners = Vec::new();
     let mut reserved = Vec::new();
-    let (mut addresses, mut discoveries, mut listen) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut runner_addresses, mut discovery_listeners, mut listen_addresses) =
+        (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..dispatcher_count {
         let mut row = Vec::new();
         for _ in 0..runner_count {
@@ -327,27 +328,27 @@
             listeners.push(Some(listener));
             row.push(address);
         }
-        addresses.push(row);
-        discoveries.push(bind(ip(1)).await?);
+        runner_addresses.push(row);
+        discovery_listeners.push(bind(ip(1)).await?);
         let (listener, address) = bind(ip(2)).await?;
         reserved.push(listener);
-        listen.push(address);
+        listen_addresses.push(address);
     }
-    let (mut admin_addresses, mut folders) = (Vec::new(), Vec::new());
+    let (mut admin_addresses, mut directories) = (Vec::new(), Vec::new());
     for d in 0..if scenario.store.is_some() { dispatcher_count } else { 0 } {
         let (listener, address) = bind(ip(3)).await?;
         reserved.push(listener);
         admin_addresses.push(address);
         let path = folder.join(format!("d{d}-store"));
         let created = DispatcherDirectory::new(path, seed ^ (d as u64) << 32);
-        folders
+        directories
             .push(created.map_err(|error| format!("cannot create the disk's directory of d{d}: {error}"))?);
     }
-    let (mut peers, mut relays, mut relay_sockets, mut reserved_peers) =
+    let (mut peer_addresses, mut relay_addresses, mut relay_sockets, mut reserved_peers) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for _ in 0..if scenario.store.as_ref().is_some_and(|store| store.peers) { dispatcher_count } else { 0 } {
         let socket = relay::bind(ip(3)).await?;
-        peers.push(relay::address(&socket)?);
+        peer_addresses.push(relay::address(&socket)?);
         reserved_peers.push(socket);
         let mut row = Vec::new();
         for _ in 0..dispatcher_count {
@@ -355,29 +356,29 @@
             row.push(relay::address(&socket)?);
             relay_sockets.push(Rc::new(socket));
         }
-        relays.push(row);
+        relay_addresses.push(row);
     }
     drop(reserved_peers);
     // Released only after all ports were chosen: a port that is free again could be chosen twice.
     drop(reserved);
-    let terms = JudgeParameters::of(scenario, world.places(), RULE_SLACK, ANSWER_SLACK);
+    let parameters = JudgeParameters::of(scenario, world.places(), RULE_SLACK, ANSWER_SLACK);
     let shared = Shared {
-        judge: Judge::new(terms),
+        judge: Judge::new(parameters),
         tally: Tally::new(scenario),
-        states: vec![ListingState::Up; runner_count],
-        changes: Vec::new(),
+        listing_states: vec![ListingState::Up; runner_count],
+        listing_changes: Vec::new(),
         generation: 1,
-        discovery_busy: Micros::MIN,
+        discovery_busy_until: Micros::MIN,
         owners: BTreeMap::new(),
         runner_boots: vec![0; runner_count],
         epochs: vec![0; dispatcher_count],
         routable: vec![true; dispatcher_count],
         suspended: vec![false; dispatcher_count],
         terminating: vec![false; dispatcher_count],
-        listen,
-        addresses,
-        discoveries: discoveries.iter().map(|(_, address)| *address).collect(),
-        idle: [
+        listen_addresses,
+        runner_addresses,
+        discovery_addresses: discovery_listeners.iter().map(|(_, address)| *address).collect(),
+        idle_connections: [
             (0..dispatcher_count).map(|_| Vec::new()).collect(),
             (0..dispatcher_count).map(|_| Vec::new()).collect(),
         ],
@@ -387,14 +388,14 @@
         bad_client_rate: 0.0,
         lateness_checks: (0, 0, 0),
         last_check: (0, 0),
-        void: Vec::new(),
+        void_reasons: Vec::new(),
         notes: Vec::new(),
         crashes: 0,
         admin_addresses,
-        folders,
+        directories,
         killed_at: vec![0; dispatcher_count],
-        peers,
-        relays,
+        peer_addresses,
+        relay_addresses,
         relay_random: seeded_generator(seed, 11),
         operator_calls: [0; 2],
         disk_random: seeded_generator(seed, 8),
@@ -404,7 +405,7 @@
     };
     let lab = Lab {
         shared: Rc::new(RefCell::new(shared)),
-        zero: Rc::new(Cell::new((Instant::now() + Duration::from_secs(3600), 0))),
+        clients_start: Rc::new(Cell::new((Instant::now() + Duration::from_secs(3600), 0))),
         changed: watch::channel(0).0,
         runner_changed: Rc::new((0..runner_count).map(|_| tokio::sync::Notify::new()).collect()),
     };
@@ -414,7 +415,7 @@
         }
     }
     relay::start(&lab, &relay_sockets, dispatcher_count);
-    for (d, (listener, _)) in discoveries.into_iter().enumerate() {
+    for (d, (listener, _)) in discovery_listeners.into_iter().enumerate() {
         spawn_local(serve_discovery_port(lab.clone(), d as u32, listener));
     }
     for r in 0..runner_count {
@@ -430,11 +431,11 @@
     for process in &mut processes {
         wait_until_ready(&lab, process).await?;
     }
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + START_DELAY;
-    lab.zero.set((Instant::now() + START_DELAY, unix.as_micros() as Micros));
+    let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + START_DELAY;
+    lab.clients_start.set((Instant::now() + START_DELAY, unix_start.as_micros() as Micros));
     spawn_local(measure_lateness(lab.clone()));
     spawn_local(generate_load(lab.clone()));
-    spawn_local(bad_clients(lab.clone()));
+    spawn_local(send_malformed_requests(lab.clone()));
     if scenario.store.is_some() {
         spawn_local(operators::toggle_admin_overrides(lab.clone()));
         (0..dispatcher_count).for_each(|d| _ = spawn_local(operators::poll_status(lab.clone(), d as u32)));
@@ -448,7 +449,7 @@
     shared.judge.finish(now);
     let (checks, late, longest) = shared.lateness_checks;
     if late * 100 > checks || longest > MAX_LATENESS {
-        shared.void.push(format!(
+        shared.void_reasons.push(format!(
             "the lab was late: {late} of {checks} times by over {} ms, {} ms at most",
             LATE_THRESHOLD / 1000,
             longest / 1000
@@ -459,21 +460,21 @@
     {
         shared.notes.push(format!("operators' calls: {done} answered yes, {refused} not"));
     }
-    let about = RunDetails {
+    let details = RunDetails {
         clock: "sockets".to_owned(),
         program: program.display().to_string(),
         seed,
-        runners: runner_results(scenario, &shared.world, &shared.tally.forwards),
+        runners: runner_outcomes(scenario, &shared.world, &shared.tally.forwards),
         faults: std::mem::take(&mut shared.world.bands),
         cold: (shared.judge.cold_work, shared.judge.max_cold_share),
         cold_calls: shared.judge.cold_calls,
         verdict: std::mem::take(&mut shared.judge.verdict),
-        void: std::mem::take(&mut shared.void),
+        void: std::mem::take(&mut shared.void_reasons),
         processes,
         notes: std::mem::take(&mut shared.notes),
     };
     let tally = std::mem::replace(&mut shared.tally, Tally::new(scenario));
-    let mut outcome = tally.outcome(scenario, about);
+    let mut outcome = tally.outcome(scenario, details);
     if shared.crashes > 0 {
         outcome.broken.insert("crashed".to_owned(), shared.crashes);
     }
@@ -492,14 +493,15 @@
         number: d,
         zone: shared.scenario.zones.names[index % shared.world.zones].clone(),
         seed: seeded_generator(shared.seed, 1 << 41 | u64::from(d) << 8 | shared.epochs[index]).random(),
-        listen: shared.listen[index].to_string(),
-        discovery: shared.discoveries[index].to_string(),
+        listen: shared.listen_addresses[index].to_string(),
+        discovery: shared.discovery_addresses[index].to_string(),
         known: roster,
-        store: shared.folders.get(index).map(|folder| StoreParameters {
+        store: shared.directories.get(index).map(|folder| StoreParameters {
             folder: folder.path().display().to_string(),
             admin: shared.admin_addresses[index].to_string(),
-            peers: shared.peers.get(index).map(|at| {
-                let others = shared.relays[index].iter().enumerate().filter(|(other, _)| *other != index);
+            peers: shared.peer_addresses.get(index).map(|at| {
+                let others =
+                    shared.relay_addresses[index].iter().enumerate().filter(|(other, _)| *other != index);
                 (at.to_string(), others.map(|(other, at)| (format!("d{other}"), at.to_string())).collect())
             }),
         }),
@@ -514,7 +516,7 @@
 
 /// Waits until a dispatcher answers its health check with 200.
 async fn wait_until_ready(lab: &Lab, process: &mut Process) -> Result<(), String> {
-    let address = lab.shared.borrow().listen[process.number as usize];
+    let address = lab.shared.borrow().listen_addresses[process.number as usize];
     let until = Instant::now() + READY_TIMEOUT;
     loop {
         if let Some(code) = process.take_exit_code() {
@@ -541,25 +543,26 @@
     mut processes: Vec<Process>,
     progress: &dyn Fn(f64),
 ) -> Result<Vec<crate::tally::Process>, String> {
-    let (schedule, length, longest) = {
+    let (schedule, length, max_client_timeout) = {
         let shared = lab.shared.borrow();
-        let longest = shared.scenario.operation.iter().map(|op| op.client_timeout.0).max().unwrap_or(0);
-        (shared.world.schedule.clone(), shared.scenario.length.0, longest)
+        let max_client_timeout =
+            shared.scenario.operation.iter().map(|op| op.client_timeout.0).max().unwrap_or(0);
+        (shared.world.schedule.clone(), shared.scenario.length.0, max_client_timeout)
     };
     let mut schedule = schedule.into_iter().peekable();
-    let mut terminating = vec![false; processes.len()];
+    let mut exit_expected = vec![false; processes.len()];
     loop {
         let now = lab.now();
         while let Some((_, change)) = schedule.next_if(|(at, _)| *at <= now) {
-            apply_change(lab, &change, &mut processes, &mut terminating)?;
+            apply_change(lab, &change, &mut processes, &mut exit_expected)?;
         }
-        for (process, terminating) in processes.iter_mut().zip(&mut terminating) {
+        for (process, exit_expected) in processes.iter_mut().zip(&mut exit_expected) {
             if let Some(code) = process.take_exit_code() {
                 let shared = &mut *lab.shared.borrow_mut();
                 shared.epochs[process.number as usize] += 1;
                 shared.terminating[process.number as usize] = false;
                 // After SIGTERM it may exit with code 0, once it has no unanswered invocations.
-                if !std::mem::replace(terminating, false) || code != Some(0) {
+                if !std::mem::replace(exit_expected, false) || code != Some(0) {
                     shared.crashes += 1;
                     let line = format!("d{} ended with {code:?}: {}", process.number, process.log_tail());
                     shared.notes.push(line);
@@ -568,7 +571,9 @@
         }
         progress((now as f64 / length as f64).clamp(0.0, 1.0));
         let open = lab.shared.borrow().open_invocations;
-        if now > length + longest + 1_000_000 || now > length && open == 0 && schedule.peek().is_none() {
+        if now > length + max_client_timeout + 1_000_000
+            || now > length && open == 0 && schedule.peek().is_none()
+        {
             break;
         }
         let next = schedule.peek().map_or(now + 20_000, |(at, _)| (*at).min(now + 20_000));
@@ -597,24 +602,24 @@
     Ok(processes.iter().map(Process::usage).collect())
 }
 
-/// Applies a scheduled change to the processes, the disks and the world. `terminating` marks dispatchers that
-/// received SIGTERM.
+/// Applies a scheduled change to the processes, the disks and the world. `exit_expected` marks dispatchers
+/// that may exit because they received SIGTERM.
 fn apply_change(
     lab: &Lab,
     change: &Change,
     processes: &mut [Process],
-    terminating: &mut [bool],
+    exit_expected: &mut [bool],
 ) -> Result<(), String> {
     let now = lab.now();
     match *change {
         Change::Term(d) => {
-            terminating[d as usize] = true;
+            exit_expected[d as usize] = true;
             lab.shared.borrow_mut().terminating[d as usize] = true;
             processes[d as usize].signal(libc::SIGTERM);
             update_routing(lab, d, false, TERM_NOTICE_DELAY);
         }
         Change::Kill(d) => {
-            terminating[d as usize] = false;
+            exit_expected[d as usize] = false;
             if processes[d as usize].is_running() {
                 processes[d as usize].kill();
                 lab.shared.borrow_mut().epochs[d as usize] += 1;
@@ -629,35 +634,35 @@
             start_dispatcher(lab, &mut processes[d as usize])?;
             update_routing(lab, d, true, RETURN_NOTICE_DELAY);
         }
-        Change::Suspend(d, still) => {
+        Change::Suspend(d, suspended) => {
             let process = &processes[d as usize];
-            process.signal(if still { libc::SIGSTOP } else { libc::SIGCONT });
+            process.signal(if suspended { libc::SIGSTOP } else { libc::SIGCONT });
             if process.is_running() {
                 let now = lab.now();
                 let shared = &mut *lab.shared.borrow_mut();
-                shared.judge.observe(now, Observation::Still { dispatcher: d, still });
-                shared.suspended[d as usize] = still;
+                shared.judge.observe(now, Observation::Still { dispatcher: d, still: suspended });
+                shared.suspended[d as usize] = suspended;
             }
             let notice = lab.shared.borrow().scenario.clients.front_notice.0;
-            update_routing(lab, d, !still, if still { notice } else { RETURN_NOTICE_DELAY });
+            update_routing(lab, d, !suspended, if suspended { notice } else { RETURN_NOTICE_DELAY });
         }
-        Change::DiskFault(d, wrong, slow, on) => {
+        Change::DiskFault(d, fault, slow, active) => {
             let shared = &mut *lab.shared.borrow_mut();
-            let folder = &mut shared.folders[d as usize];
-            match wrong {
-                DiskFault::Full => folder.condition.full = on,
-                DiskFault::ReadOnly => folder.condition.read_only = on,
-                DiskFault::SyncFails => folder.condition.sync_fails = on,
-                DiskFault::Slow => folder.condition.slow = if on { slow } else { 0 },
+            let folder = &mut shared.directories[d as usize];
+            match fault {
+                DiskFault::Full => folder.condition.full = active,
+                DiskFault::ReadOnly => folder.condition.read_only = active,
+                DiskFault::SyncFails => folder.condition.sync_fails = active,
+                DiskFault::Slow => folder.condition.slow = if active { slow } else { 0 },
             }
             folder.write_control_file().map_err(|error| format!("disk of d{d}: {error}"))?;
         }
         Change::SaveDisk(d) => {
             let shared = &mut *lab.shared.borrow_mut();
-            shared.folders[d as usize].save().map_err(|error| format!("disk of d{d}: {error}"))?;
+            shared.directories[d as usize].save().map_err(|error| format!("disk of d{d}: {error}"))?;
         }
-        Change::PrepareDisk(d, found, power, all) => {
-            prepare_disk(lab, d, (found, power, all), processes[d as usize].is_running())?;
+        Change::PrepareDisk(d, state, power_lost, all_disks) => {
+            prepare_disk(lab, d, (state, power_lost, all_disks), processes[d as usize].is_running())?;
         }
         Change::Reload => {
             for process in processes.iter().filter(|process| process.is_running()) {
@@ -667,11 +672,11 @@
         Change::BadClients(rate) => lab.shared.borrow_mut().bad_client_rate = rate,
         _ => {}
     }
-    let follows = lab.shared.borrow_mut().world.apply(now, change);
-    for r in follows.reset {
+    let effects = lab.shared.borrow_mut().world.apply(now, change);
+    for r in effects.reset {
         lab.shared.borrow_mut().runner_boots[r] += 1;
     }
-    for (r, inv) in follows.lost {
+    for (r, inv) in effects.lost {
         let owner = lab.shared.borrow_mut().owners.remove(&(r, inv));
         if let Some(d) = owner.filter(|_| lab.shared.borrow().world.runners[r].state == ProcessState::Down) {
             let lab = lab.clone();
@@ -681,13 +686,13 @@
             });
         }
     }
-    for (r, inv, news) in follows.job_events {
-        report_job_event(lab, r, inv, news);
+    for (r, inv, event) in effects.job_events {
+        report_job_event(lab, r, inv, event);
     }
-    for (r, state, after) in follows.listed {
+    for (r, state, delay) in effects.listed {
         let lab = lab.clone();
         spawn_local(async move {
-            sleep(Duration::from_micros(after as u64)).await;
+            sleep(Duration::from_micros(delay as u64)).await;
             publish_change(&lab, r, state);
         });
     }
@@ -696,35 +701,36 @@
     Ok(())
 }
 
-/// Prepares a dispatcher's disk as its next process is to find it. `power` means that its machine
-/// lost power, `all` that the disks of all dispatchers are treated alike.
+/// Prepares a dispatcher's disk as its next process is to find it. `power_lost` means that its machine
+/// lost power, `all_disks` that the disks of all dispatchers are treated alike.
 fn prepare_disk(
     lab: &Lab,
     d: u32,
-    (found, power, all): (DiskState, bool, bool),
+    (state, power_lost, all_disks): (DiskState, bool, bool),
     is_running: bool,
 ) -> Result<(), String> {
-    let unix_now = lab.zero.get().1 + lab.now();
+    let unix_now = lab.clients_start.get().1 + lab.now();
     let now = lab.now();
     let shared = &mut *lab.shared.borrow_mut();
     // Outages may overlap, so that the process may still be running.
-    if shared.folders.is_empty() || is_running {
+    if shared.directories.is_empty() || is_running {
         return Ok(());
     }
-    let (index, count) = (d as usize, shared.folders.len());
-    let ailment = &mut shared.folders[index].condition;
-    ailment.seed = ailment.seed.wrapping_add(1);
-    if power {
+    let (index, count) = (d as usize, shared.directories.len());
+    let condition = &mut shared.directories[index].condition;
+    condition.seed = condition.seed.wrapping_add(1);
+    if power_lost {
         // The machine has been starting since the loss of power.
-        (ailment.life, ailment.up_since) = (ailment.life + 1, unix_now - (now - shared.killed_at[index]));
+        (condition.life, condition.up_since) =
+            (condition.life + 1, unix_now - (now - shared.killed_at[index]));
     }
-    let other = Some(&shared.folders[(index + 1) % count]).filter(|_| count > 1);
-    let changed = shared.folders[index].prepare(found, other, &mut shared.disk_random);
-    let written = changed.and_then(|()| shared.folders[index].write_control_file());
+    let other = Some(&shared.directories[(index + 1) % count]).filter(|_| count > 1);
+    let changed = shared.directories[index].prepare(state, other, &mut shared.disk_random);
+    let written = changed.and_then(|()| shared.directories[index].write_control_file());
     // State that a disk lost is excused only where no peer can supply it.
     let store = shared.scenario.store.as_ref();
-    let excused = store.is_some_and(|store| store.excused && (all || !store.peers));
-    if found != DiskState::Kept && excused {
+    let excused = store.is_some_and(|store| store.excused && (all_disks || !store.peers));
+    if state != DiskState::Kept && excused {
         shared.judge.observe(now, Observation::Forgets { dispatcher: d });
     }
     written.map_err(|error| format!("disk of d{d}: {error}"))
@@ -732,17 +738,17 @@
 
 /// Makes clients send to a dispatcher, or stop sending to it, after a delay. Has no effect if its process was
 /// restarted meanwhile.
-fn update_routing(lab: &Lab, d: u32, up: bool, after: Micros) {
+fn update_routing(lab: &Lab, d: u32, routable: bool, delay: Micros) {
     let lab = lab.clone();
     let (epoch, suspended) =
         (lab.shared.borrow().epochs[d as usize], lab.shared.borrow().suspended[d as usize]);
     spawn_local(async move {
-        sleep(Duration::from_micros(after as u64)).await;
+        sleep(Duration::from_micros(delay as u64)).await;
         let shared = &mut *lab.shared.borrow_mut();
         // A process that resumed before the clients noticed its suspension stays routable.
-        let unchanged = shared.suspended[d as usize] == suspended;
-        if shared.epochs[d as usize] == epoch && unchanged {
-            shared.routable[d as usize] = up;
+        let is_unchanged = shared.suspended[d as usize] == suspended;
+        if shared.epochs[d as usize] == epoch && is_unchanged {
+            shared.routable[d as usize] = routable;
         }
     });
 }
@@ -760,22 +766,28 @@
     }
     let (wanted, launched) = (state == ListingState::Up, runner.launched);
     shared.judge.observe(now, Observation::Listed { runner: r as u32, wanted, launched });
-    shared.states[r] = state;
+    shared.listing_states[r] = state;
     shared.generation += 1;
-    shared.changes.push((shared.generation, r, state));
+    shared.listing_changes.push((shared.generation, r, state));
     lab.changed.send_modify(|count| *count += 1);
 }
 
-/// Formats discovery's list for a dispatcher: all of it, or the changes since a generation.
+/// Formats discovery's roster for a dispatcher: all of it, or the changes since a generation.
 fn roster_json(lab: &Lab, d: u32, since: Option<u64>) -> serde_json::Value {
     let shared = lab.shared.borrow();
-    let addresses = &shared.addresses[d as usize];
+    let runner_addresses = &shared.runner_addresses[d as usize];
     let entry = |(r, state): (usize, ListingState)| {
-        shared.world.entry(&shared.scenario, r, state, lab.zero.get().1, &addresses[r].to_string())
+        shared.world.entry(
+            &shared.scenario,
+            r,
+            state,
+            lab.clients_start.get().1,
+            &runner_addresses[r].to_string(),
+        )
     };
     let instances: Vec<serde_json::Value> = match since {
         None => shared
-            .states
+            .listing_states
             .iter()
             .copied()
             .enumerate()
@@ -785,7 +797,7 @@
         Some(since) => {
             // The latest state of each runner.
             let changed: BTreeMap<usize, ListingState> = shared
-                .changes
+                .listing_changes
                 .iter()
                 .filter(|(at, ..)| *at > since)
                 .map(|(_, r, state)| (*r, *state))
@@ -796,12 +808,12 @@
     json!({"generation": shared.generation, "reset": since.is_none(), "instances": instances})
 }
 
-/// Records for the judge what a dispatcher learns from a list that is now sent to it.
+/// Records for the judge what a dispatcher learns from a roster that is now sent to it.
 fn record_roster_sent(lab: &Lab, d: u32, roster: &serde_json::Value) {
     let now = lab.now();
-    let whole = roster["reset"] == true;
+    let is_whole = roster["reset"] == true;
     let shared = &mut *lab.shared.borrow_mut();
-    let mut named = vec![false; shared.states.len()];
+    let mut named = vec![false; shared.listing_states.len()];
     for instance in roster["instances"].as_array().into_iter().flatten() {
         let runner = crate::policy::runner_number(instance["instanceId"].as_str().unwrap_or("r"));
         let wanted = instance["lifecycle"] == "up";
@@ -810,7 +822,7 @@
         }
         shared.judge.observe(now, Observation::Told { dispatcher: d, runner, wanted });
     }
-    for runner in (0..named.len()).filter(|r| whole && !named[*r]) {
+    for runner in (0..named.len()).filter(|r| is_whole && !named[*r]) {
         shared.judge.observe(now, Observation::Told { dispatcher: d, runner: runner as u32, wanted: false });
     }
 }
@@ -832,18 +844,18 @@
     let zone = lab.zone_of(d);
     while let Some(message) = connection.receive().await? {
         lab.traverse_link(zone, 0).await;
-        let begins = {
+        let answer_at = {
             let now = lab.now();
             let shared = &mut *lab.shared.borrow_mut();
-            let begins = shared.discovery_busy.max(now);
-            let up = shared.world.discovery_up && begins - now <= shared.scenario.discovery.call_most.0;
-            shared.discovery_busy = begins + if up { shared.scenario.discovery.call.0 } else { 0 };
-            up.then_some(shared.discovery_busy)
+            let starts_at = shared.discovery_busy_until.max(now);
+            let up = shared.world.discovery_up && starts_at - now <= shared.scenario.discovery.call_most.0;
+            shared.discovery_busy_until = starts_at + if up { shared.scenario.discovery.call.0 } else { 0 };
+            up.then_some(shared.discovery_busy_until)
         };
-        let Some(begins) = begins else {
+        let Some(answer_at) = answer_at else {
             return connection.send(&response(503, "Connection: close\r\n", "")).await;
         };
-        lab.sleep_until(begins).await;
+        lab.sleep_until(answer_at).await;
         lab.traverse_link(0, zone).await;
         let Some((_, query)) = message.target.split_once('?') else {
             let listed = roster_json(lab, d, None);
@@ -894,18 +906,18 @@
 
 /// Accepts a dispatcher's connections to a runner. They are refused while the runner's process is down.
 async fn serve_runner_port(lab: Lab, d: u32, r: usize, mut listener: Option<TcpListener>) {
-    let address = lab.shared.borrow().addresses[d as usize][r];
+    let address = lab.shared.borrow().runner_addresses[d as usize][r];
     let mut changed = lab.changed.subscribe();
     loop {
-        let down = lab.shared.borrow().world.runners[r].state == ProcessState::Down;
-        if down {
+        let is_down = lab.shared.borrow().world.runners[r].state == ProcessState::Down;
+        if is_down {
             listener = None;
         } else if listener.is_none() {
             match TcpListener::bind(address).await {
                 Ok(bound) => listener = Some(bound),
                 Err(error) => {
                     let line = format!("r{r} cannot listen at {address} again: {error}");
-                    return lab.shared.borrow_mut().void.push(line);
+                    return lab.shared.borrow_mut().void_reasons.push(line);
                 }
             }
         }
@@ -977,15 +989,15 @@
 
 /// Cancels a job. Returns whether the runner held it.
 fn cancel_job(lab: &Lab, r: usize, inv: u64) -> bool {
-    let mut news = Vec::new();
+    let mut events = Vec::new();
     let now = lab.now();
     let known = {
         let shared = &mut *lab.shared.borrow_mut();
         shared.owners.remove(&(r, inv));
-        shared.world.runners[r].cancel(now, inv, &mut news)
+        shared.world.runners[r].cancel(now, inv, &mut events)
     };
-    for (inv, news) in news {
-        report_job_event(lab, r, inv, news);
+    for (inv, event) in events {
+        report_job_event(lab, r, inv, event);
     }
     lab.runner_changed[r].notify_one();
     known
@@ -1000,7 +1012,7 @@
     connection: &mut Connection,
     pending: &mut Option<u64>,
 ) -> io::Result<()> {
-    let (near, far) = (lab.zone_of(d), lab.shared.borrow().world.runners[r].zone);
+    let (dispatcher_zone, runner_zone) = (lab.zone_of(d), lab.shared.borrow().world.runners[r].zone);
     while let Some(message) = connection.receive().await? {
         let id = message.header("x-request-id").and_then(|id| u64::from_str_radix(id, 16).ok());
         if message.method == "POST" {
@@ -1019,7 +1031,7 @@
         }
         // A dispatcher that closes its connection meanwhile has withdrawn the forward.
         let transfer = async {
-            lab.traverse_link(near, far).await;
+            lab.traverse_link(dispatcher_zone, runner_zone).await;
             lab.wait_while(|shared| {
                 let runner = &shared.world.runners[r];
                 runner.frozen || runner.state == ProcessState::Silent
@@ -1055,7 +1067,7 @@
             }
             _ => (response(404, "", ""), None),
         };
-        lab.traverse_link(far, near).await;
+        lab.traverse_link(runner_zone, dispatcher_zone).await;
         if let (Some(inv), Some(how)) = (*pending, reply.1) {
             lab.record(Observation::Ended { inv, runner: r as u32, how });
         }
@@ -1075,10 +1087,10 @@
     let runner = &shared.world.runners[r];
     let cold = (runner.warmth(now) < 1.0).then(|| runner.capacity(now));
     let work = shared.judge.work(inv);
-    let far = runner.zone != d as usize % shared.world.zones;
+    let crosses_zones = runner.zone != d as usize % shared.world.zones;
     shared.record(now, Observation::Forwarded { inv, dispatcher: d, runner: r as u32, work, cold });
     shared.tally.traffic.forwards += 1;
-    shared.tally.traffic.crossings += u64::from(far);
+    shared.tally.traffic.crossings += u64::from(crosses_zones);
     shared.tally.forwards[r] += 1;
 }
 
@@ -1089,25 +1101,25 @@
     let body: serde_json::Value = serde_json::from_slice(&message.body).unwrap_or_default();
     let work = body["work"].as_f64().unwrap_or(1.0);
     let path = message.target.split('?').next().unwrap_or_default();
-    let mut news = Vec::new();
-    let (taken, load) = {
+    let mut events = Vec::new();
+    let (offer_result, load) = {
         let shared = &mut *lab.shared.borrow_mut();
         let operation = shared.scenario.operation.iter().position(|op| path[1..] == op.name).unwrap_or(0);
         let runner = &mut shared.world.runners[r];
-        let taken = runner.offer(now, inv, operation, work, &mut news);
+        let offer_result = runner.offer(now, inv, operation, work, &mut events);
         let load = load_json(runner.report(now));
-        match taken {
+        match offer_result {
             OfferResult::Accepted => drop(shared.owners.insert((r, inv), d)),
             OfferResult::Full => shared.tally.traffic.turned_away += 1,
             OfferResult::Failed => {}
         }
-        (taken, load)
+        (offer_result, load)
     };
-    for (inv, news) in news {
-        report_job_event(lab, r, inv, news);
+    for (inv, event) in events {
+        report_job_event(lab, r, inv, event);
     }
     lab.runner_changed[r].notify_one();
-    match taken {
+    match offer_result {
         OfferResult::Accepted => (response(202, "", ""), None),
         OfferResult::Full => {
             (response(503, &format!("X-Not-Run: 1\r\nX-Load: {load}\r\n"), ""), Some(ForwardEnd::NeverRan))
@@ -1134,11 +1146,11 @@
                 continue;
             }
         }
-        let mut news = Vec::new();
+        let mut events = Vec::new();
         let now = lab.now();
-        lab.shared.borrow_mut().world.runners[r].wake(now, &mut news);
-        for (inv, news) in news {
-            report_job_event(&lab, r, inv, news);
+        lab.shared.borrow_mut().world.runners[r].wake(now, &mut events);
+        for (inv, event) in events {
+            report_job_event(&lab, r, inv, event);
         }
         // Steps closer together than the timer's resolution run at once.
         tokio::task::yield_now().await;
@@ -1146,19 +1158,19 @@
 }
 
 /// Reports an event of a job: its start to the judge, everything else to its dispatcher by call-back.
-fn report_job_event(lab: &Lab, r: usize, inv: u64, news: JobEvent) {
-    if news == JobEvent::Started {
+fn report_job_event(lab: &Lab, r: usize, inv: u64, event: JobEvent) {
+    if event == JobEvent::Started {
         return record_run(lab, r, inv);
     }
     let now = lab.now();
     let shared = &mut *lab.shared.borrow_mut();
     let load = load_json(shared.world.runners[r].report(now));
-    let owner = match news {
+    let owner = match event {
         JobEvent::Progress(_) => shared.owners.get(&(r, inv)).copied(),
         _ => shared.owners.remove(&(r, inv)),
     };
     let Some(d) = owner else { return };
-    let (state, share, outcome) = match news {
+    let (state, share, outcome) = match event {
         JobEvent::Progress(share) => ("running", Some(share), None),
         JobEvent::Done => ("done", None, Some(ForwardEnd::Succeeded)),
         JobEvent::Returned => ("returned", None, Some(ForwardEnd::NeverRan)),
@@ -1219,7 +1231,7 @@
     for attempt in 0..MAX_CALL_BACKS {
         lab.traverse_link(from, to).await;
         lab.wait_while(|shared| shared.world.runners[r].frozen).await;
-        let address = lab.shared.borrow().listen[d as usize];
+        let address = lab.shared.borrow().listen_addresses[d as usize];
         let reused = reusable_connection(lab, 1, d as usize);
         let connection = match reused {
             Some(connection) => Ok(connection),
@@ -1237,7 +1249,7 @@
                 && matches!(answer.status, 200 | 204)
             {
                 if answer.keeps_alive() {
-                    lab.shared.borrow_mut().idle[1][d as usize].push(connection);
+                    lab.shared.borrow_mut().idle_connections[1][d as usize].push(connection);
                 }
                 return;
             }
@@ -1254,33 +1266,34 @@
 
 /// Starts each client request at its time, independent of the results of earlier ones (open loop).
 async fn generate_load(lab: Lab) {
-    let asks: Vec<ClientRequest> = {
+    let client_requests: Vec<ClientRequest> = {
         let shared = lab.shared.borrow();
         ArrivalGenerator::new(&shared.scenario, shared.world.capacity(), shared.seed).collect()
     };
-    lab.shared.borrow_mut().open_invocations = asks.len() as u64;
-    for (number, ask) in asks.into_iter().enumerate() {
-        lab.sleep_until(ask.at).await;
+    lab.shared.borrow_mut().open_invocations = client_requests.len() as u64;
+    for (number, client_request) in client_requests.into_iter().enumerate() {
+        lab.sleep_until(client_request.at).await;
         let lab = lab.clone();
         spawn_local(async move {
-            let end = run_client(&lab, number as u64, &ask).await;
+            let end = run_client(&lab, number as u64, &client_request).await;
             let now = lab.now();
             let shared = &mut *lab.shared.borrow_mut();
             // Measured from the scheduled time, so that delays of the lab's own count as waiting.
-            shared.tally.record_end(&ask, end, now - ask.at);
+            shared.tally.record_end(&client_request, end, now - client_request.at);
             shared.open_invocations -= 1;
         });
     }
 }
 
 /// Runs one client request with its retries. Returns how it ended.
-async fn run_client(lab: &Lab, number: u64, ask: &ClientRequest) -> RequestResult {
-    let gives_up_at = ask.at + lab.shared.borrow().scenario.operation[ask.operation].client_timeout.0;
+async fn run_client(lab: &Lab, number: u64, client_request: &ClientRequest) -> RequestResult {
+    let gives_up_at =
+        client_request.at + lab.shared.borrow().scenario.operation[client_request.operation].client_timeout.0;
     let mut attempts = 0;
     loop {
         attempts += 1;
         let inv = number << ATTEMPT_BITS | attempts;
-        let result = attempt(lab, inv, ask, gives_up_at).await;
+        let result = attempt(lab, inv, client_request, gives_up_at).await;
         let end = match result {
             load::AttemptResult::Succeeded => return RequestResult::Succeeded,
             load::AttemptResult::Throttled(_) => RequestResult::Throttled,
@@ -1289,7 +1302,14 @@
         };
         let (now, retry_at) = (lab.now(), {
             let shared = lab.shared.borrow();
-            retry_time(&shared.scenario, shared.seed, (number, ask), attempts as u32, result, lab.now())
+            retry_time(
+                &shared.scenario,
+                shared.seed,
+                (number, client_request),
+                attempts as u32,
+                result,
+                lab.now(),
+            )
         });
         match retry_at.filter(|_| now < gives_up_at) {
             Some(at) => lab.sleep_until(at).await,
@@ -1303,7 +1323,7 @@
 fn reusable_connection(lab: &Lab, side: usize, d: usize) -> Option<Connection> {
     let now = lab.now();
     let shared = &mut *lab.shared.borrow_mut();
-    while let Some(mut connection) = shared.idle[side][d].pop() {
+    while let Some(mut connection) = shared.idle_connections[side][d].pop() {
         match (connection.idle_state(), connection.last_answered) {
             (IdleState::Quiet, _) => return Some(connection),
             (IdleState::UnexpectedData, Some(inv)) => {
@@ -1316,34 +1336,42 @@
 }
 
 /// Sends one attempt of a client request. Returns the result as the client sees it.
-async fn attempt(lab: &Lab, inv: u64, ask: &ClientRequest, gives_up_at: Micros) -> load::AttemptResult {
+async fn attempt(
+    lab: &Lab,
+    inv: u64,
+    client_request: &ClientRequest,
+    gives_up_at: Micros,
+) -> load::AttemptResult {
     let (d, epoch, address, path, extra) = {
         let shared = &mut *lab.shared.borrow_mut();
         shared.tally.traffic.tries += 1;
-        let all = shared.listen.len();
+        let all = shared.listen_addresses.len();
         let start = seeded_generator(shared.seed ^ 0x5eed, inv).random_range(0..all);
-        let is_usable =
-            |d: &usize| shared.routable[*d] || shared.terminating[*d] && !shared.idle[0][*d].is_empty();
-        let order = || (0..all).map(|step| (start + step) % all).filter(is_usable);
-        let near = order().find(|d| d % shared.world.zones == ask.zone);
-        let Some(d) = near.or_else(|| order().next()) else { return load::AttemptResult::NotAccepted };
-        let op = &shared.scenario.operation[ask.operation];
+        let is_usable = |d: &usize| {
+            shared.routable[*d] || shared.terminating[*d] && !shared.idle_connections[0][*d].is_empty()
+        };
+        let candidates = || (0..all).map(|step| (start + step) % all).filter(is_usable);
+        let in_same_zone = candidates().find(|d| d % shared.world.zones == client_request.zone);
+        let Some(d) = in_same_zone.or_else(|| candidates().next()) else {
+            return load::AttemptResult::NotAccepted;
+        };
+        let op = &shared.scenario.operation[client_request.operation];
         let mut extra = String::new();
         if op.effect == Effect::Deduplicated {
             extra += &format!("Idempotency-Key: m{:x}\r\n", inv >> ATTEMPT_BITS);
         }
-        if let Some(key) = ask.key {
+        if let Some(key) = client_request.key {
             extra += &format!("Cookie: sid=k{key}\r\n");
         }
         if inv & ((1 << ATTEMPT_BITS) - 1) > 1 {
             extra += "X-Retry: 1\r\n";
         }
-        (d, shared.epochs[d], shared.listen[d], format!("/{}", op.name), extra)
+        (d, shared.epochs[d], shared.listen_addresses[d], format!("/{}", op.name), extra)
     };
-    let body = json!({"work": ask.work}).to_string();
-    let mut taken = false;
+    let body = json!({"work": client_request.work}).to_string();
+    let mut recorded_as_taken = false;
     for use_new_connection in [false, true] {
-        if use_new_connection && taken && !lab.shared.borrow().routable[d] {
+        if use_new_connection && recorded_as_taken && !lab.shared.borrow().routable[d] {
             // The dispatcher closed the idle connection and takes no new ones: the client retries elsewhere.
             lab.record(Observation::Crossed { inv });
             return load::AttemptResult::NotAccepted;
@@ -1355,7 +1383,7 @@
             None => TcpStream::connect(address).await.map(Connection::new),
         };
         let Ok(mut connection) = connection else {
-            if taken {
+            if recorded_as_taken {
                 break;
             }
             return load::AttemptResult::NotAccepted;
@@ -1366,17 +1394,17 @@
         if lab.shared.borrow().epochs[d].is_multiple_of(2) {
             return load::AttemptResult::NotAccepted;
         }
-        if !std::mem::replace(&mut taken, true) {
+        if !std::mem::replace(&mut recorded_as_taken, true) {
             let now = lab.now();
-            let seen = Observation::Taken {
+            let observation = Observation::Taken {
                 inv,
                 dispatcher: d as u32,
-                operation: ask.operation,
+                operation: client_request.operation,
                 expires_at: gives_up_at,
             };
             let shared = &mut *lab.shared.borrow_mut();
-            shared.judge.observe(now, seen);
-            shared.judge.note_work(inv, ask.work);
+            shared.judge.observe(now, observation);
+            shared.judge.note_work(inv, client_request.work);
         }
         let exchange = async {
             connection.send(&request("POST", &path, &head, &body)).await?;
@@ -1432,9 +1460,9 @@
     let retry_after = retry_after.map(|seconds| (seconds.clamp(0.0, 3600.0) * 1e6) as Micros);
     if message.keeps_alive() {
         connection.last_answered = Some(inv);
-        lab.shared.borrow_mut().idle[0][d].push(connection);
+        lab.shared.borrow_mut().idle_connections[0][d].push(connection);
     }
-    let (how, seen) = match message.status {
+    let (how, result) = match message.status {
         200 => (FinalStatus::Succeeded, load::AttemptResult::Succeeded),
         429 | 503 => (FinalStatus::Throttled, load::AttemptResult::Throttled(retry_after)),
         _ => (FinalStatus::Errored, load::AttemptResult::Errored),
@@ -1443,23 +1471,23 @@
         lab.record(Observation::Forged { inv });
     }
     lab.record(Observation::Answered { inv, how });
-    seen
+    result
 }
 
 /// Sends malformed requests at the scenario's current rate.
-async fn bad_clients(lab: Lab) {
+async fn send_malformed_requests(lab: Lab) {
     let mut rng = seeded_generator(lab.shared.borrow().seed, 7);
     loop {
         let (rate, all) = {
             let shared = lab.shared.borrow();
-            (shared.bad_client_rate, shared.listen.len())
+            (shared.bad_client_rate, shared.listen_addresses.len())
         };
         if rate <= 0.0 {
             lab.wait_while(|shared| shared.bad_client_rate <= 0.0).await;
             continue;
         }
         sleep(Duration::from_secs_f64(rng.random_range(0.5..1.5) / rate)).await;
-        let address = lab.shared.borrow().listen[rng.random_range(0..all)];
+        let address = lab.shared.borrow().listen_addresses[rng.random_range(0..all)];
         let bytes: Vec<u8> = match rng.random_range(0..6) {
             0 => b"POST /".to_vec(),
             1 => (0..300).map(|_| rng.random()).collect(),
--- a/lab/src/sockets/operators.rs
+++ b/lab/src/sockets/operators.rs
@@ -57,27 +57,27 @@
         )
     };
     let mut rng = seeded_generator(seed, 9);
-    // Runners that are out of service.
-    let mut out: BTreeSet<u32> = BTreeSet::new();
+    let mut out_of_service: BTreeSet<u32> = BTreeSet::new();
     if interval <= 0 {
         return;
     }
     loop {
         let at = lab.now() + interval / 2 + rng.random_range(0..interval);
         lab.sleep_until(at).await;
-        if !back && out.len() >= max_out {
+        if !back && out_of_service.len() >= max_out {
             return;
         }
-        let takes_out = out.len() < max_out && (!back || out.is_empty() || rng.random_range(0..2) == 0);
+        let takes_out = out_of_service.len() < max_out
+            && (!back || out_of_service.is_empty() || rng.random_range(0..2) == 0);
         let runner = if takes_out {
             rng.random_range(0..runners) as u32
         } else {
-            out.iter().copied().nth(rng.random_range(0..out.len())).unwrap_or(0)
+            out_of_service.iter().copied().nth(rng.random_range(0..out_of_service.len())).unwrap_or(0)
         };
         if takes_out {
-            out.insert(runner)
+            out_of_service.insert(runner)
         } else {
-            out.remove(&runner)
+            out_of_service.remove(&runner)
         };
         let line = format!("maint-{} r{runner}", if takes_out { "on" } else { "off" });
         let mut calls = JoinSet::new();
@@ -85,9 +85,9 @@
             let (lab, line) = (lab.clone(), line.clone());
             calls.spawn_local(async move {
                 // Once the override is being cleared, the dispatcher may already forward to the runner again.
-                let unknown = Observation::Hand { dispatcher: d, runner, out: None };
+                let unknown_result = Observation::Hand { dispatcher: d, runner, out: None };
                 if !takes_out {
-                    lab.record(unknown.clone());
+                    lab.record(unknown_result.clone());
                 }
                 let accepted =
                     admin_call(&lab, d, &line).await.is_some_and(|answer| answer.starts_with("YES"));
@@ -95,7 +95,7 @@
                 lab.record(if accepted {
                     Observation::Hand { dispatcher: d, runner, out: Some(takes_out) }
                 } else {
-                    unknown
+                    unknown_result
                 });
             });
         }
@@ -117,8 +117,8 @@
     loop {
         // Epochs are odd while the process runs.
         let epoch = lab.shared.borrow().epochs[index];
-        let (asked, up) = (lab.now(), !epoch.is_multiple_of(2));
-        let answer = if up { admin_call(&lab, d, "status").await } else { None };
+        let (asked, is_running) = (lab.now(), !epoch.is_multiple_of(2));
+        let answer = if is_running { admin_call(&lab, d, "status").await } else { None };
         if let Some(answer) = &answer {
             if let Some(boot) = field(answer, "boot").and_then(|boot| boot.parse().ok()) {
                 lab.record(Observation::Boot { dispatcher: d, boot });
--- a/lab/src/sockets/relay.rs
+++ b/lab/src/sockets/relay.rs
@@ -42,13 +42,13 @@
         if from != to {
             // The datagram leaves from the address at which the receiver is configured to reach the sender.
             let outgoing = sockets[to * dispatcher_count + from].clone();
-            spawn_local(carry(lab.clone(), (from, to), socket.clone(), outgoing));
+            spawn_local(relay_link(lab.clone(), (from, to), socket.clone(), outgoing));
         }
     }
 }
 
 /// Forwards the datagrams of one link until the run ends.
-async fn carry(lab: Lab, (from, to): (usize, usize), incoming: Rc<UdpSocket>, outgoing: Rc<UdpSocket>) {
+async fn relay_link(lab: Lab, (from, to): (usize, usize), incoming: Rc<UdpSocket>, outgoing: Rc<UdpSocket>) {
     let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, sender)) = incoming.recv_from(&mut bytes).await else {
@@ -59,13 +59,13 @@
         let (delays, target) = {
             let now = lab.now();
             let shared = &mut *lab.shared.borrow_mut();
-            if sender != shared.peers[from] {
+            if sender != shared.peer_addresses[from] {
                 continue;
             }
-            let path = (from as u32, to as u32);
+            let link = (from as u32, to as u32);
             (
-                shared.world.datagram_delays(&shared.scenario, path, now, &mut shared.relay_random),
-                shared.peers[to],
+                shared.world.datagram_delays(&shared.scenario, link, now, &mut shared.relay_random),
+                shared.peer_addresses[to],
             )
         };
         for delay in delays {
