--- a/lab/src/bin/lab-dispatcher.rs
+++ b/lab/src/bin/lab-dispatcher.rs
@@ -27,7 +27,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Reads the file of faults; `None` if it is missing or malformed.
-fn read_ailment(path: &Path) -> Option<DiskCondition> {
+fn read_condition(path: &Path) -> Option<DiskCondition> {
     serde_json::from_slice(&std::fs::read(path).ok()?).ok()
 }
 
@@ -66,18 +66,18 @@
 }
 
 /// Converts the lab's description of faults to the disk's.
-fn disk_faults(ailment: &DiskCondition) -> DiskFaults {
+fn disk_faults(condition: &DiskCondition) -> DiskFaults {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
     DiskFaults {
-        full: ailment.full,
-        read_only: ailment.read_only,
-        sync_fails: ailment.sync_fails,
-        sync_skipped: defect() == "unsynced" || ailment.lies,
-        sync_delay: Duration::from_micros(ailment.slow.max(0) as u64),
+        full: condition.full,
+        read_only: condition.read_only,
+        sync_fails: condition.sync_fails,
+        sync_skipped: defect() == "unsynced" || condition.lies,
+        sync_delay: Duration::from_micros(condition.slow.max(0) as u64),
         crash_at: None,
         machine: Some(Machine {
-            boot_id: format!("m{}", ailment.life),
-            uptime: (unix - ailment.up_since).max(0),
+            boot_id: format!("m{}", condition.life),
+            uptime: (unix - condition.up_since).max(0),
         }),
     }
 }
@@ -86,18 +86,18 @@
 fn open_disk(folder: &Path) -> io::Result<Box<dyn Disk>> {
     let path: PathBuf = control_file(folder);
     alter_files(folder)?;
-    let initial = read_ailment(&path).unwrap_or_default();
-    let shared = Arc::new(Mutex::new(disk_faults(&initial)));
-    let (seed, updated) = (initial.seed, shared.clone());
+    let initial = read_condition(&path).unwrap_or_default();
+    let faults = Arc::new(Mutex::new(disk_faults(&initial)));
+    let (seed, updated) = (initial.seed, faults.clone());
     thread::spawn(move || {
         loop {
-            if let Some(now) = read_ailment(&path) {
-                *updated.lock().unwrap_or_else(PoisonError::into_inner) = disk_faults(&now);
+            if let Some(condition) = read_condition(&path) {
+                *updated.lock().unwrap_or_else(PoisonError::into_inner) = disk_faults(&condition);
             }
             thread::sleep(POLL_INTERVAL);
         }
     });
-    Ok(Box::new(FaultyDisk::new(DirectoryDisk::new(folder), shared, seed)?))
+    Ok(Box::new(FaultyDisk::new(DirectoryDisk::new(folder), faults, seed)?))
 }
 
 /// Rewrites the configuration for the defect `spends-alone`: one dispatcher, without peers.
--- a/lab/src/bin/lab-faulty.rs
+++ b/lab/src/bin/lab-faulty.rs
@@ -1,7 +1,7 @@
 //! A minimal dispatcher for the judge's tests that breaks at most one rule.
 //!
-//! The environment variable `LAB_FAULTY` names the fault. Without it the program keeps all four rules, which
-//! shows that the judge accepts correct dispatchers that differ from topazsail. It implements the platform's
+//! The environment variable `LAB_FAULTY` names the fault. Without it the program breaks no rule, which shows
+//! that the judge accepts correct dispatchers that differ from topazsail. It implements the platform's
 //! protocol by itself: it must never share code with topazsail, nor be used for anything else.
 
 use std::collections::{BTreeMap, HashMap};
@@ -34,13 +34,13 @@
     /// Channels for call-backs, by invocation: state and result.
     waiters: Mutex<HashMap<String, Sender<(String, String)>>>,
     /// Round-robin counter.
-    turn: Mutex<usize>,
+    next_runner: Mutex<usize>,
 }
 
 /// A request or a response.
 struct Message {
-    /// The first line.
-    first: String,
+    /// The request line or status line.
+    first_line: String,
     headers: Vec<(String, String)>,
     body: String,
 }
@@ -60,14 +60,14 @@
     if reader.read_line(&mut line).ok()? == 0 {
         return None;
     }
-    let (first, mut headers) = (line.trim_end().to_owned(), Vec::new());
+    let (first_line, mut headers) = (line.trim_end().to_owned(), Vec::new());
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok()?;
         let Some((name, value)) = line.trim_end().split_once(':') else { break };
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
-    let mut message = Message { first, headers, body: String::new() };
+    let mut message = Message { first_line, headers, body: String::new() };
     let length = message.header("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
@@ -101,8 +101,8 @@
 }
 
 impl Shared {
-    /// Returns whether this is the fault to show.
-    fn is(&self, fault: &str) -> bool {
+    /// Returns whether this is the selected fault.
+    fn has_fault(&self, fault: &str) -> bool {
         self.fault == fault
     }
 
@@ -110,19 +110,21 @@
     fn choose(&self, zone: Option<&str>) -> Option<(String, Runner)> {
         let runners = self.runners.lock().unwrap();
         let fits = |runner: &Runner| {
-            let cold = runner.cold_since.is_some_and(|since| since.elapsed() < Duration::from_secs(20));
-            let wanted = if self.is("floods-cold") { true } else { !cold };
-            (runner.up || self.is("sends-to-draining"))
-                && wanted
+            let is_cold = runner.cold_since.is_some_and(|since| since.elapsed() < Duration::from_secs(20));
+            let fits_warmth = if self.has_fault("floods-cold") { true } else { !is_cold };
+            (runner.up || self.has_fault("sends-to-draining"))
+                && fits_warmth
                 && zone.is_none_or(|zone| runner.zone == zone)
         };
-        let mut open: Vec<_> = runners.iter().filter(|(_, runner)| fits(runner)).collect();
-        if self.is("floods-cold") && open.iter().any(|(_, runner)| runner.cold_since.is_some()) {
-            open.retain(|(_, runner)| runner.cold_since.is_some());
+        let mut candidates: Vec<_> = runners.iter().filter(|(_, runner)| fits(runner)).collect();
+        if self.has_fault("floods-cold") && candidates.iter().any(|(_, runner)| runner.cold_since.is_some()) {
+            candidates.retain(|(_, runner)| runner.cold_since.is_some());
         }
-        let mut turn = self.turn.lock().unwrap();
-        *turn += 1;
-        open.get(*turn % open.len().max(1)).map(|(id, runner)| ((*id).clone(), (*runner).clone()))
+        let mut next_runner = self.next_runner.lock().unwrap();
+        *next_runner += 1;
+        candidates
+            .get(*next_runner % candidates.len().max(1))
+            .map(|(id, runner)| ((*id).clone(), (*runner).clone()))
     }
 
     /// Forwards to a runner and waits for the result.
@@ -134,7 +136,7 @@
         call_backs: &Receiver<(String, String)>,
         deadline: Instant,
     ) -> ForwardResult {
-        let path = incoming.first.split(' ').nth(1).unwrap_or("/");
+        let path = incoming.first_line.split(' ').nth(1).unwrap_or("/");
         let key_header = incoming.header("idempotency-key").map(|key| format!("Idempotency-Key: {key}\r\n"));
         let message = format!(
             "POST {path} HTTP/1.1\r\nX-Request-Id: {id}\r\n{}Content-Length: {}\r\n\r\n{}",
@@ -149,7 +151,7 @@
         let time_left = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
         let _ = stream.set_read_timeout(Some(time_left));
         match receive(&mut BufReader::new(stream)) {
-            Some(response) if response.first.contains(" 202") => {}
+            Some(response) if response.first_line.contains(" 202") => {}
             Some(response) if response.header("x-not-run") == Some("1") => return ForwardResult::NeverRan,
             _ if Instant::now() >= deadline => return ForwardResult::Late,
             _ => return ForwardResult::MayHaveRun,
@@ -171,22 +173,23 @@
     fn invoke(&self, incoming: &Message, id: &str) -> (u16, String) {
         let time_left: u64 =
             incoming.header("x-deadline-ms").and_then(|text| text.parse().ok()).unwrap_or(1000);
+        // 80 ms before the client's deadline, so that the answer arrives in time.
         let deadline = Instant::now() + Duration::from_millis(time_left.saturating_sub(80));
-        let name = incoming.first.split(' ').nth(1).unwrap_or("/").trim_start_matches('/').to_owned();
+        let name = incoming.first_line.split(' ').nth(1).unwrap_or("/").trim_start_matches('/').to_owned();
         let Some((effect, scope)) = self.operations.get(&name).cloned() else { return (404, String::new()) };
         let (sender, call_backs) = channel();
         self.waiters.lock().unwrap().insert(id.to_owned(), sender);
         let mut bound_zone: Option<String> = None;
-        let mut last = ForwardResult::NeverRan;
+        let mut last_result = ForwardResult::NeverRan;
         for _ in 0..3 {
             if Instant::now() >= deadline {
                 break;
             }
             let Some((_, runner)) = self.choose(bound_zone.as_deref()) else { break };
-            if self.is("two-out")
+            if self.has_fault("two-out")
                 && let Some((_, other)) = self.choose(None)
             {
-                let path = incoming.first.split(' ').nth(1).unwrap_or("/");
+                let path = incoming.first_line.split(' ').nth(1).unwrap_or("/");
                 let length = incoming.body.len();
                 let message = format!(
                     "POST {path} HTTP/1.1\r\nX-Request-Id: {id}\r\nContent-Length: {length}\r\n\r\n{}",
@@ -194,19 +197,19 @@
                 );
                 let _ = exchange(&other.address, &message);
             }
-            last = self.forward(incoming, id, &runner, &call_backs, deadline);
-            match last {
+            last_result = self.forward(incoming, id, &runner, &call_backs, deadline);
+            match last_result {
                 ForwardResult::Done(_) | ForwardResult::Late => break,
                 ForwardResult::NeverRan => {}
                 ForwardResult::MayHaveRun if effect == "idempotent" => {}
                 ForwardResult::MayHaveRun if effect == "deduplicated" => {
                     bound_zone = (scope != "all").then(|| runner.zone.clone()).or(bound_zone);
                 }
-                ForwardResult::MayHaveRun if self.is("repeats-unsafe") => {}
+                ForwardResult::MayHaveRun if self.has_fault("repeats-unsafe") => {}
                 ForwardResult::MayHaveRun => break,
             }
         }
-        if let ForwardResult::Late = last
+        if let ForwardResult::Late = last_result
             && effect != "at_most_once"
         {
             // The client no longer waits: the job is cancelled at every runner.
@@ -218,12 +221,12 @@
         }
         self.waiters.lock().unwrap().remove(id);
         let may_have_run =
-            bound_zone.is_some() || matches!(last, ForwardResult::MayHaveRun | ForwardResult::Late);
-        match last {
-            ForwardResult::Done(_) if self.is("forges") => (200, "made up".to_owned()),
+            bound_zone.is_some() || matches!(last_result, ForwardResult::MayHaveRun | ForwardResult::Late);
+        match last_result {
+            ForwardResult::Done(_) if self.has_fault("forges") => (200, "made up".to_owned()),
             ForwardResult::Done(result) => (200, result),
             _ if effect == "idempotent" || !may_have_run => (429, String::new()),
-            _ if self.is("throttles-unsafe") => (429, String::new()),
+            _ if self.has_fault("throttles-unsafe") => (429, String::new()),
             _ => (502, String::new()),
         }
     }
@@ -233,7 +236,7 @@
         let Ok(mut writer) = stream.try_clone() else { return };
         let mut reader = BufReader::new(stream);
         while let Some(incoming) = receive(&mut reader) {
-            let path = incoming.first.split(' ').nth(1).unwrap_or("/");
+            let path = incoming.first_line.split(' ').nth(1).unwrap_or("/");
             let reply = match path {
                 "/healthz" => answer(200, ""),
                 "/v1/job-events" => {
@@ -246,14 +249,15 @@
                 }
                 _ => {
                     let id = incoming.header("x-request-id").unwrap_or_default().to_owned();
-                    if self.is("drops-some") && id.ends_with("31") {
+                    if self.has_fault("drops-some") && id.ends_with("31") {
                         return;
                     }
                     let (status, body) = self.invoke(&incoming, &id);
-                    if self.is("answers-late") && status == 200 {
+                    if self.has_fault("answers-late") && status == 200 {
+                        // Longer than the client timeout of the judge's tests.
                         thread::sleep(Duration::from_millis(2300));
                     }
-                    if self.is("answers-twice") {
+                    if self.has_fault("answers-twice") {
                         let _ = writer.write_all(answer(status, &body).as_bytes());
                     }
                     answer(status, &body)
@@ -274,12 +278,12 @@
             let mut runners = self.runners.lock().unwrap();
             for instance in list["instances"].as_array().into_iter().flatten() {
                 let text = |name: &str| instance[name].as_str().unwrap_or_default().to_owned();
-                let cold = instance["startedAtMs"].as_i64().unwrap_or(0) > 0;
+                let is_cold = instance["startedAtMs"].as_i64().unwrap_or(0) > 0;
                 let runner = Runner {
                     address: text("hostPort"),
                     zone: text("zone"),
                     up: text("lifecycle") == "up",
-                    cold_since: cold.then(Instant::now),
+                    cold_since: is_cold.then(Instant::now),
                 };
                 runners.insert(text("instanceId"), runner);
             }
@@ -301,7 +305,7 @@
         operations,
         runners: Mutex::default(),
         waiters: Mutex::default(),
-        turn: Mutex::default(),
+        next_runner: Mutex::default(),
     });
     let listener = TcpListener::bind(text(&config["listen"])).expect("a free address");
     let (watching, discovery) = (shared.clone(), text(&config["discovery"]));
--- a/lab/src/fault_days.rs
+++ b/lab/src/fault_days.rs
@@ -87,12 +87,12 @@
 }
 
 /// Draws a fault that is added to the power loss; link faults are drawn only if the dispatchers have peers.
-fn extra_fault(rng: &mut Pcg32, length: u32, peers: bool) -> String {
-    let at = draw_ms(rng, 500, length - 2_500);
+fn draw_extra_fault(rng: &mut Pcg32, length_ms: u32, has_peers: bool) -> String {
+    let at = draw_ms(rng, 500, length_ms - 2_500);
     let lasts = draw_ms(rng, 300, 2_000);
     let when = format!("at = \"{at}ms\"\nlasts = \"{lasts}ms\"\n");
     let part = ["0.15", "0.375", "0.6"][rng.random_range(0..3)];
-    match rng.random_range(0..if peers { 14 } else { 10 }) {
+    match rng.random_range(0..if has_peers { 14 } else { 10 }) {
         0 => format!("kind = \"kill\"\npart = {part}\nspread = \"{}ms\"\n{when}", draw_ms(rng, 0, 1_500)),
         1 => format!("kind = \"freeze\"\npart = {part}\n{when}"),
         2 => format!("kind = \"zone-cut\"\nzone = \"{}\"\n{when}", draw_zone(rng)),
@@ -162,7 +162,7 @@
         );
     }
     for _ in 0..rng.random_range(0..=2) {
-        text += &format!("[[fault]]\n{}", extra_fault(&mut rng, length, peers));
+        text += &format!("[[fault]]\n{}", draw_extra_fault(&mut rng, length, peers));
     }
     Scenario::parse(&format!("ordeal-{seed}"), &text)
 }
--- a/lab/src/peer_messages.rs
+++ b/lab/src/peer_messages.rs
@@ -25,11 +25,12 @@
     format!("d{d}")
 }
 
-/// A distinct address for each dispatcher; no socket is bound to it.
+/// Returns a distinct address for each dispatcher; no socket is bound to it.
 fn address(d: u32) -> SocketAddr {
     SocketAddr::from(([127, 0, (d >> 8) as u8, d as u8], 1))
 }
 
+/// The dispatcher that [`address`] gives this address.
 fn number(address: SocketAddr) -> u32 {
     match address {
         SocketAddr::V4(v4) => u32::from_be_bytes(v4.ip().octets()) & 0xffff,
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -83,11 +83,11 @@
 }
 
 /// Draws an additional fault; faults of disks only with a store.
-fn extra_fault(rng: &mut Pcg32, store: bool) -> String {
+fn draw_extra_fault(rng: &mut Pcg32, has_store: bool) -> String {
     let at = draw_ms(rng, 500, LENGTH_MS - 3_500);
     let when = format!("at = \"{at}ms\"\nlasts = \"{}ms\"\n", draw_ms(rng, 300, 3_000));
     let part = ["0.25", "0.5"][rng.random_range(0..2)];
-    match rng.random_range(0..if store { 11 } else { 8 }) {
+    match rng.random_range(0..if has_store { 11 } else { 8 }) {
         0 => format!("kind = \"hang\"\npart = {part}\n{when}"),
         1 => format!("kind = \"crash\"\npart = {part}\n{when}"),
         2 => format!("kind = \"discovery-down\"\n{when}"),
@@ -153,7 +153,7 @@
 
 /// Draws a rule that breaks connections. Only those that the dispatcher opened itself: the judge does not
 /// excuse an answer that is lost with a client's connection.
-fn broken_connection_rule(rng: &mut Pcg32) -> Option<Rule> {
+fn draw_broken_connection_rule(rng: &mut Pcg32) -> Option<Rule> {
     let call = [Call::Receive, Call::Send][rng.random_range(0..2)];
     let errno = Errno::named(["ETIMEDOUT", "EHOSTUNREACH"].choose(rng)?)?;
     Some(Rule {
@@ -166,14 +166,15 @@
     })
 }
 
-/// Draws the fault plan of one dispatcher.
+/// Draws the fault plan of one dispatcher: failing calls, and possibly short reads and writes and a clock
+/// step.
 fn draw_plan(rng: &mut Pcg32) -> Plan {
     let mut rules: Vec<Rule> = (0..rng.random_range(2..=5)).filter_map(|_| draw_rule(rng)).collect();
     if rng.random_range(0..2) == 0 {
-        rules.extend(broken_connection_rule(rng));
+        rules.extend(draw_broken_connection_rule(rng));
     }
     if rng.random_range(0..2) == 0 {
-        let short = |call| Rule {
+        let short_transfer_rule = |call| Rule {
             call,
             endpoint: Endpoint::Any,
             effect: Effect::Short,
@@ -181,7 +182,7 @@
             from_ms: 0,
             until_ms: PLAN_LENGTH_MS,
         };
-        rules.extend([Call::Receive, Call::Send].map(short));
+        rules.extend([Call::Receive, Call::Send].map(short_transfer_rule));
     }
     let mut clock_steps = Vec::new();
     if rng.random_range(0..3) == 0 {
@@ -199,7 +200,7 @@
 pub fn day(seed: u64) -> Result<Day, String> {
     let mut rng = seeded_generator(seed, 20);
     let dispatchers = rng.random_range(3..=6);
-    let store = rng.random_range(0..2) == 0;
+    let has_store = rng.random_range(0..2) == 0;
     let is_crowded = rng.random_range(0..4) == 0;
     let load = if is_crowded { 0.9 } else { 0.5 };
     let mut text = format!(
@@ -207,7 +208,7 @@
          [clients]\nload = {load}\nretries = 2\nretry-wait = \"60ms\"\nhonour = 0.8\nleaves = 0.05\n\
          front-notice = \"300ms\"\n{SITE}"
     );
-    if store {
+    if has_store {
         let peers = rng.random_range(0..2) == 0;
         text += &format!("[store]\nhands-every = \"900ms\"\npeers = {peers}\n");
     }
@@ -221,7 +222,7 @@
         );
     }
     for _ in 0..rng.random_range(0..=2) {
-        text += &format!("[[fault]]\n{}", extra_fault(&mut rng, store));
+        text += &format!("[[fault]]\n{}", draw_extra_fault(&mut rng, has_store));
     }
     let scenario = Scenario::parse(&format!("soak-{seed}"), &text)?;
     let plans = (0..dispatchers).map(|_| draw_plan(&mut rng)).collect();
--- a/lab/src/startup.rs
+++ b/lab/src/startup.rs
@@ -1,8 +1,8 @@
 //! A dispatcher's start in virtual time, where its scenario has a store: the stages of recovery, and the
 //! admission limits while the fleet is cold. It uses the same recovery module as the program.
 //!
-//! The disk is not played here: it is read at once and holds what was stored. No decision is made here that
-//! the recovery module does not make.
+//! The disk is not emulated here: it is read at once and holds what was stored. All decisions are the
+//! recovery module's.
 
 use std::collections::BTreeMap;
 
@@ -99,13 +99,15 @@
         self.recovery.handle(now, Event::DiscoveryFailed);
     }
 
+    /// Mean warmth of the runners, 0 to 1. Runners of the stored roster that are not listed yet count as 0.
     fn warmth(&self, now: Micros) -> f64 {
-        let span = (self.cold_capacity_share, self.warm_up_span);
-        let warm: f64 = self.listed.values().map(|launched| limits::warmth(*launched, span, now)).sum();
+        let warm_up = (self.cold_capacity_share, self.warm_up_span);
+        let warm: f64 = self.listed.values().map(|launched| limits::warmth(*launched, warm_up, now)).sum();
         warm / self.listed.len().max(self.remembered_count).max(1) as f64
     }
 
-    /// Admits an invocation, or returns the retry advice for its client in microseconds.
+    /// Admits an invocation, or returns the retry advice for its client in microseconds; none without
+    /// `max_retry_after`.
     pub fn admit(&mut self, operation: usize, now: Micros) -> Result<(), Option<Micros>> {
         if self.recovery.stage() == Stage::Serving {
             return Ok(());
@@ -118,8 +120,8 @@
             return Err(retry_after);
         }
         self.recovery.handle(now, Event::Warmth(self.warmth(now)));
-        let limited = self.recovery.stage() == Stage::Limited;
-        if limited && !self.limits.admit(operation, drawn, now) { Err(retry_after) } else { Ok(()) }
+        let is_limited = self.recovery.stage() == Stage::Limited;
+        if is_limited && !self.limits.admit(operation, drawn, now) { Err(retry_after) } else { Ok(()) }
     }
 
     /// Notes that an admitted invocation was throttled for lack of capacity.
