--- a/lab/tests/judged.rs
+++ b/lab/tests/judged.rs
@@ -81,7 +81,7 @@
 
 /// Writes a script that starts the faulty dispatcher with one fault. A script, because the lab does not set
 /// environment variables for it.
-fn faulty(fault: &str) -> (tempfile::TempDir, PathBuf) {
+fn faulty_dispatcher_script(fault: &str) -> (tempfile::TempDir, PathBuf) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join(format!("faulty-{fault}"));
     let program = env!("CARGO_BIN_EXE_lab-faulty");
@@ -92,61 +92,69 @@
 
 /// Plays the faulty dispatcher and returns the rules that it broke.
 fn broken_rules(fault: &str, faults: &str) -> Vec<String> {
-    let (_folder, program) = faulty(fault);
+    let (_folder, program) = faulty_dispatcher_script(fault);
     let outcome = play(&program, faults);
-    assert!(outcome.counts.asked > 50, "{fault}: hardly anything was asked");
+    assert!(outcome.counts.asked > 50, "{fault}: clients made only {} requests", outcome.counts.asked);
     let other_reasons: Vec<&String> = outcome.void.iter().filter(|line| !line.contains("was late")).collect();
-    assert!(other_reasons.is_empty(), "{fault}: {other_reasons:?}");
+    assert!(
+        other_reasons.is_empty(),
+        "{fault}: the run is void for other reasons than lateness: {other_reasons:?}"
+    );
     outcome.broken.keys().cloned().collect()
 }
 
 #[test]
 fn a_correct_dispatcher_passes() {
     for faults in [CRASHES, DRAINS, RESTART] {
-        assert_eq!(broken_rules("none", faults), [""; 0], "{faults}");
+        assert_eq!(broken_rules("none", faults), [""; 0], "rules broken with the faults {faults}");
     }
 }
 
 #[test]
-fn no_answer_two_answers_late_ones_and_forged_ones() {
+fn missing_duplicate_late_and_forged_answers_break_one_answer() {
     for fault in ["drops-some", "answers-twice", "answers-late", "forges"] {
         assert_eq!(broken_rules(fault, ""), ["one-answer"], "{fault}");
     }
 }
 
 #[test]
-fn a_repeat_of_what_may_have_run() {
+fn repeating_a_job_that_may_have_run_breaks_no_effect_twice() {
     assert_eq!(broken_rules("repeats-unsafe", CRASHES), ["no-effect-twice"]);
 }
 
 #[test]
-fn throttling_of_what_may_have_run() {
+fn throttling_a_job_that_may_have_run_breaks_no_effect_twice() {
     assert_eq!(broken_rules("throttles-unsafe", CRASHES), ["no-effect-twice"]);
 }
 
 #[test]
-fn two_forwards_out_at_once() {
+fn two_forwards_in_flight_at_once_break_no_effect_twice() {
     assert_eq!(broken_rules("two-out", ""), ["no-effect-twice"]);
 }
 
 #[test]
-fn work_for_a_runner_that_drains() {
+fn forwarding_to_a_draining_runner_breaks_nothing_to_draining() {
     assert_eq!(broken_rules("sends-to-draining", DRAINS), ["nothing-to-draining"]);
 }
 
 #[test]
-fn a_flood_for_a_cold_runner() {
+fn overloading_a_cold_runner_breaks_cold_budget() {
     assert_eq!(broken_rules("floods-cold", RESTART), ["cold-budget"]);
 }
 
 #[test]
-fn topazsail_passes_the_same() {
+fn topazsail_breaks_no_rule_in_the_same_scenarios() {
     // `cargo test --workspace` builds it beside this test.
     let test = std::env::current_exe().unwrap();
     let program = test.parent().and_then(Path::parent).unwrap().join("topazsail");
     for faults in [CRASHES, DRAINS, RESTART] {
         let outcome = play(&program, faults);
-        let kept = outcome.verdict["kept"].to_string();
-        assert!(outcome.broken.is_empty(), "{faults}: {:?} {kept} {:?}", outcome.broken, outcome.notes);
+        let violations = outcome.verdict["kept"].to_string();
+        assert!(
+            outcome.broken.is_empty(),
+            "rules broken with the faults {faults}: {:?}, violations {violations}, notes {:?}",
+            outcome.broken,
+            outcome.notes
+        );
     }
 }
--- a/lab/tests/ordeals.rs
+++ b/lab/tests/ordeals.rs
@@ -1,5 +1,6 @@
-//! Losses of power and other faults, on several processes of the real program: twelve random days, and
-//! variants with one defect each, for which the judge must name the broken rule.
+//! Losses of power and other faults, on several processes of the real program: twelve random scenarios,
+//! called days, and variants of the program with one defect each, for which the judge must name the broken
+//! rule.
 //!
 //! Runs in real time: about ten seconds for a day, a few days at once. Only the judgement is tested.
 
@@ -16,7 +17,8 @@
 /// Number of days that are being played. It is limited: each has about ten processes, and a lab that waits
 /// for a CPU core is too late to judge.
 static PLAYING: (Mutex<u32>, Condvar) = (Mutex::new(0), Condvar::new());
-const AT_ONCE: u32 = 4;
+/// Most days that are played at once.
+const MAX_CONCURRENT_DAYS: u32 = 4;
 
 /// A permit to play one day.
 struct Permit;
@@ -24,7 +26,7 @@
 impl Permit {
     fn acquire() -> Permit {
         let playing = PLAYING.0.lock().unwrap();
-        *PLAYING.1.wait_while(playing, |playing| *playing >= AT_ONCE).unwrap() += 1;
+        *PLAYING.1.wait_while(playing, |playing| *playing >= MAX_CONCURRENT_DAYS).unwrap() += 1;
         Permit
     }
 }
@@ -48,7 +50,7 @@
 }
 
 #[test]
-fn a_dozen_days_on_which_power_and_more_fail() {
+fn no_rule_is_broken_on_twelve_random_days_of_power_loss_and_other_faults() {
     let seeds = Mutex::new(1..13u64);
     std::thread::scope(|scope| {
         for _ in 0..4 {
@@ -56,11 +58,19 @@
                 loop {
                     let Some(seed) = seeds.lock().unwrap().next() else { return };
                     let outcome = play(&day(seed).unwrap(), &program());
-                    let kept = outcome.verdict["kept"].to_string();
+                    let violations = outcome.verdict["kept"].to_string();
                     let notes = &outcome.notes;
-                    assert!(outcome.broken.is_empty(), "{seed}: {:?} {kept} {notes:?}", outcome.broken);
+                    assert!(
+                        outcome.broken.is_empty(),
+                        "seed {seed}: broken rules {:?}, violations {violations}, notes {notes:?}",
+                        outcome.broken
+                    );
                     let served = outcome.counts.in_time;
-                    assert!(served * 3 > outcome.counts.asked, "{seed}: {served} in time");
+                    assert!(
+                        served * 3 > outcome.counts.asked,
+                        "seed {seed}: only {served} of {} in time",
+                        outcome.counts.asked
+                    );
                 }
             });
         }
@@ -113,7 +123,7 @@
 warm-within = "2s"
 "#;
 
-fn killed_twice() -> Scenario {
+fn killed_twice_scenario() -> Scenario {
     Scenario::parse("twice", &format!("{SITE}{KILLED_TWICE}")).unwrap()
 }
 
@@ -130,11 +140,12 @@
     broken_rules(&play_with_defect(defect, &Scenario::parse("cold", &text).unwrap()))
 }
 
-fn broken_twice(defect: &str) -> Vec<String> {
-    broken_rules(&play_with_defect(defect, &killed_twice()))
+/// Returns the rules broken while every dispatcher is killed twice.
+fn broken_when_killed_twice(defect: &str) -> Vec<String> {
+    broken_rules(&play_with_defect(defect, &killed_twice_scenario()))
 }
 
-/// Returns the names of the broken rules, and prints the violations' histories for a failed test.
+/// Returns the names of the broken rules, and prints the violations, which a failed test shows.
 fn broken_rules(outcome: &Outcome) -> Vec<String> {
     println!("{} {:?}", outcome.verdict["kept"], outcome.notes);
     outcome.broken.keys().cloned().collect()
@@ -150,8 +161,9 @@
     play(day, &path)
 }
 
-/// One of five dispatchers is killed twice and finds its disk empty or in an older state.
-fn with_lost_disk(disk: &str, peers: bool) -> Outcome {
+/// Plays a day on which one of five dispatchers is killed twice and finds its disk empty or in an older
+/// state.
+fn play_with_lost_disk(disk: &str, peers: bool) -> Outcome {
     let (base, _) = KILLED_TWICE.split_once("[[fault]]").unwrap();
     let text = format!(
         "{SITE}{base}peers = {peers}\n\
@@ -168,32 +180,37 @@
 #[test]
 fn peers_make_up_for_an_emptied_or_rolled_back_disk() {
     for disk in ["empty", "old"] {
-        let outcome = with_lost_disk(disk, true);
-        let kept = outcome.verdict["kept"].to_string();
-        assert!(outcome.broken.is_empty(), "{disk}: {:?} {kept} {:?}", outcome.broken, outcome.notes);
+        let outcome = play_with_lost_disk(disk, true);
+        let violations = outcome.verdict["kept"].to_string();
+        assert!(
+            outcome.broken.is_empty(),
+            "disk {disk}: broken rules {:?}, violations {violations}, notes {:?}",
+            outcome.broken,
+            outcome.notes
+        );
     }
     // Without peers the judge reports the lost state.
-    assert!(with_lost_disk("empty", false).broken.contains_key("boot-rises"));
+    assert!(play_with_lost_disk("empty", false).broken.contains_key("boot-rises"));
 }
 
 #[test]
-fn the_same_day_without_a_fault_of_the_program_passes() {
-    assert_eq!(broken_twice("none"), [""; 0]);
+fn a_dispatcher_without_a_defect_breaks_no_rule_when_killed_twice() {
+    assert_eq!(broken_when_killed_twice("none"), [""; 0]);
 }
 
 #[test]
-fn one_that_answers_before_the_data_is_synced() {
-    assert_eq!(broken_twice("unsynced"), ["boot-rises", "hand-holds"]);
+fn a_dispatcher_that_answers_before_the_data_is_synced_is_detected() {
+    assert_eq!(broken_when_killed_twice("unsynced"), ["boot-rises", "hand-holds"]);
 }
 
 #[test]
-fn one_that_forgets_admin_overrides() {
-    assert_eq!(broken_twice("forgets-hands"), ["hand-holds"]);
+fn a_dispatcher_that_forgets_admin_overrides_is_detected() {
+    assert_eq!(broken_when_killed_twice("forgets-hands"), ["hand-holds"]);
 }
 
 #[test]
-fn one_that_takes_an_old_state_for_the_latest() {
-    assert!(broken_twice("rolled-back").contains(&"boot-rises".to_owned()));
+fn a_dispatcher_that_takes_an_old_state_for_the_latest_is_detected() {
+    assert!(broken_when_killed_twice("rolled-back").contains(&"boot-rises".to_owned()));
 }
 
 #[test]
