--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -73,8 +73,8 @@
 const MAX_LATENESS: Micros = 250_000;
 /// Interval of the lab's checks of its own lateness, in microseconds.
 const LATENESS_CHECK_INTERVAL: Micros = 5_000;
-/// The low bits of an invocation's id that hold the number of the client's attempt; the rest is the request's
-/// number.
+/// Number of low bits in an invocation's id that hold the number of the client's attempt; the rest is the
+/// request's number.
 const ATTEMPT_BITS: u32 = 4;
 /// Runs that may be active at once in one process; each has its own loopback networks.
 const MAX_CONCURRENT_RUNS: u8 = 32;
@@ -123,7 +123,7 @@
     /// Draws the links' delays.
     delay_random: Pcg32,
     /// Requests of clients that have not ended.
-    open_invocations: u64,
+    open_client_requests: u64,
     /// Malformed requests per second.
     bad_client_rate: f64,
     /// Checks of the lab's lateness: all, late ones, and the longest lateness.
@@ -384,7 +384,7 @@
         ],
         deduplication_marks: BTreeMap::new(),
         delay_random: seeded_generator(seed, 5),
-        open_invocations: 0,
+        open_client_requests: 0,
         bad_client_rate: 0.0,
         lateness_checks: (0, 0, 0),
         last_check: (0, 0),
@@ -570,9 +570,9 @@
             }
         }
         progress((now as f64 / length as f64).clamp(0.0, 1.0));
-        let open = lab.shared.borrow().open_invocations;
+        let open_requests = lab.shared.borrow().open_client_requests;
         if now > length + max_client_timeout + 1_000_000
-            || now > length && open == 0 && schedule.peek().is_none()
+            || now > length && open_requests == 0 && schedule.peek().is_none()
         {
             break;
         }
@@ -1270,7 +1270,7 @@
         let shared = lab.shared.borrow();
         ArrivalGenerator::new(&shared.scenario, shared.world.capacity(), shared.seed).collect()
     };
-    lab.shared.borrow_mut().open_invocations = client_requests.len() as u64;
+    lab.shared.borrow_mut().open_client_requests = client_requests.len() as u64;
     for (number, client_request) in client_requests.into_iter().enumerate() {
         lab.sleep_until(client_request.at).await;
         let lab = lab.clone();
@@ -1280,7 +1280,7 @@
             let shared = &mut *lab.shared.borrow_mut();
             // Measured from the scheduled time, so that delays of the lab's own count as waiting.
             shared.tally.record_end(&client_request, end, now - client_request.at);
-            shared.open_invocations -= 1;
+            shared.open_client_requests -= 1;
         });
     }
 }
--- a/store/src/stored_types.rs
+++ b/store/src/stored_types.rs
@@ -79,7 +79,7 @@
 /// The configuration in force. One record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredSettings {
-    /// Hash of its settings.
+    /// Hash of the settings in the configuration file.
     pub version: u64,
     /// The whole configuration file.
     pub json: String,
