--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -246,7 +246,7 @@
                 let decoded = parse_pairs(info)
                     .and_then(topazsail_settings::decode)
                     .map_err(|reason| fields.error("info", reason))?;
-                let (settings, operations) = (decoded.settings, decoded.operations);
+                let (settings, operations) = (decoded.settings, decoded.operation_names);
                 return Ok(Some(Message::Create { instance_id, seed, settings, operations }));
             }
             "KILL" => {
@@ -377,8 +377,8 @@
     };
     let zone = fields.optional("dc")?.unwrap_or_default().into();
     let runner = fields.id("runner")?;
-    let launched = Some(fields.duration("launched")?).filter(|at| *at != 0);
-    Ok(RosterEntry { runner, cell, size, machine_type, zone, readiness, launched })
+    let started_at = Some(fields.duration("launched")?).filter(|at| *at != 0);
+    Ok(RosterEntry { runner, cell, size, machine_type, zone, readiness, started_at })
 }
 
 /// Returns the result of a forward by its name on the wire.
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -157,7 +157,7 @@
         match runner {
             Some(runner) if open.forwards < self.settings.max_forwards => {
                 open.forwards += 1;
-                vec![Action::Forward { invocation: inv, runner, latest: None }]
+                vec![Action::Forward { invocation: inv, runner, send_by: None }]
             }
             _ => self.answer_failure(inv),
         }
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -1452,7 +1452,7 @@
                 ListingState::Draining => Readiness::Draining,
                 ListingState::Gone => Readiness::Removed,
             },
-            launched: runner.launched.filter(|_| state == ListingState::Up),
+            started_at: runner.launched.filter(|_| state == ListingState::Up),
         }
     }
 
--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -52,7 +52,7 @@
         Some("serve") => start::serve(&config::path(path)?, open_disk),
         Some("check") => {
             let configuration = config::load(&config::path(path)?)?;
-            let operations = configuration.decoded.operations.join(", ");
+            let operations = configuration.decoded.operation_names.join(", ");
             println!(
                 "{} listens on {} and uses discovery at {}",
                 configuration.name, configuration.listen, configuration.discovery
--- a/node/src/request_table.rs
+++ b/node/src/request_table.rs
@@ -138,8 +138,8 @@
     // closed after the dispatcher's own idle timeout, which is shorter than the runners'.
     settings.must_subscribe = true;
     settings.idle_timeout = decoded.idle_timeout / 2;
-    decoded.operations.iter().for_each(|operation| metrics.add_operation(operation));
-    let operations = decoded.operations.drain(..).zip(std::mem::take(&mut settings.operations));
+    decoded.operation_names.iter().for_each(|operation| metrics.add_operation(operation));
+    let operations = decoded.operation_names.drain(..).zip(std::mem::take(&mut settings.operations));
     settings.operations = clients.operations.set(operations.collect(), now);
 }
 
@@ -261,14 +261,14 @@
             invocations: BTreeMap::new(),
             closed_ids: Default::default(),
             pending_events: Vec::new(),
-            max_open: decoded.open_cap,
+            max_open: decoded.max_open,
             held_bytes: 0,
             max_held_bytes: 0,
             overload_retry_after,
             max_retry_after,
             shutdown_since: None,
             is_starting: false,
-            longest_client_timeout: decoded.longest_timeout,
+            longest_client_timeout: decoded.longest_client_timeout,
             handover_peer: HandoverPeer::default(),
             overlap: None,
             resource_limits: (configuration.max_sockets, configuration.memory_bytes),
@@ -510,8 +510,8 @@
             (overload_retry_after(&decoded), decoded.settings.max_retry_after);
         (self.cold_capacity_share, self.operation_values) =
             (decoded.settings.cold_capacity_share, operation_values(&decoded));
-        (self.overload_window, self.max_open) = (decoded.settings.overload_window, decoded.open_cap);
-        self.longest_client_timeout = decoded.longest_timeout;
+        (self.overload_window, self.max_open) = (decoded.settings.overload_window, decoded.max_open);
+        self.longest_client_timeout = decoded.longest_client_timeout;
         if self.shutdown_since.is_some() {
             driver.set_timer(Timer::Shutdown, driver.now());
         }
@@ -704,8 +704,8 @@
     /// Carries out one action of the routing policy.
     fn apply_action(&mut self, action: Action, driver: &mut dyn ConnectionDriver) {
         match action {
-            Action::Forward { invocation, runner, latest } => {
-                self.forward(&invocation, runner, latest, driver)
+            Action::Forward { invocation, runner, send_by } => {
+                self.forward(&invocation, runner, send_by, driver)
             }
             Action::Cancel { invocation, forward } => self.cancel(&invocation, forward, driver),
             Action::Throttle { invocation, retry_after } => {
@@ -720,13 +720,13 @@
         }
     }
 
-    /// Sends an invocation to a runner, by `latest` at the latest if given. A forward that must not be sent
+    /// Sends an invocation to a runner, by `send_by` at the latest if given. A forward that must not be sent
     /// any more ends at once as void.
     fn forward(
         &mut self,
         invocation: &Id,
         runner: Id,
-        latest: Option<Micros>,
+        send_by: Option<Micros>,
         driver: &mut dyn ConnectionDriver,
     ) {
         let Some(open) = self.invocations.get_mut(invocation) else { return };
@@ -747,7 +747,7 @@
                 &runner,
                 (invocation, number),
                 message,
-                (open.expires_at, latest),
+                (open.expires_at, send_by),
                 open.connection,
                 driver,
             );
--- a/node/src/upstream/membership.rs
+++ b/node/src/upstream/membership.rs
@@ -37,7 +37,7 @@
 
 impl Member {
     fn new(entry: RosterEntry, unlisted_since: Option<Micros>) -> Member {
-        let reported_start = entry.launched;
+        let reported_start = entry.started_at;
         Member { entry, reported_start, unlisted_since, in_maintenance_since: None, last_maintenance: None }
     }
 
@@ -52,12 +52,12 @@
         // A runner is usually restarted during maintenance, and the roster may report that late. Treating it
         // as warm until then would overload it.
         if let Some((from, until)) = self.last_maintenance
-            && entry.launched.is_none_or(|launched| launched < from)
+            && entry.started_at.is_none_or(|started_at| started_at < from)
         {
-            entry.launched = Some(until);
+            entry.started_at = Some(until);
         }
-        let cold = entry.launched.is_some_and(|launched| {
-            now < launched + restrictions.warm_up_span && launched < restrictions.pause_started_before
+        let cold = entry.started_at.is_some_and(|started_at| {
+            now < started_at + restrictions.warm_up_span && started_at < restrictions.pause_started_before
         });
         if entry.readiness == Readiness::Up && cold && now < restrictions.pause_until {
             entry.readiness = Readiness::Draining;
@@ -176,7 +176,7 @@
     pub fn warm_capacity(&self, cold_share: f64, now: Micros) -> (f64, usize) {
         let warm_up = (cold_share, self.restrictions.warm_up_span);
         let share = |entry: RosterEntry| match entry.readiness {
-            Readiness::Up => limits::warmth(entry.launched, warm_up, now),
+            Readiness::Up => limits::warmth(entry.started_at, warm_up, now),
             Readiness::Draining | Readiness::Removed => 0.0,
         };
         let warm = self.listed().map(|member| share(member.effective_entry(&self.restrictions, now))).sum();
@@ -186,8 +186,8 @@
     /// The listed runners that are cold, including those that get no work for other reasons.
     pub fn cold_runners(&self, now: Micros) -> Vec<Id> {
         let cold = |member: &&Member| {
-            let launched = member.effective_entry(&self.restrictions, now).launched;
-            launched.is_some_and(|launched| now < launched + self.restrictions.warm_up_span)
+            let started_at = member.effective_entry(&self.restrictions, now).started_at;
+            started_at.is_some_and(|started_at| now < started_at + self.restrictions.warm_up_span)
         };
         self.listed().filter(cold).map(|member| member.entry.runner.clone()).collect()
     }
@@ -228,7 +228,7 @@
                 machine_type: "".into(),
                 zone: "".into(),
                 readiness: Readiness::Removed,
-                launched: None,
+                started_at: None,
             };
             Member::new(entry, Some(0))
         });
@@ -245,13 +245,13 @@
     /// never in the future, and for a newly listed runner never long before the last roster in which it was
     /// missing.
     fn start_time(&self, entry: &RosterEntry, now: Micros) -> Option<Micros> {
-        let launched = entry.launched?;
-        let member = self.by_id.get(&entry.runner).filter(|member| member.reported_start == entry.launched);
+        let started_at = entry.started_at?;
+        let member = self.by_id.get(&entry.runner).filter(|member| member.reported_start == entry.started_at);
         if let Some(member) = member {
-            return member.entry.launched;
+            return member.entry.started_at;
         }
-        let contact = self.previous_contact.filter(|contact| launched + MAX_ROSTER_DELAY < *contact);
-        Some(contact.unwrap_or(launched).min(now))
+        let contact = self.previous_contact.filter(|contact| started_at + MAX_ROSTER_DELAY < *contact);
+        Some(contact.unwrap_or(started_at).min(now))
     }
 
     /// Applies a roster or a change to it, and returns the effective entries of the runners that it names.
@@ -269,8 +269,8 @@
         let mut effective = Vec::new();
         for mut entry in entries {
             let unlisted_since = Some(now).filter(|_| entry.readiness == Readiness::Removed);
-            let reported_start = entry.launched;
-            entry.launched = self.start_time(&entry, now);
+            let reported_start = entry.started_at;
+            entry.started_at = self.start_time(&entry, now);
             let member = self.by_id.entry(entry.runner.clone());
             let member = member.or_insert_with(|| Member::new(entry.clone(), unlisted_since));
             (member.entry, member.reported_start, member.unlisted_since) =
--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -84,7 +84,7 @@
                 "cell": entry.cell,
                 "lifecycle": if entry.readiness == Readiness::Up { "up" } else { "draining" },
                 "weight": entry.size,
-                "startedAtMs": entry.launched.unwrap_or(0) / 1000,
+                "startedAtMs": entry.started_at.unwrap_or(0) / 1000,
             })
         };
         let instances: Vec<Value> = entries.map(instance).collect();
@@ -178,7 +178,7 @@
             zone: self.zone.into(),
             readiness,
             // The bound is far beyond any real time, and leaves room for sums of times without overflow.
-            launched: Some(self.started_at_ms).filter(|ms| (1..1 << 50).contains(ms)).map(|ms| ms * 1000),
+            started_at: Some(self.started_at_ms).filter(|ms| (1..1 << 50).contains(ms)).map(|ms| ms * 1000),
         };
         Ok((entry, address))
     }
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -1871,7 +1871,7 @@
         let decoded = config::decode(&configuration(&[])).unwrap().decoded;
         clients
             .operations
-            .set(decoded.operations.into_iter().zip(decoded.settings.operations).collect(), START);
+            .set(decoded.operation_names.into_iter().zip(decoded.settings.operations).collect(), START);
         clients.accepted(7, &mut driver);
         let mut input = request.as_bytes()[..cut].to_vec();
         clients.received(7, &mut input, &mut driver);
@@ -2094,14 +2094,14 @@
 /// roster reports a later start.
 #[test]
 fn a_runner_back_from_maintenance_is_cold_before_the_roster_says_so() {
-    let entry = |launched: Option<Micros>| RosterEntry {
+    let entry = |started_at: Option<Micros>| RosterEntry {
         runner: "s-a".into(),
         cell: 1,
         size: 1.0,
         machine_type: "m".into(),
         zone: "z".into(),
         readiness: Readiness::Up,
-        launched,
+        started_at,
     };
     let mut members = Membership::new(0);
     assert!(members.update_lease(0, 0).is_some());
@@ -2121,10 +2121,10 @@
         Readiness::Draining
     );
     let back = members.set_maintenance("s-a", false, 50).unwrap().unwrap();
-    assert_eq!((back.readiness, back.launched), (Readiness::Up, Some(50)));
+    assert_eq!((back.readiness, back.started_at), (Readiness::Up, Some(50)));
     assert!(members.set_maintenance("s-a", false, 55).unwrap().is_none());
-    assert_eq!(members.apply_listing(Listing::Changes, vec![entry(Some(5))], 60)[0].launched, Some(50));
-    assert_eq!(members.apply_listing(Listing::Changes, vec![entry(Some(33))], 70)[0].launched, Some(33));
+    assert_eq!(members.apply_listing(Listing::Changes, vec![entry(Some(5))], 60)[0].started_at, Some(50));
+    assert_eq!(members.apply_listing(Listing::Changes, vec![entry(Some(33))], 70)[0].started_at, Some(33));
 }
 
 /// The connection between the two processes of an upgrade.
@@ -2333,7 +2333,7 @@
 fn a_changed_operation_is_another_one_and_an_old_one_can_return() {
     let operations_of = |text: &str| {
         let decoded = config::decode(text).unwrap().decoded;
-        decoded.operations.into_iter().zip(decoded.settings.operations).collect::<Vec<_>>()
+        decoded.operation_names.into_iter().zip(decoded.settings.operations).collect::<Vec<_>>()
     };
     let good = configuration(&[]);
     let (first, second) =
@@ -2398,24 +2398,24 @@
 #[test]
 fn a_runner_that_starts_after_a_step_of_the_wall_clock_counts_as_started_now() {
     const SECOND: Micros = 1_000_000;
-    let entry = |launched| RosterEntry {
+    let entry = |started_at| RosterEntry {
         runner: "s-a".into(),
         cell: -1,
         size: 1.0,
         machine_type: "".into(),
         zone: "".into(),
         readiness: Readiness::Up,
-        launched: Some(launched),
+        started_at: Some(started_at),
     };
     let now = START + 100 * SECOND;
-    let age_when_listed = |previous_contact: Option<Micros>, launched| {
+    let age_when_listed = |previous_contact: Option<Micros>, started_at| {
         let mut members = Membership::new(10 * SECOND);
         members.set_previous_contact(previous_contact);
-        let first = members.apply_listing(Listing::Changes, vec![entry(launched)], now)[0].launched;
+        let first = members.apply_listing(Listing::Changes, vec![entry(started_at)], now)[0].started_at;
         // Listed again, it has the same start.
         members.set_previous_contact(Some(now + 50 * SECOND));
         let again =
-            members.apply_listing(Listing::Changes, vec![entry(launched)], now + 60 * SECOND)[0].launched;
+            members.apply_listing(Listing::Changes, vec![entry(started_at)], now + 60 * SECOND)[0].started_at;
         assert_eq!(first, again);
         first.map(|started| now - started)
     };
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -128,7 +128,7 @@
     /// What the routing policy uses.
     pub settings: Settings,
     /// Names of the operations, in the order of `settings.operations`.
-    pub operations: Vec<String>,
+    pub operation_names: Vec<String>,
     /// Names of the values of a load report, in the order of `settings.report_fields`.
     pub report_fields: Vec<String>,
     /// A connection that is not open after this time counts as failed.
@@ -136,18 +136,18 @@
     /// Runners close a connection that has been idle for this long.
     pub idle_timeout: Micros,
     /// Maximum number of invocations that a dispatcher may hold.
-    pub open_cap: usize,
+    pub max_open: usize,
     /// The longest timeout of any client.
-    pub longest_timeout: Micros,
+    pub longest_client_timeout: Micros,
 }
 
 /// Decodes pairs of path and value. Errors name the path and say what is wrong with its value.
 pub fn decode<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Result<DecodedSettings, String> {
     let raw = RawSettings(pairs.into_iter().collect());
-    let (mut operations, mut operation_names, mut longest_timeout) = (Vec::new(), Vec::new(), 0);
+    let (mut operations, mut operation_names, mut longest_client_timeout) = (Vec::new(), Vec::new(), 0);
     for index in 0..raw.value("operations.count")? {
         let timeout = raw.value_within(&format!("operations.{index}.clientTimeout"), 1, MAX_SPAN)?;
-        longest_timeout = timeout.max(longest_timeout);
+        longest_client_timeout = timeout.max(longest_client_timeout);
         operation_names.push(raw.text(&format!("operations.{index}.name"))?.to_owned());
         operations.push(raw.operation(index)?);
     }
@@ -200,11 +200,11 @@
     };
     Ok(DecodedSettings {
         settings,
-        operations: operation_names,
+        operation_names,
         report_fields: raw.list("report.fields").map(str::to_owned).collect(),
         dial_timeout: raw.value_or("limits.dialTimeout", 250_000)?.clamp(1, MAX_SPAN),
         idle_timeout,
-        open_cap: raw.value_or("limits.openCap", usize::MAX)?,
-        longest_timeout,
+        max_open: raw.value_or("limits.openCap", usize::MAX)?,
+        longest_client_timeout,
     })
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -146,7 +146,7 @@
     /// Whether it accepts invocations.
     pub readiness: Readiness,
     /// When it last started, if that is known and recent.
-    pub launched: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// Membership state of a runner.
--- a/src/routing_policy.rs
+++ b/src/routing_policy.rs
@@ -406,7 +406,7 @@
         let index = *self.by_id.entry(entry.runner.clone()).or_insert(next);
         if index == next {
             let (id, hash) = (entry.runner.clone(), hash(entry.runner.as_bytes()));
-            self.runners.push(RunnerState { id, hash, launched: entry.launched, ..RunnerState::default() });
+            self.runners.push(RunnerState { id, hash, launched: entry.started_at, ..RunnerState::default() });
         }
         let runner = &mut self.runners[index];
         runner.listed = entry.readiness == Readiness::Up;
@@ -416,9 +416,9 @@
         // Where sizes move with load, the greatest size seen is the closest to that of an idle runner.
         runner.size =
             if self.settings.roster_reports_load() { runner.size.max(entry.size) } else { entry.size };
-        if runner.launched != entry.launched {
+        if runner.launched != entry.started_at {
             // Restarted under the same id: earlier reports, successes and failures say nothing about it now.
-            runner.launched = entry.launched;
+            runner.launched = entry.started_at;
             runner.reported_at = None;
             (runner.successes, runner.failures) = (0.0, 0.0);
             runner.ejected_until = runner.ejected_until.min(self.now);
@@ -669,9 +669,9 @@
         let op = &self.settings.operations[invocation.operation];
         let dedup_constraint =
             invocation.retry_constraint.as_ref().filter(|_| matches!(op.effect, Effect::Deduplicated(_)));
-        let latest =
+        let send_by =
             dedup_constraint.map(|constraint| constraint.since + op.deduplication_window - ANSWER_MARGIN);
-        self.actions.push(Action::Forward { invocation: id.clone(), runner: runner.id.clone(), latest });
+        self.actions.push(Action::Forward { invocation: id.clone(), runner: runner.id.clone(), send_by });
         if self.settings.roster_reports_load() && self.settings.can_probe_load() && runner.slots.is_none() {
             // The roster gives load as a share of slots, but not the number of slots.
             self.probe(r);
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -131,9 +131,9 @@
         listing: Listing,
         runners: &str,
         readiness: Readiness,
-        launched: Option<Micros>,
+        started_at: Option<Micros>,
     ) {
-        self.update_roster(listing, runners, 1.0, readiness, launched);
+        self.update_roster(listing, runners, 1.0, readiness, started_at);
     }
 
     /// A roster update for these runners with this size.
@@ -143,7 +143,7 @@
         runners: &str,
         size: f64,
         readiness: Readiness,
-        launched: Option<Micros>,
+        started_at: Option<Micros>,
     ) -> &mut PolicyHarness {
         let entries = runners.bytes().map(|name| RosterEntry {
             runner: (name as char).to_string().into(),
@@ -152,7 +152,7 @@
             machine_type: "box".into(),
             zone: if name % 2 == 1 { "east" } else { "west" }.into(),
             readiness,
-            launched,
+            started_at,
         });
         let entries = entries.collect();
         self.apply(Event::Roster(Roster { listing, entries }))
