--- a/node/src/cli.rs
+++ b/node/src/cli.rs
@@ -128,13 +128,13 @@
     let mut number_option = |name: &'static str| {
         arguments.opt_value_from_str::<_, u32>(name).map_err(|error| format!("{name}: {error}"))
     };
-    let (dispatchers, number) = (number_option("--dispatchers")?, number_option("--number")?);
+    let (dispatchers, dispatcher_index) = (number_option("--dispatchers")?, number_option("--number")?);
     if let Some(unexpected) = arguments.finish().first() {
         return Err(format!("unexpected argument {unexpected:?}; see --help"));
     }
     let to = to.ok_or("--to is missing; see --help")?;
     let zones = zones.iter().flat_map(|zones| zones.split(',')).map(str::to_owned).collect();
-    let target = MigrationTarget { zones, my_zone, dispatchers, number };
+    let target = MigrationTarget { zones, my_zone, dispatchers, dispatcher_index };
     let migration = config::read(&config::path(path)?, |text| migrate::migrate(text, &target))?;
     if dry_run {
         print!("{}", migration.text);
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -79,7 +79,7 @@
 const ADMIN_ENV: &str = "RELAY_ADMIN_ADDR";
 
 /// The address for clients, if it is known without the file.
-pub fn listen() -> Option<SocketAddr> {
+pub fn listen_from_env() -> Option<SocketAddr> {
     env::var("RELAY_LISTEN").ok()?.parse().ok()
 }
 
@@ -109,7 +109,7 @@
     /// Whether the file could not be read for a reason that may go away by itself.
     pub fn is_transient(&self) -> bool {
         match self {
-            LoadError::Unreadable { error, .. } => errno::file(error).is_transient(),
+            LoadError::Unreadable { error, .. } => errno::classify_file_error(error).is_transient(),
             LoadError::Bad(_) => false,
         }
     }
@@ -139,7 +139,7 @@
 
 /// Decodes the configuration text that another process of this dispatcher has in force, and applies the
 /// environment.
-pub fn in_force(text: &str) -> Result<Configuration, String> {
+pub fn decode_active(text: &str) -> Result<Configuration, String> {
     with_admin_address(decode(text)?)
 }
 
--- a/node/src/lifecycle/handover.rs
+++ b/node/src/lifecycle/handover.rs
@@ -98,7 +98,7 @@
     pub state: HandoverState,
     /// Bytes of messages that followed the state; the other process sends messages as soon as it has handed
     /// over.
-    pub since: Vec<u8>,
+    pub following_bytes: Vec<u8>,
 }
 
 /// Requests a hand-over from the serving process. `None` if there is none or the hand-over fails, which is
@@ -141,10 +141,10 @@
             return Err(invalid("the state did not come whole"));
         }
     };
-    let since = text.split_off(length + 1);
+    let following_bytes = text.split_off(length + 1);
     let state = serde_json::from_slice(&text)?;
     stream.set_nonblocking(true)?;
-    Ok(Inherited { listener, stream, state, since })
+    Ok(Inherited { listener, stream, state, following_bytes })
 }
 
 /// Listens for a successor at this path. A socket file that is already there is removed: the process that
--- a/node/src/lifecycle/migrate.rs
+++ b/node/src/lifecycle/migrate.rs
@@ -22,7 +22,7 @@
     /// The number of dispatchers.
     pub dispatchers: Option<u32>,
     /// The index of this dispatcher, from 0.
-    pub number: Option<u32>,
+    pub dispatcher_index: Option<u32>,
 }
 
 /// A migrated configuration.
@@ -63,8 +63,8 @@
     if let Some(dispatchers) = target.dispatchers {
         set("balancers", json!(dispatchers))?;
     }
-    if let Some(number) = target.number {
-        set("selfIndex", json!(number))?;
+    if let Some(dispatcher_index) = target.dispatcher_index {
+        set("selfIndex", json!(dispatcher_index))?;
     }
     if !target.zones.is_empty() {
         set("localities", json!(target.zones))?;
--- a/node/src/lifecycle/signals.rs
+++ b/node/src/lifecycle/signals.rs
@@ -24,7 +24,7 @@
     /// The pipe cannot be created, or the handler cannot be registered.
     pub fn new(signal: i32) -> io::Result<Signal> {
         let (wake_stream, handler_stream) =
-            retry_while(|error| errno::open(error).is_transient(), UnixStream::pair)?;
+            retry_while(|error| errno::classify_open_error(error).is_transient(), UnixStream::pair)?;
         wake_stream.set_nonblocking(true)?;
         let raised = Arc::new(AtomicBool::new(false));
         // Handlers run in the order of registration: the flag is set before the loop is woken.
--- a/node/src/lifecycle/start.rs
+++ b/node/src/lifecycle/start.rs
@@ -43,7 +43,7 @@
         return Err(describe(io::Error::new(io::ErrorKind::NotADirectory, "no such folder")));
     }
     let locked = retry_while(
-        |error| errno::file(error).is_transient(),
+        |error| errno::classify_file_error(error).is_transient(),
         || {
             let mut disk = open_disk(&store.folder)?;
             disk.lock().map(|()| disk)
@@ -52,7 +52,7 @@
     match locked {
         Ok(disk) => Ok(Some(disk)),
         // The store thread opens it later.
-        Err(error) if !store.require && errno::file(&error).is_transient() => Ok(None),
+        Err(error) if !store.require && errno::classify_file_error(&error).is_transient() => Ok(None),
         Err(error) => Err(describe(error)),
     }
 }
@@ -150,11 +150,12 @@
             Some(started.map_err(describe("store"))?)
         }
     };
-    let (predecessor, state) = inherited.map(|other| ((other.stream, other.since), other.state)).unzip();
+    let (predecessor, state) =
+        inherited.map(|other| ((other.stream, other.following_bytes), other.state)).unzip();
     let mut table = RequestTable::new(configuration, state, store_thread, &mut reactor);
-    if let Some((stream, since)) = predecessor {
+    if let Some((stream, following_bytes)) = predecessor {
         let connection = reactor.add_peer_connection(stream, listen);
-        table.attach_predecessor(connection, since, &mut reactor);
+        table.attach_predecessor(connection, following_bytes, &mut reactor);
     }
     let run = reactor.run(&mut table, &listeners, successor.as_ref(), (&terminate, &reload, path));
     run.map_err(describe("poller"))?;
@@ -169,7 +170,7 @@
 
 /// Whether opening a socket or the poller may succeed a moment later.
 fn may_open_later(error: &io::Error) -> bool {
-    errno::open(error).is_transient()
+    errno::classify_open_error(error).is_transient()
 }
 
 /// Loads the configuration and requests a hand-over from a process that serves at the same address. If the
@@ -180,13 +181,14 @@
 /// The configuration cannot be used, and no process has handed one over.
 fn load_and_inherit(path: &str) -> Result<(config::Configuration, Option<handover::Inherited>), String> {
     let configuration = retry_while(LoadError::is_transient, || config::load(path));
-    let listen = configuration.as_ref().map_or_else(|_| config::listen(), |loaded| Some(loaded.listen));
+    let listen =
+        configuration.as_ref().map_or_else(|_| config::listen_from_env(), |loaded| Some(loaded.listen));
     let inherited = listen.and_then(handover::socket_path).and_then(|path| handover::request_handover(&path));
     let inherited = inherited.filter(|other| other.listener.local_addr().ok() == listen);
     let configuration = match (configuration, &inherited) {
         (Err(error), Some(inherited)) => {
             log!("configuration-refused", "reason={:?}", error.to_string());
-            config::in_force(&inherited.state.configuration)?
+            config::decode_active(&inherited.state.configuration)?
         }
         (configuration, _) => configuration?,
     };
--- a/node/src/lifecycle/store_thread.rs
+++ b/node/src/lifecycle/store_thread.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Default)]
 pub struct LoadedStore {
     /// How the store was found.
-    pub found: LoadSummary,
+    pub summary: LoadSummary,
     /// The boot number of this run; `None` until the disk can be written.
     pub boot: Option<u64>,
     /// The last list of runners.
@@ -136,14 +136,14 @@
 
     /// Queues a record to be written, or deleted if `record` is `None`. It is synced within about half a
     /// second.
-    pub fn keep<T: Storable>(&mut self, key: &str, record: Option<&T>) {
+    pub fn put<T: Storable>(&mut self, key: &str, record: Option<&T>) {
         let (key, value) = (key.to_owned(), record.map(encode));
         self.request(StoreRequest::Put { table: T::TABLE, key, format: T::FORMAT, value });
     }
 
-    /// Queues a record like [`StoreThread::keep`] and has it synced at once. Returns the ticket under which
+    /// Queues a record like [`StoreThread::put`] and has it synced at once. Returns the ticket under which
     /// [`StoreEvent::Synced`] reports the result.
-    pub fn keep_and_sync<T: Storable>(&mut self, key: &str, record: Option<&T>) -> u64 {
+    pub fn put_and_sync<T: Storable>(&mut self, key: &str, record: Option<&T>) -> u64 {
         let (key, value) = (key.to_owned(), record.map(encode));
         self.last_ticket += 1;
         let queued = self.request(StoreRequest::Put { table: T::TABLE, key, format: T::FORMAT, value });
@@ -341,8 +341,8 @@
                         .map_err(|error| error.to_string()),
                 });
             match opened {
-                Ok(Ok((store, found))) => {
-                    self.is_healthy = found.write_error.is_none();
+                Ok(Ok((store, summary))) => {
+                    self.is_healthy = summary.write_error.is_none();
                     let records = store.records();
                     let loaded = LoadedStore {
                         boot: store.boot(),
@@ -355,7 +355,7 @@
                             .pop()
                             .map(|(_, usage, _)| usage),
                         settings: all::<StoredSettings>(records).pop().map(|(_, settings, _)| settings),
-                        found,
+                        summary,
                     };
                     self.store = Some(store);
                     break StoreEvent::Opened(Box::new(loaded));
--- a/node/src/net/connection.rs
+++ b/node/src/net/connection.rs
@@ -388,7 +388,7 @@
                 Ok(0) => return Err(CloseReason::Reset),
                 Ok(written) => self.written += written,
                 // The poller reports when the socket is writable again.
-                Err(error) if errno::transfer(&error).is_transient() => return Ok(()),
+                Err(error) if errno::classify_transfer_error(&error).is_transient() => return Ok(()),
                 Err(error) => return Err(failure_reason(&error)),
             }
         }
@@ -409,7 +409,7 @@
     pub fn read(&mut self, scratch: &mut [u8], since: Micros) -> Result<usize, CloseReason> {
         let read = self.stream.read(scratch);
         let is_transient = |error: &io::Error| {
-            error.kind() != ErrorKind::WouldBlock && errno::transfer(error).is_transient()
+            error.kind() != ErrorKind::WouldBlock && errno::classify_transfer_error(error).is_transient()
         };
         let failed = read.as_ref().is_err_and(is_transient);
         self.failed_reads += u64::from(failed);
@@ -429,7 +429,7 @@
                 self.receive_times.record(read, since);
                 Ok(read)
             }
-            Err(error) if errno::transfer(&error).is_transient() => Ok(0),
+            Err(error) if errno::classify_transfer_error(&error).is_transient() => Ok(0),
             Err(error) => Err(failure_reason(&error)),
         }
     }
@@ -463,7 +463,7 @@
                 Ok(0) => return Peeked::Ended,
                 Ok(_) => return Peeked::Bytes,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Peeked::Nothing,
-                Err(error) if !errno::transfer(&error).is_transient() => return Peeked::Ended,
+                Err(error) if !errno::classify_transfer_error(&error).is_transient() => return Peeked::Ended,
                 Err(_) => {}
             }
         }
--- a/node/src/net/dials.rs
+++ b/node/src/net/dials.rs
@@ -85,7 +85,7 @@
     };
     match socket.connect(&to.into()) {
         Ok(()) => Dialled::Started(socket),
-        Err(error) => match errno::connect(&error) {
+        Err(error) => match errno::classify_connect_error(&error) {
             Scope::Call => Dialled::Started(socket),
             Scope::Host => Dialled::Postponed(error),
             Scope::Connection => Dialled::Failed(socket, error),
--- a/node/src/net/errno.rs
+++ b/node/src/net/errno.rs
@@ -43,19 +43,19 @@
 
 /// Classifies errors of `accept`. This call also reports errors pending on the new connection, which are
 /// about that connection.
-pub fn accept(error: &io::Error) -> Scope {
+pub fn classify_accept_error(error: &io::Error) -> Scope {
     classify(error, &[libc::EAGAIN, libc::EINTR], &[])
 }
 
 /// Classifies errors of `socket`, `bind`, `listen`, of the poller and of starting threads, where there is no
 /// other end yet.
-pub fn open(error: &io::Error) -> Scope {
+pub fn classify_open_error(error: &io::Error) -> Scope {
     classify(error, &[libc::EINTR], &[libc::EAGAIN, libc::ENOSPC])
 }
 
 /// Classifies errors of `connect`. Lacking a local port or a route says nothing about the other end; an
 /// interrupted call continues by itself.
-pub fn connect(error: &io::Error) -> Scope {
+pub fn classify_connect_error(error: &io::Error) -> Scope {
     classify(
         error,
         &[libc::EINPROGRESS, libc::EINTR],
@@ -64,7 +64,7 @@
 }
 
 /// Classifies errors of `recv` and `send` on an established connection.
-pub fn transfer(error: &io::Error) -> Scope {
+pub fn classify_transfer_error(error: &io::Error) -> Scope {
     classify(error, &[libc::EAGAIN, libc::EINTR], &[])
 }
 
@@ -74,6 +74,6 @@
 }
 
 /// Classifies errors of reading an existing file and of writing one: the disk may work again later.
-pub fn file(error: &io::Error) -> Scope {
+pub fn classify_file_error(error: &io::Error) -> Scope {
     classify(error, &[libc::EINTR], &[libc::EIO, libc::ENOSPC, libc::EDQUOT, libc::EROFS, libc::EAGAIN])
 }
--- a/node/src/net/http.rs
+++ b/node/src/net/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 messages: parses requests and responses with httparse, and encodes them.
 //!
 //! This module owns framing: lengths, chunks, the end of a message and the size limits. It does not know what
-//! a message is about and keeps no state between calls except in [`Chunks`].
+//! a message is about and keeps no state between calls except in [`ChunkDecoder`].
 
 use std::str;
 
@@ -139,12 +139,12 @@
         Framing::Length(length) => input.get(..length).map(|body| (body.to_vec(), length)),
         Framing::UntilEnd => ended.then(|| (input.to_vec(), input.len())),
         Framing::Chunked => {
-            let (mut chunks, mut body) = (Chunks::default(), Vec::new());
+            let (mut chunks, mut body) = (ChunkDecoder::default(), Vec::new());
             let used = chunks.feed(input, &mut body)?;
             if body.len() > MAX_BODY_BYTES {
                 return Err(HttpError(413, "body_too_large"));
             }
-            chunks.done().then_some((body, used))
+            chunks.is_done().then_some((body, used))
         }
     };
     if complete.as_ref().is_some_and(|(body, _)| body.len() > MAX_BODY_BYTES) {
@@ -226,7 +226,7 @@
 
 /// A decoder of chunked bodies, fed with bytes as they arrive.
 #[derive(Debug, Default)]
-pub struct Chunks {
+pub struct ChunkDecoder {
     state: ChunkState,
 }
 
@@ -243,9 +243,9 @@
     Done,
 }
 
-impl Chunks {
+impl ChunkDecoder {
     /// Whether the last chunk and the trailer have been read.
-    pub fn done(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         self.state == ChunkState::Done
     }
 
--- a/node/src/net/reactor.rs
+++ b/node/src/net/reactor.rs
@@ -426,7 +426,7 @@
                     self.accept_queues.remove(&listener.key);
                     return;
                 }
-                Err(error) if errno::accept(&error) == Scope::Host => {
+                Err(error) if errno::classify_accept_error(&error) == Scope::Host => {
                     log!("accept-paused", "connections={} reason={error}", self.connections.len());
                     self.short_of_descriptors = true;
                     self.host_failures.accepts += 1;
--- a/node/src/request_table/persistence.rs
+++ b/node/src/request_table/persistence.rs
@@ -309,7 +309,7 @@
             (chosen.len(), AdmissionLimits::new(self.operation_values.iter().copied(), now));
         let mut pause = 0;
         if let Some(loaded) = &loaded {
-            pause = recovery::cold_runner_pause(&loaded.found, self.overload_window);
+            pause = recovery::cold_runner_pause(&loaded.summary, self.overload_window);
             self.restore_admin_overrides(loaded, driver);
         }
         if pause > 0 {
@@ -327,12 +327,12 @@
             driver,
         );
         if let Some(loaded) = loaded {
-            let (trust, why) = recovery::trust_slow_start_usage(&loaded.found);
+            let (trust, why) = recovery::trust_slow_start_usage(&loaded.summary);
             if let Some(usage) = loaded.slow_start_usage.filter(|_| trust == Trust::Trusted) {
                 log!("trusts", "item=spent belief=trusted reason={why:?} runners={}", usage.runners.len());
                 // Usage is stored as ages at the end of the process run. The time since then is known only as
                 // a lower bound, and the usage may be older: that errs on the safe side.
-                let ended_at = now - loaded.found.min_downtime;
+                let ended_at = now - loaded.summary.min_downtime;
                 let absolute = |work: Vec<(Micros, f64)>| {
                     work.into_iter().map(move |(ago, w)| (ended_at - ago, w)).collect()
                 };
@@ -344,7 +344,7 @@
 
     /// Restores the stored admin overrides. They apply even if other stored data is not trusted.
     fn restore_admin_overrides(&mut self, loaded: &LoadedStore, driver: &mut dyn ConnectionDriver) {
-        let (trust, why) = recovery::trust_admin_overrides(&loaded.found);
+        let (trust, why) = recovery::trust_admin_overrides(&loaded.summary);
         let out = loaded
             .admin_overrides
             .iter()
@@ -369,12 +369,12 @@
                 StoreEvent::Opened(loaded) => {
                     persistence.boot = loaded.boot;
                     persistence.store_failure = None;
-                    if let Some(why) = &loaded.found.write_error {
+                    if let Some(why) = &loaded.summary.write_error {
                         persistence.record_store_failure(&why.to_string());
                     }
                     let boot = loaded.boot;
                     if persistence.stage() == Stage::Finding {
-                        let event = recovery::Event::StoreOpened { summary: &loaded.found, boot };
+                        let event = recovery::Event::StoreOpened { summary: &loaded.summary, boot };
                         let actions = persistence.recovery.handle(driver.now(), event);
                         persistence.loaded = Some(loaded);
                         self.store_settings();
@@ -437,7 +437,7 @@
         let Some((generation, json)) = roster else { return };
         let json = json.to_string();
         persistence.stored_roster_bytes = json.len();
-        persistence.store_thread.keep("", Some(&StoredRoster { discovery, generation, json }));
+        persistence.store_thread.put("", Some(&StoredRoster { discovery, generation, json }));
     }
 
     /// Stores the configuration in force, and logs if its settings differ from those of the previous process
@@ -456,7 +456,7 @@
         }
         persistence
             .store_thread
-            .keep("", Some(&StoredSettings { version, json: self.active_file.to_string() }));
+            .put("", Some(&StoredSettings { version, json: self.active_file.to_string() }));
     }
 
     /// Stores settings, roster and admin overrides in a store that has just been opened.
@@ -480,9 +480,9 @@
         let Some(persistence) = &mut self.persistence else { return };
         let admin_override = StoredOverride { out_since, was_out, count, author };
         match call {
-            None => persistence.store_thread.keep(id, Some(&admin_override)),
+            None => persistence.store_thread.put(id, Some(&admin_override)),
             Some(call) => {
-                let ticket = persistence.store_thread.keep_and_sync(id, Some(&admin_override));
+                let ticket = persistence.store_thread.put_and_sync(id, Some(&admin_override));
                 persistence.waiting_calls.insert(ticket, call);
                 driver.set_timer(Timer::PersistTimeout(ticket), driver.now() + OPERATOR_WRITE_TIMEOUT);
             }
@@ -531,7 +531,7 @@
         let Some(mut persistence) = self.persistence.take() else { return };
         let ages = |work: Vec<(Micros, f64)>| work.into_iter().map(|(at, w)| (now - at, w)).collect();
         let runners = usage.into_iter().map(|(id, work)| (id.to_string(), ages(work))).collect();
-        persistence.store_thread.keep("", Some(&StoredSlowStartUsage { runners }));
+        persistence.store_thread.put("", Some(&StoredSlowStartUsage { runners }));
         let is_clean = persistence.store_thread.finish(timeout);
         log!("store", "state=closed clean={is_clean}");
     }
--- a/node/src/upstream/roster.rs
+++ b/node/src/upstream/roster.rs
@@ -14,7 +14,7 @@
 use crate::net::connection::{
     CloseReason, ConnectionDriver, ConnectionHandler, ConnectionId, ConnectionRole, Timer,
 };
-use crate::net::http::{self, Chunks, Framing, encode_bodiless_request};
+use crate::net::http::{self, ChunkDecoder, Framing, encode_bodiless_request};
 use crate::net::log::log;
 use crate::upstream::membership::ROSTER_LEASE_TIMEOUT;
 
@@ -203,7 +203,7 @@
     framing: Option<Framing>,
     /// Whether the connection can be used again after this answer.
     keep_alive: bool,
-    chunks: Chunks,
+    chunks: ChunkDecoder,
     /// The part of the body that is not yet processed.
     body: Vec<u8>,
     /// When it last showed a sign of life.
@@ -227,7 +227,7 @@
             connected,
             framing: None,
             keep_alive: false,
-            chunks: Chunks::default(),
+            chunks: ChunkDecoder::default(),
             body: Vec::new(),
             last_progress_at: now,
             progress_bytes: 0,
@@ -474,7 +474,7 @@
         if awaits_whole_roster {
             let done = match framing {
                 Framing::Length(length) => request.body.len() >= length,
-                Framing::Chunked => request.chunks.done(),
+                Framing::Chunked => request.chunks.is_done(),
                 Framing::UntilEnd => false,
             };
             return match done {
@@ -486,7 +486,7 @@
         self.process_lines(connection, driver)?;
         match self.request_on(connection) {
             Some(request) if request.body.len() > MAX_ROSTER_BYTES => Err("line_too_long"),
-            Some(request) if request.chunks.done() => Err("watch_done"),
+            Some(request) if request.chunks.is_done() => Err("watch_done"),
             _ => Ok(()),
         }
     }
@@ -595,7 +595,7 @@
     fn closed(
         &mut self,
         connection: ConnectionId,
-        end: CloseReason,
+        reason: CloseReason,
         _: bool,
         _: &[u8],
         driver: &mut dyn ConnectionDriver,
@@ -603,7 +603,7 @@
         let Some(request) = self.request_on(connection) else { return };
         // The close of the connection may delimit the whole roster.
         let ends_with_connection =
-            request.framing == Some(Framing::UntilEnd) && end == CloseReason::PeerClosed;
+            request.framing == Some(Framing::UntilEnd) && reason == CloseReason::PeerClosed;
         if ends_with_connection
             && self.generation.is_none()
             && self.process_whole_roster(connection, driver).is_ok()
@@ -612,7 +612,7 @@
         }
         if let Some(index) = self.request_index(connection) {
             self.is_down |= self.requests[index].is_watch && !self.requests[index].is_late;
-            self.drop_request(index, end.code());
+            self.drop_request(index, reason.code());
         }
     }
 
--- a/node/src/upstream/runners.rs
+++ b/node/src/upstream/runners.rs
@@ -692,7 +692,7 @@
     fn closed(
         &mut self,
         connection: ConnectionId,
-        end: CloseReason,
+        reason: CloseReason,
         unsent: bool,
         input: &[u8],
         driver: &mut dyn ConnectionDriver,
@@ -717,14 +717,16 @@
                 &state.runner_id,
                 task,
                 ForwardResult::Unreachable,
-                end == CloseReason::Refused,
+                reason == CloseReason::Refused,
             );
         }
         match (http::parse_response(input, true), task) {
             (Ok(Some((answer, _))), task) => self.report_answer(&state.runner_id, task, &answer),
             // The runner does not notice the lost path and may still run the job: another forward would be a
             // second copy.
-            (_, Task::Forward { invocation, number }) if end == CloseReason::PathLost && self.may_cancel => {
+            (_, Task::Forward { invocation, number })
+                if reason == CloseReason::PathLost && self.may_cancel =>
+            {
                 self.cancel(&state.runner_id, &invocation, number, driver);
             }
             (_, task) => self.report_unanswered(&state.runner_id, task, ForwardResult::Broken, false),
--- a/node/tests/traces.rs
+++ b/node/tests/traces.rs
@@ -2381,7 +2381,7 @@
     // A process that has handed over sends messages right away.
     let successor = {
         let path = path.clone();
-        std::thread::spawn(move || handover::request_handover(&path).unwrap().since)
+        std::thread::spawn(move || handover::request_handover(&path).unwrap().following_bytes)
     };
     let (mut stream, _) = silent.accept().unwrap();
     handover::send_listener(&stream, &listener).unwrap();
