--- a/faults/src/shim.rs
+++ b/faults/src/shim.rs
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Returns an error if the build fails or the running executable is not in a Cargo target directory.
-pub fn library() -> io::Result<&'static Path> {
+pub fn library_path() -> io::Result<&'static Path> {
     static BUILT: OnceLock<Result<PathBuf, String>> = OnceLock::new();
     let built = BUILT.get_or_init(|| build().map_err(|error| error.to_string()));
     built.as_deref().map_err(|error| io::Error::other(error.clone()))
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -14,7 +14,7 @@
 use topazsail_lab::policy::Policy;
 use topazsail_lab::report;
 use topazsail_lab::scenario::Scenario;
-use topazsail_lab::sockets::own_program;
+use topazsail_lab::sockets::bundled_program;
 use topazsail_lab::tally::Outcome;
 use topazsail_lab::virtual_clock::{self, Options};
 
@@ -214,7 +214,7 @@
 /// Plays the day of a seed on which power and other things fail.
 fn play_fault_day(seed: u64, program: Option<&Path>, to: Option<&Path>) -> Result<Outcome, String> {
     let day = topazsail_lab::fault_days::day(seed)?;
-    let program = program.map_or_else(|| own_program(&day), Path::to_owned);
+    let program = program.map_or_else(|| bundled_program(&day), Path::to_owned);
     let outcome = topazsail_lab::sockets::play(&day, &program, seed, &|_| ())?;
     print_day(&outcome, to)?;
     Ok(outcome)
@@ -228,7 +228,7 @@
     folder: Option<&Path>,
 ) -> Result<Outcome, String> {
     let day = topazsail_lab::soak::day(seed)?;
-    let program = program.map_or_else(|| own_program(&day.scenario), Path::to_owned);
+    let program = program.map_or_else(|| bundled_program(&day.scenario), Path::to_owned);
     let outcome =
         topazsail_lab::sockets::play_with_fault_plans(&day.scenario, &program, seed, &day.plans, &|_| ())?;
     print_day(&outcome, to)?;
@@ -266,7 +266,7 @@
             let who = match clock {
                 ClockName::Virtual => SystemUnderTest::Policy(policy.parse::<Policy>()?),
                 ClockName::Sockets => {
-                    SystemUnderTest::Program(program.unwrap_or_else(|| own_program(&scenario)))
+                    SystemUnderTest::Program(program.unwrap_or_else(|| bundled_program(&scenario)))
                 }
             };
             let seed = seed.unwrap_or(scenario.seed);
--- a/lab/src/peer_messages.rs
+++ b/lab/src/peer_messages.rs
@@ -13,7 +13,7 @@
 /// The peer protocol of one dispatcher.
 pub struct PeerMessages {
     /// The protocol module.
-    pub core: Peers,
+    pub protocol: Peers,
     /// Until this time, what its previous process run sent to cold runners may count against their budgets.
     paused_until: Micros,
 }
@@ -51,9 +51,9 @@
         let others = (0..all).filter(|other| *other != d);
         let members = others.map(|d| Member { name: name(d), address: address(d) }).collect();
         let (nonce, seed) = (rng.random(), rng.random());
-        let mut core = Peers::new(&name(d), members, (boot, nonce), seed, now);
-        core.configure(settings.dispatchers as usize, settings.overload_window);
-        PeerMessages { core, paused_until }
+        let mut protocol = Peers::new(&name(d), members, (boot, nonce), seed, now);
+        protocol.configure(settings.dispatchers as usize, settings.overload_window);
+        PeerMessages { protocol, paused_until }
     }
 
     /// Carries out actions and returns the datagrams to be sent.
@@ -63,7 +63,7 @@
             match action {
                 Action::Send { to, bytes } => sent.push((number(to), bytes)),
                 // Another process run has this boot number: take the next one.
-                Action::PeerEvent(PeerEvent::BootTaken(heard)) => self.core.set_boot(heard + 1),
+                Action::PeerEvent(PeerEvent::BootTaken(heard)) => self.protocol.set_boot(heard + 1),
                 Action::PeerEvent(PeerEvent::StateChanged { .. } | PeerEvent::AdminOverride(_)) => {}
             }
         }
@@ -72,13 +72,13 @@
 
     /// Sends the periodic messages.
     pub fn tick(&mut self, now: Micros) -> Vec<Datagram> {
-        let actions = self.core.tick(now);
+        let actions = self.protocol.tick(now);
         self.collect_datagrams(actions)
     }
 
     /// Handles a datagram from another dispatcher.
     pub fn receive(&mut self, from: u32, bytes: &[u8], now: Micros) -> Vec<Datagram> {
-        let actions = self.core.receive(now, address(from), bytes);
+        let actions = self.protocol.receive(now, address(from), bytes);
         self.collect_datagrams(actions)
     }
 
@@ -88,7 +88,7 @@
         cold: Vec<topazsail::Id>,
         now: Micros,
     ) -> Vec<topazsail::SlowStartShare> {
-        let shares = self.core.slow_start_shares(cold.iter().map(|id| &**id), now);
+        let shares = self.protocol.slow_start_shares(cold.iter().map(|id| &**id), now);
         if now < self.paused_until {
             return Vec::new();
         }
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -227,7 +227,7 @@
         if delay >= MIN_DELAY {
             sleep(Duration::from_micros(delay as u64)).await;
         }
-        self.wait_while(|shared| !shared.world.linked(from, to)).await;
+        self.wait_while(|shared| !shared.world.is_linked(from, to)).await;
     }
 
     /// Returns the zone of a dispatcher.
@@ -361,7 +361,7 @@
     drop(reserved_peers);
     // Released only after all ports were chosen: a port that is free again could be chosen twice.
     drop(reserved);
-    let parameters = JudgeParameters::of(scenario, world.places(), RULE_SLACK, ANSWER_SLACK);
+    let parameters = JudgeParameters::of(scenario, world.locations(), RULE_SLACK, ANSWER_SLACK);
     let shared = Shared {
         judge: Judge::new(parameters),
         tally: Tally::new(scenario),
@@ -465,7 +465,7 @@
         program: program.display().to_string(),
         seed,
         runners: runner_outcomes(scenario, &shared.world, &shared.tally.forwards),
-        faults: std::mem::take(&mut shared.world.bands),
+        faults: std::mem::take(&mut shared.world.fault_bands),
         cold: (shared.judge.cold_work, shared.judge.max_cold_share),
         cold_calls: shared.judge.cold_calls,
         verdict: std::mem::take(&mut shared.judge.verdict),
@@ -889,7 +889,7 @@
                     () = connection.wait_for_input() => return Ok(()),
                     _ = changed.changed() => {}
                     () = sleep(WATCH_KEEP_ALIVE_INTERVAL) => {
-                        if lab.shared.borrow().world.linked(zone, 0) {
+                        if lab.shared.borrow().world.is_linked(zone, 0) {
                             connection.send(b"1\r\n\n\r\n").await?;
                         }
                     }
@@ -1523,7 +1523,7 @@
 
 /// Returns the path of the dispatcher to test, which the build puts beside the lab: the one on a faulty disk
 /// if the scenario has a store.
-pub fn own_program(scenario: &Scenario) -> PathBuf {
+pub fn bundled_program(scenario: &Scenario) -> PathBuf {
     let lab = std::env::current_exe().unwrap_or_default();
     lab.with_file_name(if scenario.store.is_some() { "lab-dispatcher" } else { "topazsail" })
 }
--- a/lab/src/sockets/process.rs
+++ b/lab/src/sockets/process.rs
@@ -73,8 +73,9 @@
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(&self.config);
         if let Some(plan) = &self.plan {
-            let library = shim::library().map_err(|error| format!("cannot build the fault shim: {error}"))?;
-            shim::inject(&mut command, library, plan);
+            let library_path =
+                shim::library_path().map_err(|error| format!("cannot build the fault shim: {error}"))?;
+            shim::inject(&mut command, library_path, plan);
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         // SAFETY: prctl is async-signal-safe, and nothing else is called between fork and exec. It has the
--- a/lab/src/startup.rs
+++ b/lab/src/startup.rs
@@ -78,8 +78,8 @@
         self.recovery.handle(now, Event::RosterReceived);
     }
 
-    /// Passes on how many of all peers have answered.
-    pub fn peers_agreed(&mut self, (all, agree): (usize, usize), now: Micros) {
+    /// Records how many of all peers have answered and agree.
+    pub fn record_peer_agreement(&mut self, (all, agree): (usize, usize), now: Micros) {
         self.recovery.handle(now, Event::PeerAgreement { all, agree });
     }
 
@@ -94,8 +94,8 @@
         self.listed.iter().filter(|(_, launched)| cold(launched)).map(|(r, _)| *r).collect()
     }
 
-    /// Notes that discovery has refused a call.
-    pub fn discovery_refused(&mut self, now: Micros) {
+    /// Notes that a call to discovery has failed.
+    pub fn note_discovery_failure(&mut self, now: Micros) {
         self.recovery.handle(now, Event::DiscoveryFailed);
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Records the duration of a successful invocation in microseconds, for the admission limits.
-    pub fn succeeded(&mut self, operation: usize, duration: Micros) {
+    pub fn record_success(&mut self, operation: usize, duration: Micros) {
         if self.recovery.stage() == Stage::Limited {
             self.limits.record_success(operation, duration);
         }
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -288,7 +288,7 @@
             settings.push(own_settings);
         }
         let runners = world.runners.len();
-        let locations = world.places();
+        let locations = world.locations();
         let arrivals = ArrivalGenerator::new(scenario, world.capacity(), seed);
         Ok(Clock {
             scenario,
@@ -351,7 +351,7 @@
     /// Sends a message between two zones: it arrives after the link's delay, or is held until a cut link is
     /// up again.
     fn send(&mut self, from: usize, to: usize, event: ClockEvent) {
-        if self.world.linked(from, to) {
+        if self.world.is_linked(from, to) {
             let delay = self.delay(from, to);
             self.push(self.now + delay, event);
         } else {
@@ -522,7 +522,7 @@
                 if let Some(dispatcher) = self.running_dispatcher(incarnation) {
                     dispatcher.subscribed = false;
                     if let Some(startup) = &mut dispatcher.startup {
-                        startup.discovery_refused(now);
+                        startup.note_discovery_failure(now);
                     }
                     let roster = Roster { listing: Listing::Refused, entries: Vec::new() };
                     self.handle_event(incarnation.dispatcher, Event::Roster(roster));
@@ -565,7 +565,7 @@
         let Some(dispatcher) = self.running_dispatcher(incarnation) else { return };
         let Some(peers) = &mut dispatcher.peers else { return };
         let datagrams = peers.tick(now);
-        let due = peers.core.next_tick();
+        let due = peers.protocol.next_tick();
         self.push(due, ClockEvent::PeerRound(incarnation));
         self.update_slow_start_shares(incarnation.dispatcher);
         self.send_datagrams(incarnation.dispatcher, datagrams);
@@ -599,7 +599,7 @@
         if let (Some(startup), Some(peers)) = (&mut dispatcher.startup, &dispatcher.peers)
             && startup.is_waiting_for_peers()
         {
-            startup.peers_agreed(peers.core.agreement(), now);
+            startup.record_peer_agreement(peers.protocol.agreement(), now);
         }
     }
 
@@ -923,7 +923,7 @@
         let round_trip = self.delay(from, to) + self.delay(to, from);
         let runner = &self.world.runners[r as usize];
         // A link that works in one direction only establishes no connection.
-        let linked = self.world.linked(from, to) && self.world.linked(to, from);
+        let linked = self.world.is_linked(from, to) && self.world.is_linked(to, from);
         if runner.state == ProcessState::Silent || !linked {
             self.push(self.now + self.scenario.limits.dial_timeout.0, failed);
         } else if runner.state == ProcessState::Down || runner.connections >= runner.max_connections {
@@ -1008,7 +1008,7 @@
             {
                 *idle += 1;
             }
-            if self.world.linked(from, to) {
+            if self.world.is_linked(from, to) {
                 self.push(self.now + delay, ClockEvent::Probe(incarnation, r, nth));
             }
         } else if self.world.runners[r as usize].state != ProcessState::Silent {
@@ -1034,7 +1034,7 @@
         if let Some(startup) = dispatcher.startup.as_mut().filter(|_| result == ForwardResult::Succeeded)
             && let Some(operation) = operation
         {
-            startup.succeeded(operation, now - open.at);
+            startup.record_success(operation, now - open.at);
         }
         let sent = &mut open.sent[number as usize];
         let (r, elapsed, was_in_flight) = (sent.runner, now - sent.at, sent.in_flight);
@@ -1474,7 +1474,7 @@
                 let incarnation = self.incarnation(d);
                 let zone = self.dispatchers[d as usize].zone;
                 let after = self.network_rng.random_range(0..MAX_NOTIFICATION_SKEW);
-                if self.world.linked(0, zone) {
+                if self.world.is_linked(0, zone) {
                     self.push(self.now + after, ClockEvent::RosterChange(incarnation, r, state));
                 } else {
                     self.held_messages.push((0, zone, ClockEvent::RosterChange(incarnation, r, state)));
@@ -1493,7 +1493,7 @@
             return self.send(0, zone, ClockEvent::DiscoveryRefused(incarnation));
         }
         self.discovery_busy_until = begins + discovery.call.0;
-        if self.world.linked(0, zone) {
+        if self.world.is_linked(0, zone) {
             let delay = self.delay(0, zone);
             self.push(self.discovery_busy_until + delay, ClockEvent::WholeRoster(incarnation));
         } else {
@@ -1569,7 +1569,7 @@
             program,
             seed: self.seed,
             runners,
-            faults: std::mem::take(&mut self.world.bands),
+            faults: std::mem::take(&mut self.world.fault_bands),
             cold: (self.judge.cold_work, self.judge.max_cold_share),
             cold_calls: self.judge.cold_calls,
             verdict: self.judge.verdict,
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -146,7 +146,7 @@
     /// All changes, in order of time in microseconds.
     pub schedule: Vec<(Micros, Change)>,
     /// The faults as played, for the report.
-    pub bands: Vec<FaultBand>,
+    pub fault_bands: Vec<FaultBand>,
     /// Delay in microseconds after which discovery learns of the start or end of a process.
     notice: Micros,
     /// The same for a machine that becomes silent.
@@ -187,7 +187,7 @@
             discovery_up: true,
             link_faults: Vec::new(),
             schedule: Vec::new(),
-            bands: Vec::new(),
+            fault_bands: Vec::new(),
             runners,
             notice: scenario.discovery.notice.0,
             silent_notice: scenario.discovery.silent_notice.0,
@@ -264,12 +264,12 @@
     }
 
     /// Zone and cell of each runner.
-    pub fn places(&self) -> Vec<(usize, i64)> {
+    pub fn locations(&self) -> Vec<(usize, i64)> {
         self.runners.iter().map(|runner| (runner.zone, runner.cell)).collect()
     }
 
     /// Whether the link from one zone to another carries anything.
-    pub fn linked(&self, from: usize, to: usize) -> bool {
+    pub fn is_linked(&self, from: usize, to: usize) -> bool {
         from == to || !(self.cut[from].0 || self.cut[to].1)
     }
 
@@ -283,7 +283,7 @@
     ) -> Vec<Micros> {
         use rand::RngExt;
         let (near, far) = (from as usize % self.zones, to as usize % self.zones);
-        if !self.linked(near, far) {
+        if !self.is_linked(near, far) {
             return Vec::new();
         }
         let mut delays = vec![World::delay(scenario, near, far, rng.random())];
@@ -452,7 +452,7 @@
         }
         let what = serde_json::to_value(fault.kind).ok().and_then(|kind| kind.as_str().map(str::to_owned));
         let what = [what, fault.operation.clone(), fault.zone.clone()].into_iter().flatten();
-        self.bands.push(FaultBand {
+        self.fault_bands.push(FaultBand {
             what: what.collect::<Vec<_>>().join(" "),
             from: at as f64 / 1e6,
             to: ends_at.max(at) as f64 / 1e6,
--- a/node/tests/helper/mod.rs
+++ b/node/tests/helper/mod.rs
@@ -264,8 +264,8 @@
 
     /// Like [`Node::new`] under the fault shim with this plan.
     pub fn with_faults(octet: u8, plan: &Plan, edit: impl Fn(String) -> String) -> Node {
-        let library = shim::library().unwrap();
-        Node::spawn(octet, "", |command| shim::inject(command, library, plan), edit)
+        let library_path = shim::library_path().unwrap();
+        Node::spawn(octet, "", |command| shim::inject(command, library_path, plan), edit)
     }
 
     /// Like [`Node::new`], from a shell that runs `shell_prefix` before the program, with a command that
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -116,8 +116,8 @@
     /// A runner's current report, with own forwards included; `None` if it does not answer probes.
     fn report(&self, runner: &str) -> Option<Vec<f64>> {
         let own = self.in_flight.values().filter(|in_flight| *in_flight == runner).count() as f64;
-        let [free, waiting, inflight] = self.reports.get(runner)?[..] else { return None };
-        Some(vec![(free - own).max(0.0), waiting + (own - free).max(0.0), inflight + own])
+        let [free, waiting, in_flight] = self.reports.get(runner)?[..] else { return None };
+        Some(vec![(free - own).max(0.0), waiting + (own - free).max(0.0), in_flight + own])
     }
 
     /// A roster update in which these runners have this size.
@@ -160,11 +160,11 @@
 
     /// An invocation arrives.
     pub fn arrives(&mut self, invocation: &str, operation: usize) -> &mut PolicyHarness {
-        self.arrives_with(invocation, operation, None)
+        self.arrives_with_key(invocation, operation, None)
     }
 
     /// An invocation with an affinity key arrives.
-    pub fn arrives_with(
+    pub fn arrives_with_key(
         &mut self,
         invocation: &str,
         operation: usize,
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -255,7 +255,7 @@
 fn a_key_stays_with_its_homes_up_to_their_share() {
     let mut harness = harness(Effect::Idempotent, "abcdef");
     for id in ["1", "2", "3", "4", "5", "6"] {
-        harness.arrives_with(id, 0, Some("catalogue"));
+        harness.arrives_with_key(id, 0, Some("catalogue"));
     }
     harness.expect_trace(expect![[r#"
         1000 follow
@@ -275,13 +275,13 @@
         let mut harness = harness(Effect::Idempotent, "abcdefgh");
         for nth in 0..60 {
             let (id, other) = (nth.to_string(), format!("other {nth}"));
-            harness.arrives_with(&id, 0, Some(if nth % every == 0 { key } else { &other }));
+            harness.arrives_with_key(&id, 0, Some(if nth % every == 0 { key } else { &other }));
             harness.ends(&id, 0, ForwardResult::Succeeded, &IDLE);
         }
         harness.forward_counts();
         for nth in 60..80 {
             let id = nth.to_string();
-            harness.arrives_with(&id, 0, Some(key)).ends(&id, 0, ForwardResult::Succeeded, &IDLE);
+            harness.arrives_with_key(&id, 0, Some(key)).ends(&id, 0, ForwardResult::Succeeded, &IDLE);
         }
         shown += &format!("{key}: {}\n", harness.forward_counts());
     }
@@ -419,7 +419,7 @@
         harness.roster(Listing::Changes, "a", Readiness::Up, Some(1_000_000));
         harness.reports("a", &IDLE).advance(3_000);
         for nth in ["1", "2", "3", "4"] {
-            harness.arrives_with(nth, 0, Some(nth));
+            harness.arrives_with_key(nth, 0, Some(nth));
         }
         let counts = harness.forward_counts();
         if !counts.is_empty() {
@@ -452,7 +452,7 @@
             }
             harness.after(after);
             for nth in ["1", "2", "3", "4"] {
-                harness.arrives_with(nth, 0, Some(nth));
+                harness.arrives_with_key(nth, 0, Some(nth));
             }
             shown += &format!(
                 "{agreed_share:?} after {after} ms, dispatcher {dispatcher_index}: {}\n",
