--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -116,8 +116,8 @@
     /// A runner's current report, with own forwards included; `None` if it does not answer probes.
     fn report(&self, runner: &str) -> Option<Vec<f64>> {
         let own = self.in_flight.values().filter(|in_flight| *in_flight == runner).count() as f64;
-        let [free, waiting, inflight] = self.reports.get(runner)?[..] else { return None };
-        Some(vec![(free - own).max(0.0), waiting + (own - free).max(0.0), inflight + own])
+        let [free, waiting, in_flight] = self.reports.get(runner)?[..] else { return None };
+        Some(vec![(free - own).max(0.0), waiting + (own - free).max(0.0), in_flight + own])
     }
 
     /// A roster update in which these runners have this size.
@@ -131,9 +131,9 @@
         listing: Listing,
         runners: &str,
         readiness: Readiness,
-        launched: Option<Micros>,
+        started_at: Option<Micros>,
     ) {
-        self.update_roster(listing, runners, 1.0, readiness, launched);
+        self.update_roster(listing, runners, 1.0, readiness, started_at);
     }
 
     /// A roster update for these runners with this size.
@@ -143,7 +143,7 @@
         runners: &str,
         size: f64,
         readiness: Readiness,
-        launched: Option<Micros>,
+        started_at: Option<Micros>,
     ) -> &mut PolicyHarness {
         let entries = runners.bytes().map(|name| RosterEntry {
             runner: (name as char).to_string().into(),
@@ -152,7 +152,7 @@
             machine_type: "box".into(),
             zone: if name % 2 == 1 { "east" } else { "west" }.into(),
             readiness,
-            launched,
+            started_at,
         });
         let entries = entries.collect();
         self.apply(Event::Roster(Roster { listing, entries }))
@@ -160,11 +160,11 @@
 
     /// An invocation arrives.
     pub fn arrives(&mut self, invocation: &str, operation: usize) -> &mut PolicyHarness {
-        self.arrives_with(invocation, operation, None)
+        self.arrives_with_key(invocation, operation, None)
     }
 
     /// An invocation with an affinity key arrives.
-    pub fn arrives_with(
+    pub fn arrives_with_key(
         &mut self,
         invocation: &str,
         operation: usize,
