--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! `scenario` defines what is played. `world`, `runner` and `load` emulate the deployment, without I/O, and
 //! `disks` prepares the dispatchers' store directories. `judge` checks the rules that dispatchers must keep,
-//! and `tally` computes the results. `virtual_clock` plays a scenario against the decision module in this
+//! and `tally` computes the results. `virtual_clock` plays a scenario against the routing policy in this
 //! process or a baseline (`policy`), `sockets` against the real program on loopback. `fault_days` and `soak`
 //! draw random scenarios. `experiment` and `report` compare and present results.
 
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -29,7 +29,7 @@
 /// How a scenario is played.
 #[derive(Clone, Copy, ValueEnum)]
 enum ClockName {
-    /// The decision module in this process, in virtual time; takes seconds for a million invocations.
+    /// The routing policy in this process, in virtual time; takes seconds for a million invocations.
     Virtual,
     /// The real program on loopback, in real time.
     Sockets,
@@ -51,7 +51,7 @@
         /// The policy that decides in virtual time.
         #[arg(long, default_value = "topazsail")]
         policy: String,
-        /// In virtual time, also print how much time the decision module took.
+        /// In virtual time, also print how much time the policy took.
         #[arg(long)]
         time: bool,
         /// Write the result to this file.
@@ -184,7 +184,7 @@
     })
 }
 
-/// Plays a scenario in virtual time; with `time`, also prints the time that the decision module took.
+/// Plays a scenario in virtual time; with `time`, also prints the time that the policy took.
 fn play_policy(scenario: &Scenario, policy: Policy, seed: u64, time: bool) -> Result<Outcome, String> {
     let run =
         virtual_clock::play(scenario, policy, seed, Options { measure_time: time, ..Options::default() })?;
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that decide in virtual time: the decision module itself, or a baseline to compare it with.
+//! The policies that decide in virtual time: topazsail's routing policy itself, or a baseline for comparison.
 //!
 //! Baselines take the same events and return the same kinds of actions. Deliberately, they obey the rules on
 //! repeats and no others. `LeastTrue` and `LeastOfAll` read the true state of the runners, which no real
@@ -20,7 +20,7 @@
 /// The policy of a run in virtual time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The decision module of topazsail.
+    /// topazsail's routing policy.
     Topazsail,
     Random,
     RoundRobin,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Decides for one dispatcher: the decision module or a baseline.
+/// Decides for one dispatcher: topazsail's routing policy or a baseline.
 pub trait DecisionMaker {
     /// As [`RoutingPolicy::decide`]; `truth` has the true state of the runners, for the baselines that use
     /// it.
--- a/lab/src/virtual_clock.rs
+++ b/lab/src/virtual_clock.rs
@@ -1,4 +1,4 @@
-//! The lab in virtual time: the decision module runs in process, and everything around it is played as events
+//! The lab in virtual time: the routing policy runs in process, and everything around it is played as events
 //! on a heap.
 //!
 //! This module owns the clock, the messages on the links, and what the request table does on sockets: it
@@ -89,7 +89,7 @@
     /// A runner's next event is due, unless it was rescheduled: the second number is then not the runner's
     /// latest.
     RunnerDue(u32, u32),
-    /// The timer of a dispatcher's decision module has fired.
+    /// The timer of a dispatcher's routing policy has fired.
     TimerFired(Incarnation),
     /// A dispatcher's periodic messages to its peers are due.
     PeerRound(Incarnation),
@@ -140,7 +140,7 @@
     /// Its bytes have been sent: it waits for no new connection any more.
     bytes_sent: bool,
     runner: u32,
-    /// When the decision module asked for it.
+    /// When the routing policy asked for it.
     at: Micros,
     in_flight: bool,
 }
@@ -191,8 +191,8 @@
     /// Interval in microseconds at which the number of jobs of each runner is sampled, after the first fifth
     /// of the run (0: never).
     pub sample_interval: Micros,
-    /// Measures the wall-clock time of each call of the decision module. It is reported beside the outcome,
-    /// which does not depend on it.
+    /// Measures the wall-clock time of each call of the policy. It is reported beside the outcome, which does
+    /// not depend on it.
     pub measure_time: bool,
 }
 
@@ -204,7 +204,7 @@
     pub outcome: Outcome,
     /// The sampled distribution of jobs per runner.
     pub tails: Tails,
-    /// Number of calls of the decision module.
+    /// Number of calls of the policy.
     pub decisions: u64,
     /// Wall-clock time in these calls if it was measured: for rosters, and for all other events.
     pub decision_time: [Duration; 2],
@@ -754,7 +754,7 @@
                 None,
             );
         }
-        // The decision module may leave the invocation unanswered, but its client still gets an answer.
+        // The policy may leave the invocation unanswered, but its client still gets an answer.
         if let Some(open) = self.dispatchers[incarnation.dispatcher as usize]
             .invocations
             .get(&inv)
@@ -766,7 +766,7 @@
         }
     }
 
-    /// Reports the end of a forward to the decision module, after answering the invocation if it succeeded.
+    /// Reports the end of a forward to the routing policy, after answering the invocation if it succeeded.
     fn report_outcome(
         &mut self,
         d: u32,
@@ -823,7 +823,7 @@
         self.remove_if_finished(d, inv);
     }
 
-    /// Passes one event to the decision module and carries out its actions.
+    /// Passes one event to the routing policy and carries out its actions.
     fn handle_event(&mut self, d: u32, event: Event) {
         self.decisions += 1;
         let dispatcher = &mut self.dispatchers[d as usize];
